--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -183,7 +183,7 @@
             configuration=self.configuration,
             directory=self.directory,
             clock=clock,
-            is_stopping=lambda: self.ingress.stopping,
+            is_stopping=lambda: self.ingress.is_stopping,
             is_planning=lambda: self.leadership.fence > 0,
             fanout=self.fanout,
             cores=settings.cores,
@@ -229,7 +229,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new callers should come to this node."""
-        return self.configuration.is_sure and not self.ingress.stopping
+        return self.configuration.is_sure and not self.ingress.is_stopping
 
     async def start(self) -> None:
         """Listen, and follow the platform."""
@@ -281,7 +281,7 @@
 
     async def drain(self) -> None:
         """Tell the balancer, serve on for a moment, then finish what is in progress."""
-        self.ingress.stopping = True
+        self.ingress.is_stopping = True
         await self._hand_over()
         self.peers.tell(self._describe())
         log.info("node: draining", in_flight=self.ingress.in_flight)
@@ -341,7 +341,7 @@
             log.warning("node: no metrics address", error=str(error))
 
     def _may_plan(self) -> bool:
-        return self.configuration.store_answers and not self.ingress.stopping
+        return self.configuration.store_answers and not self.ingress.is_stopping
 
     def _budget(self, service: str) -> RetryWindow:
         bounds = self._settings.bounds
@@ -362,7 +362,7 @@
             version=known.version if known else 0,
             sure=self.configuration.is_sure,
             store=self.configuration.store_answers,
-            stopping=self.ingress.stopping,
+            stopping=self.ingress.is_stopping,
             planning=self.leadership.fence,
             traffic=self._traffic.seen,
             interval=self.peers.interval,
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -167,7 +167,7 @@
 
 async def test_a_stopping_node_serves_and_says_that_it_closes():
     async with ingress_of(SITE) as (ingress, calls):
-        ingress.stopping = True
+        ingress.is_stopping = True
         data = request().replace(b"Connection: close\r\n", b"")
         answer = await talk(ingress, data)
     assert answer.startswith(b"HTTP/1.1 200 ")
@@ -195,7 +195,7 @@
     own time, in which it neither waits nor moves.
     """
     async with ingress_of(SITE) as (ingress, _):
-        ingress.stopping = True
+        ingress.is_stopping = True
         ingress.ends_at = ingress._clock.now() + left
         data = request("X-Mallowpond-Model: m", target=target)
         answer = await talk(ingress, data)
@@ -210,7 +210,7 @@
     Cause: a stopping node took every request until its last moment.
     """
     async with ingress_of(SITE) as (ingress, calls):
-        ingress.stopping = True
+        ingress.is_stopping = True
         ingress.ends_at = ingress._clock.now() + 0.1
         answer = await talk(ingress, request())
     assert answer.startswith(b"HTTP/1.1 503 ")
