--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -72,7 +72,7 @@
         self._rng = rng
         self._traffic = traffic
         self._limits_version = 0
-        self.stopping = False
+        self.is_stopping = False
         self.ends_at = float("inf")
         self.in_flight = 0
         self.server = HttpServer(
@@ -83,7 +83,7 @@
         self.in_flight += 1
         self._metrics.in_flight.set(self.in_flight)
         self._traffic.seen = True
-        if self.stopping:
+        if self.is_stopping:
             exchange.close_after()
             log.info(
                 "ingress: reached while stopping",
@@ -187,7 +187,7 @@
                     deadline=deadline,
                     exchange=exchange,
                 )
-                if self.stopping and not self._can_finish(work):
+                if self.is_stopping and not self._can_finish(work):
                     return self._come_back(Reason.STOPPING)
                 return await self._streams.serve(work)
         call = CallWork(
