--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -15,9 +15,9 @@
 
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.directory import Directory
+from mallowpond.node.group_selector import PlaceChoice, Seek
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_choice import PlaceChoice, Seek
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait
 from mallowpond.state.place_line import MOST_WAITING, Claim, PlaceLine
--- a/mallowpond/node/place_asking.py
+++ b/mallowpond/node/place_asking.py
@@ -9,9 +9,9 @@
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Asker, Dispatcher
+from mallowpond.node.group_selector import Seek
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_choice import Seek
 from mallowpond.state.fleet import Group, GroupPhase
 from mallowpond.state.place_line import Claim
 
--- a/mallowpond/node/stream_placing.py
+++ b/mallowpond/node/stream_placing.py
@@ -2,6 +2,7 @@
 
 from math import inf
 
+from mallowpond.node.group_selector import FIRST_EVENT_SHARE, PlaceChoice, Seek
 from mallowpond.node.outcomes import Reason, Refusal
 from mallowpond.node.place_asking import (
     PlaceAsking,
@@ -10,7 +11,6 @@
     TurnedAway,
     WaitedInVain,
 )
-from mallowpond.node.place_choice import FIRST_EVENT_SHARE, PlaceChoice, Seek
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.waiting import WaitingLine
