--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -10,10 +10,10 @@
 from mallowpond.node.call_gate import CallGate
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.directory import Directory
+from mallowpond.node.indirect_probe import SecondOpinion
 from mallowpond.node.intake import Intake
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
-from mallowpond.node.second_opinion import SecondOpinion
 from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.observer_doubt import ObserverDoubt
