--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -7,7 +7,7 @@
 
 from mallowpond.node.outcomes import Answered, CutOff, Reason, Refusal, ServeOutcome
 from mallowpond.node.serving_parts import ServingParts
-from mallowpond.node.stream_placing import (
+from mallowpond.node.stream_placement import (
     LEAST_SECONDS,
     NO_GROUP_RETRY_SECONDS,
     StreamPlacing,
