--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -19,7 +19,7 @@
     loads_of,
 )
 from mallowpond.node.metrics import NodeMetrics
-from mallowpond.node.place_asking import PlaceAsking
+from mallowpond.node.place_asking import DispatcherClient
 from mallowpond.node.ports import TargetsRead
 from mallowpond.node.quarantine import Quarantine
 from mallowpond.node.rate_limits import RateLimits
@@ -155,7 +155,7 @@
             shape_of=lambda service, model: (PROFILE, PROFILE.models[0]),
             is_dispatcher=lambda: fleet.dispatching_host() == self.name,
         )
-        asking = PlaceAsking(
+        asking = DispatcherClient(
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
--- a/mallowpond/node/place_asking.py
+++ b/mallowpond/node/place_asking.py
@@ -52,7 +52,7 @@
 PlaceOutcome = Placed | TurnedAway | WaitedInVain
 
 
-class PlaceAsking:
+class DispatcherClient:
     """Ask for the places of this host's streams."""
 
     def __init__(
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -24,7 +24,7 @@
 from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_asking import PlaceAsking
+from mallowpond.node.place_asking import DispatcherClient
 from mallowpond.node.planner import GroupPlanner
 from mallowpond.node.ports import NodePorts
 from mallowpond.node.quarantine import Quarantine
@@ -197,7 +197,7 @@
             shape_of=self._shape_of,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
         )
-        self.asking = PlaceAsking(
+        self.asking = DispatcherClient(
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -5,7 +5,7 @@
 from mallowpond.node.group_selector import FIRST_EVENT_SHARE, PlaceChoice, Seek
 from mallowpond.node.outcomes import Reason, Refusal
 from mallowpond.node.place_asking import (
-    PlaceAsking,
+    DispatcherClient,
     Placed,
     PlaceOutcome,
     TurnedAway,
@@ -62,7 +62,7 @@
             rng=parts.rng,
         )
         # Without it this host goes by news of the others alone.
-        self.asking: PlaceAsking | None = None
+        self.asking: DispatcherClient | None = None
         self.ends_at = inf
 
     def note_shape(self, work: StreamWork) -> None:
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -17,7 +17,7 @@
 )
 from mallowpond.node.outcomes import Answered, Reason
 from mallowpond.node.peer_work import GRANT_SECONDS, PEER_LOAD_SECONDS
-from mallowpond.node.place_asking import SILENT_SECONDS, PlaceAsking
+from mallowpond.node.place_asking import SILENT_SECONDS, DispatcherClient
 from mallowpond.node.tests.fakes import (
     MODEL,
     PROFILE,
@@ -73,7 +73,7 @@
             shape_of=lambda service, model: (PROFILE, MODEL),
             is_dispatcher=lambda: wire.name == "b",
         )
-        asking = PlaceAsking(
+        asking = DispatcherClient(
             name=wire.name,
             peers=wire,
             directory=rig.directory,
