--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -15,7 +15,7 @@
 
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.directory import Directory
-from mallowpond.node.group_selector import PlaceChoice, Seek
+from mallowpond.node.group_selector import GroupSelector, Seek
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
@@ -49,7 +49,7 @@
         name: str,
         peers: PeerNetwork,
         directory: Directory,
-        choice: PlaceChoice,
+        choice: GroupSelector,
         clock: Clock,
         shape_of: Callable[[str, str], Shape | None],
         is_dispatcher: Callable[[], bool],
--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -47,7 +47,7 @@
         return replace(self, avoided=self.avoided.union(groups))
 
 
-class PlaceChoice:
+class GroupSelector:
     """Choose among the groups of a directory."""
 
     def __init__(
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -2,7 +2,7 @@
 
 from math import inf
 
-from mallowpond.node.group_selector import FIRST_EVENT_SHARE, PlaceChoice, Seek
+from mallowpond.node.group_selector import FIRST_EVENT_SHARE, GroupSelector, Seek
 from mallowpond.node.outcomes import Reason, Refusal
 from mallowpond.node.place_asking import (
     DispatcherClient,
@@ -54,7 +54,7 @@
         self._intake = parts.intake
         self._lines: dict[str, WaitingLine] = {}
         self._shapes: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
-        self.choice = PlaceChoice(
+        self.choice = GroupSelector(
             directory=parts.directory,
             quarantine=parts.quarantine,
             budget=parts.budget,
