--- a/mallowpond/node/indirect_probe.py
+++ b/mallowpond/node/indirect_probe.py
@@ -16,7 +16,7 @@
 ASKED_HOSTS = 2
 
 
-class SecondOpinion:
+class IndirectProbe:
     """Ask the strongest other hosts, and answer them."""
 
     def __init__(
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -10,7 +10,7 @@
 from mallowpond.node.call_gate import CallGate
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.directory import Directory
-from mallowpond.node.indirect_probe import SecondOpinion
+from mallowpond.node.indirect_probe import IndirectProbe
 from mallowpond.node.intake import Intake
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
@@ -70,7 +70,7 @@
         self._lapse_probed: dict[Process, float] = {}
         self._unhealthy: dict[Process, int] = {}
         self._doubt = ObserverDoubt()
-        self._others = SecondOpinion(peers=peers, look=self._look, spawn=spawn)
+        self._others = IndirectProbe(peers=peers, look=self._look, spawn=spawn)
 
     @property
     def lost(self) -> frozenset[str]:
