--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -40,7 +40,7 @@
 NO_GROUP_RETRY_SECONDS = 1.0
 
 
-class StreamPlacing:
+class StreamPlacement:
     """Place streams on the groups of a directory."""
 
     def __init__(self, *, parts: ServingParts) -> None:
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -10,7 +10,7 @@
 from mallowpond.node.stream_placement import (
     LEAST_SECONDS,
     NO_GROUP_RETRY_SECONDS,
-    StreamPlacing,
+    StreamPlacement,
 )
 from mallowpond.node.stream_work import (
     ActiveStream,
@@ -61,7 +61,7 @@
         self._hosts = parts.hosts
         self._quarantine = parts.quarantine
         self._intake = parts.intake
-        self.placing = StreamPlacing(parts=parts)
+        self.placing = StreamPlacement(parts=parts)
         self.active: set[ActiveStream] = set()
         self._serving = 0
         # Called when a send has ended, whatever came of it.
