--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -13,7 +13,7 @@
 )
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
-from mallowpond.node.waiting import WaitingLine
+from mallowpond.node.waiting import WaitQueue
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait, spread_retry_after
@@ -52,7 +52,7 @@
         self._rng = parts.rng
         self._quarantine = parts.quarantine
         self._intake = parts.intake
-        self._lines: dict[str, WaitingLine] = {}
+        self._lines: dict[str, WaitQueue] = {}
         self._shapes: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
         self.choice = GroupSelector(
             directory=parts.directory,
@@ -194,7 +194,7 @@
         if now + LEAST_SECONDS > work.deadline:
             return Refusal(status=504, reason=Reason.TIMEOUT)
         groups = self._directory.serving_groups(work.service, work.model.name)
-        line = self._lines.setdefault(work.model.name, WaitingLine())
+        line = self._lines.setdefault(work.model.name, WaitQueue())
         wait = expected_wait(
             ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
             places=len(groups) * work.profile.slots,
--- a/mallowpond/node/tests/test_waiting.py
+++ b/mallowpond/node/tests/test_waiting.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from mallowpond.node.waiting import WaitingLine
+from mallowpond.node.waiting import WaitQueue
 
 
 async def served(line, now, *streams):
@@ -36,18 +36,18 @@
     Cause: places went by arrival, so each one waited as long as the line was.
     """
     order = await served(
-        WaitingLine(), 10.0, ("late", 1, 9.0), ("fresh", 1, 10.2), ("second", 1, 10.3)
+        WaitQueue(), 10.0, ("late", 1, 9.0), ("fresh", 1, 10.2), ("second", 1, 10.3)
     )
     assert order == ["fresh", "second", "late"]
 
 
 async def test_a_more_urgent_stream_goes_before_an_equal_one():
-    order = await served(WaitingLine(), 10.0, ("low", 2, 11.0), ("high", 0, 11.0))
+    order = await served(WaitQueue(), 10.0, ("low", 2, 11.0), ("high", 0, 11.0))
     assert order == ["high", "low"]
 
 
 async def test_a_stream_that_gives_up_leaves_the_line():
-    line = WaitingLine()
+    line = WaitQueue()
     task = asyncio.create_task(line.wait(priority=1, on_time_until=1.0, seconds=60.0))
     await asyncio.sleep(0)
     task.cancel()
@@ -62,14 +62,12 @@
     place frees, and a newcomer gets it, and the next one too.
     Cause: the begun stream counted as late, and late ones went last.
     """
-    order = await served(
-        WaitingLine(), 10.0, ("fresh", 0, 10.2), ("begun", 1, 8.0, True)
-    )
+    order = await served(WaitQueue(), 10.0, ("fresh", 0, 10.2), ("begun", 1, 8.0, True))
     assert order == ["begun", "fresh"]
 
 
 async def test_a_begun_stream_waits_behind_begun_ones_only():
-    line = WaitingLine()
+    line = WaitQueue()
     turns = [
         asyncio.create_task(
             line.wait(priority=1, on_time_until=1.0, seconds=60.0, has_begun=begun)
@@ -92,7 +90,7 @@
     was woken although its wait had ended, which failed in whoever was waking: the look
     at the groups, or the end of another stream.
     """
-    line = WaitingLine()
+    line = WaitQueue()
 
     def wait():
         return asyncio.create_task(
@@ -110,7 +108,7 @@
 
 async def test_a_turn_that_comes_as_the_time_runs_out_has_come():
     """A stream was refused although a place had been found for it in the same pass."""
-    line = WaitingLine()
+    line = WaitQueue()
     waiting = asyncio.create_task(line.wait(priority=0, on_time_until=0.0, seconds=0.0))
     await asyncio.sleep(0)
     line.wake(lambda: True, 1.0)
--- a/mallowpond/node/waiting.py
+++ b/mallowpond/node/waiting.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(kw_only=True)
-class WaitingLine:
+class WaitQueue:
     """Wake waiting streams: begun ones, those that can be on time, then by arrival.
 
     A stream whose group died in the middle needs a place for its rest only, and its
