--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -8,7 +8,7 @@
 
 from mallowpond.coordination.ports import Clock, Unavailable
 from mallowpond.node.group_loads import GroupLoads
-from mallowpond.node.peer_work import Figures
+from mallowpond.node.peer_work import LoadsByGroup
 from mallowpond.node.ports import HistoryLost, SiteSource, TargetsRead
 from mallowpond.state.broken_groups import BrokenGroups
 from mallowpond.state.ended_processes import EndedProcesses
@@ -277,7 +277,7 @@
             return self.poll_seconds
         return POLL_SECONDS if self.tries_first() else LOST_POLL_SECONDS
 
-    def hear_digest(self, changed: int, loads: Figures) -> None:
+    def hear_digest(self, changed: int, loads: LoadsByGroup) -> None:
         """Note a reader's newest change of the list, and its sums of all work."""
         now = self._clock.now()
         self._heard_at = now
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -6,7 +6,7 @@
 from math import exp
 
 from mallowpond.coordination.ports import Clock
-from mallowpond.node.peer_work import Figures, Grant, PeerWork
+from mallowpond.node.peer_work import Grant, LoadsByGroup, PeerWork
 from mallowpond.state.fleet import EngineProfile, Group, GroupKey
 from mallowpond.state.placement import GroupLoad
 
@@ -51,9 +51,9 @@
         self._clock = clock
         self._work: dict[GroupKey, GroupWork] = defaultdict(GroupWork)
         self._peers = PeerWork()
-        self._totals: Figures = {}
+        self._totals: LoadsByGroup = {}
         self._totals_at = float("-inf")
-        self._told: Figures = {}
+        self._told: LoadsByGroup = {}
 
     def work(self, key: GroupKey) -> GroupWork:
         """Return this host's own work on a group."""
@@ -107,7 +107,7 @@
             return load
         return replace(load, slowness=load.slowness * profile.far_factor)
 
-    def own_loads(self) -> Figures:
+    def own_loads(self) -> LoadsByGroup:
         """Return this host's own work by group, for its peers."""
         return {
             key: (work.running, work.reading_tokens)
@@ -115,16 +115,16 @@
             if work.running
         }
 
-    def all_loads(self, groups: Iterable[GroupKey]) -> Figures:
+    def all_loads(self, groups: Iterable[GroupKey]) -> LoadsByGroup:
         """Return all hosts' work on these groups, as a reader sums it up."""
         loads = {key: self.load(key) for key in groups}
         return {k: (v.running, v.reading_tokens) for k, v in loads.items() if v.running}
 
-    def note_told(self, loads: Figures) -> None:
+    def note_told(self, loads: LoadsByGroup) -> None:
         """Note which of this host's work is part of the readers' sums."""
         self._told = loads
 
-    def note_peer(self, name: str, loads: Figures, granted: int = 0) -> None:
+    def note_peer(self, name: str, loads: LoadsByGroup, granted: int = 0) -> None:
         """Note a peer's work by group, with the places up to number `granted`."""
         self._peers.note(name, loads, granted, self._clock.now())
 
@@ -145,7 +145,7 @@
         """Count the places up to a number no more: their streams are counted."""
         self._peers.settle(name, number, self._clock.now())
 
-    def note_totals(self, loads: Figures) -> None:
+    def note_totals(self, loads: LoadsByGroup) -> None:
         """Note the sums of all hosts' work that a reader tells."""
         self._totals = loads
         self._totals_at = self._clock.now()
--- a/mallowpond/node/peer_work.py
+++ b/mallowpond/node/peer_work.py
@@ -12,7 +12,7 @@
 GRANT_SECONDS = 0.5
 
 # Streams and tokens still to be read, by group.
-Figures = dict[GroupKey, tuple[int, float]]
+LoadsByGroup = dict[GroupKey, tuple[int, float]]
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -20,7 +20,7 @@
     """Hold one peer's figures of its work by group."""
 
     heard_at: float
-    loads: Figures = field(default_factory=dict)
+    loads: LoadsByGroup = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -50,7 +50,7 @@
         self._forget_given(now)
         return self._running[key], max(0.0, self._reading[key])
 
-    def note(self, name: str, loads: Figures, granted: int, now: float) -> None:
+    def note(self, name: str, loads: LoadsByGroup, granted: int, now: float) -> None:
         """Take a peer's figures, which hold the places up to number `granted`."""
         self._drop(name)
         # Least lately heard first.
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -25,7 +25,7 @@
     heartbeat_loads,
     loads_of,
 )
-from mallowpond.node.peer_work import Figures
+from mallowpond.node.peer_work import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import TargetsRead
 from mallowpond.state.ownership import ranked_by_capacity
@@ -87,7 +87,7 @@
         self._reads = False
         self._turn = 0
         self._work_turn = 0
-        self._told_work: Figures = {}
+        self._told_work: LoadsByGroup = {}
         self._store_was_reached = True
         # The last place that this host was given, which its work holds.
         self.granted: Callable[[], int] = lambda: 0
@@ -232,7 +232,7 @@
             self._directory.loads.note_told(loads)
         self._send_work(loads, {host})
 
-    def _send_work(self, loads: Figures, hosts: set[str]) -> None:
+    def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
         work = Work(
             node=self._name, loads=heartbeat_loads(loads), granted=self.granted()
         )
