--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mallowpond.node import place_asking
+from mallowpond.node import place_asking as dispatcher_client
 from mallowpond.node.dispatcher import Dispatcher
 from mallowpond.node.group_loads import GroupLoads
 from mallowpond.node.messages import (
@@ -290,7 +290,7 @@
 
 async def test_a_stream_whose_answer_was_lost_asks_again(monkeypatch):
     """Guard against streams that wait for an answer that got lost."""
-    monkeypatch.setattr(place_asking, "RENEW_SECONDS", 0.01)
+    monkeypatch.setattr(dispatcher_client, "RENEW_SECONDS", 0.01)
     site = await site_of("a")
     site.rig_a.targets.script("a0", answer(1))
     site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
