--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -427,7 +427,7 @@
         if isinstance(report, Unavailable):
             self._probes.investigate(target)
             return None
-        if report.target.place != target.place:
+        if report.target.group_key != target.group_key:
             # Another planner's order came after the list was read: a count that
             # includes it would let an order through that was planned without it,
             # and the target would stand in two groups.
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -116,7 +116,7 @@
         return Process(id=self.id, born=self.born)
 
     @cached_property
-    def place(self) -> GroupKey | None:
+    def group_key(self) -> GroupKey | None:
         """Return the formation that it stands in, None if in none."""
         member = self.membership
         return None if member is None else (member.group, member.epoch)
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -37,7 +37,7 @@
     """Hold where the list shows a process, and since when."""
 
     process: Process
-    place: GroupKey | None
+    group_key: GroupKey | None
     since: float
 
 
@@ -69,20 +69,26 @@
         if changed or gone:
             self._targets = dict(targets)
         self._displaced = {
-            process: place
-            for process, place in self._displaced.items()
-            if self._is_shown(process, place)
+            process: group_key
+            for process, group_key in self._displaced.items()
+            if self._is_shown(process, group_key)
         }
 
-    def _is_shown(self, process: Process, place: GroupKey) -> bool:
+    def _is_shown(self, process: Process, group_key: GroupKey) -> bool:
         listed = self._listed.get(process.id)
-        return listed is not None and (listed.process, listed.place) == (process, place)
+        return listed is not None and (listed.process, listed.group_key) == (
+            process,
+            group_key,
+        )
 
     def _as_listed(self, target: Target, now: float) -> _Listed:
         known = self._listed.get(target.id)
-        if known and (known.process, known.place) == (target.process, target.place):
+        if known and (known.process, known.group_key) == (
+            target.process,
+            target.group_key,
+        ):
             return known
-        return _Listed(process=target.process, place=target.place, since=now)
+        return _Listed(process=target.process, group_key=target.group_key, since=now)
 
     def hear(
         self,
@@ -112,12 +118,16 @@
 
     def _hear_place(self, asked: Target, answered: Target, asked_at: float) -> None:
         known = self._listed.get(asked.id)
-        if known is None or answered.process != known.process or known.place is None:
+        if (
+            known is None
+            or answered.process != known.process
+            or known.group_key is None
+        ):
             return
-        if answered.place == known.place:
+        if answered.group_key == known.group_key:
             self._displaced.pop(known.process, None)
         elif asked_at - known.since > SETTLED_SECONDS:
-            self._displaced[known.process] = known.place
+            self._displaced[known.process] = known.group_key
 
     def present(self, target: Target) -> Target:
         """Return a listed target, or what is known of the process that follows it.
@@ -126,7 +136,7 @@
         nowhere, and its group could not be opened. The same holds for a target that has
         lost the place that the list shows.
         """
-        if target.place and self._displaced.get(target.process) == target.place:
+        if target.group_key and self._displaced.get(target.process) == target.group_key:
             return replace(target, model="", membership=None, lapsed=True)
         heard = self._heard.get(target.id)
         if heard is None or target.process not in heard.ended:
