--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -522,8 +522,8 @@
         """Gather the groups that these targets belonged or belong to, each once."""
         touched = dict.fromkeys(t.place for t in targets if t.place is not None)
         for target in targets:
-            if target.place is not None:
-                self._members.setdefault(target.place, set()).add(target.id)
+            if target.group_key is not None:
+                self._members.setdefault(target.group_key, set()).add(target.id)
         for key in touched:
             members = self._members[key]
             present = [self._targets[m] for m in members if m in self._targets]
