--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -520,7 +520,7 @@
 
     def _regroup(self, targets: Collection[Target]) -> None:
         """Gather the groups that these targets belonged or belong to, each once."""
-        touched = dict.fromkeys(t.place for t in targets if t.place is not None)
+        touched = dict.fromkeys(t.group_key for t in targets if t.group_key is not None)
         for target in targets:
             if target.group_key is not None:
                 self._members.setdefault(target.group_key, set()).add(target.id)
