--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -10,6 +10,7 @@
 from mallowpond.emulator.virtual_time import VirtualClock
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Dispatcher
+from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.intake import Intake
 from mallowpond.node.messages import (
     PlaceAnswer,
@@ -19,7 +20,6 @@
     loads_of,
 )
 from mallowpond.node.metrics import NodeMetrics
-from mallowpond.node.place_asking import DispatcherClient
 from mallowpond.node.ports import TargetsRead
 from mallowpond.node.quarantine import Quarantine
 from mallowpond.node.rate_limits import RateLimits
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -17,6 +17,7 @@
 from mallowpond.node.configuration_sharing import ConfigurationSharing
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Dispatcher, Shape
+from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.fanout import Fanout
 from mallowpond.node.ingress import Ingress
 from mallowpond.node.intake import Intake
@@ -24,7 +25,6 @@
 from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_asking import DispatcherClient
 from mallowpond.node.planner import GroupPlanner
 from mallowpond.node.ports import NodePorts
 from mallowpond.node.quarantine import Quarantine
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -2,15 +2,15 @@
 
 from math import inf
 
-from mallowpond.node.group_selector import FIRST_EVENT_SHARE, GroupSelector, Seek
-from mallowpond.node.outcomes import Reason, Refusal
-from mallowpond.node.place_asking import (
+from mallowpond.node.dispatcher_client import (
     DispatcherClient,
     Placed,
     PlaceOutcome,
     TurnedAway,
     WaitedInVain,
 )
+from mallowpond.node.group_selector import FIRST_EVENT_SHARE, GroupSelector, Seek
+from mallowpond.node.outcomes import Reason, Refusal
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.waiting import WaitQueue
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from mallowpond.node import place_asking as dispatcher_client
+from mallowpond.node import dispatcher_client as dispatcher_client
 from mallowpond.node.dispatcher import Dispatcher
+from mallowpond.node.dispatcher_client import SILENT_SECONDS, DispatcherClient
 from mallowpond.node.group_loads import GroupLoads
 from mallowpond.node.messages import (
     PlaceAnswer,
@@ -17,7 +18,6 @@
 )
 from mallowpond.node.outcomes import Answered, Reason
 from mallowpond.node.peer_work import GRANT_SECONDS, PEER_LOAD_SECONDS
-from mallowpond.node.place_asking import SILENT_SECONDS, DispatcherClient
 from mallowpond.node.tests.fakes import (
     MODEL,
     PROFILE,
