--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mallowpond.node import dispatcher_client as dispatcher_client
+from mallowpond.node import dispatcher_client
 from mallowpond.node.dispatcher import Dispatcher
 from mallowpond.node.dispatcher_client import SILENT_SECONDS, DispatcherClient
 from mallowpond.node.group_loads import GroupLoads
