--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -28,7 +28,7 @@
 # the very groups that have one.
 TRIED_STREAMS = 4
 
-Shape = tuple[EngineProfile, ModelSpec]
+ServedModel = tuple[EngineProfile, ModelSpec]
 Line = tuple[str, str]
 
 
@@ -51,7 +51,7 @@
         directory: Directory,
         choice: GroupSelector,
         clock: Clock,
-        shape_of: Callable[[str, str], Shape | None],
+        shape_of: Callable[[str, str], ServedModel | None],
         is_dispatcher: Callable[[], bool],
     ) -> None:
         self._name = name
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -16,7 +16,7 @@
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.configuration_sharing import ConfigurationSharing
 from mallowpond.node.directory import Directory
-from mallowpond.node.dispatcher import Dispatcher, Shape
+from mallowpond.node.dispatcher import Dispatcher, ServedModel
 from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.fanout import Fanout
 from mallowpond.node.ingress import Ingress
@@ -372,7 +372,7 @@
             granted=self.asking.granted,
         )
 
-    def _shape_of(self, service: str, model: str) -> Shape | None:
+    def _shape_of(self, service: str, model: str) -> ServedModel | None:
         """Return the timing and model of a service, None if it is not declared."""
         known = self.configuration.configuration
         declared = known and known.services.get(service)
