--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -152,7 +152,7 @@
             directory=self.directory,
             choice=self.streams.placing.choice,
             clock=clock,
-            shape_of=lambda service, model: (PROFILE, PROFILE.models[0]),
+            find_model=lambda service, model: (PROFILE, PROFILE.models[0]),
             is_dispatcher=lambda: fleet.dispatching_host() == self.name,
         )
         asking = DispatcherClient(
--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -51,7 +51,7 @@
         directory: Directory,
         choice: GroupSelector,
         clock: Clock,
-        shape_of: Callable[[str, str], ServedModel | None],
+        find_model: Callable[[str, str], ServedModel | None],
         is_dispatcher: Callable[[], bool],
     ) -> None:
         self._name = name
@@ -59,7 +59,7 @@
         self._directory = directory
         self._choice = choice
         self._clock = clock
-        self._shape_of = shape_of
+        self._shape_of = find_model
         self._is_dispatcher = is_dispatcher
         self._lines: dict[Line, PlaceLine[Asker]] = {}
         # What each stream that waits looks for.
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -194,7 +194,7 @@
             directory=self.directory,
             choice=self.streams.placing.choice,
             clock=clock,
-            shape_of=self._shape_of,
+            find_model=self._shape_of,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
         )
         self.asking = DispatcherClient(
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -70,7 +70,7 @@
             directory=rig.directory,
             choice=rig.service.placing.choice,
             clock=rig.clock,
-            shape_of=lambda service, model: (PROFILE, MODEL),
+            find_model=lambda service, model: (PROFILE, MODEL),
             is_dispatcher=lambda: wire.name == "b",
         )
         asking = DispatcherClient(
