--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -59,7 +59,7 @@
         self._directory = directory
         self._choice = choice
         self._clock = clock
-        self._shape_of = find_model
+        self._find_model = find_model
         self._is_dispatcher = is_dispatcher
         self._lines: dict[Line, PlaceLine[Asker]] = {}
         # What each stream that waits looks for.
@@ -71,7 +71,7 @@
 
     def _hear(self, question: PlaceQuestion) -> None:
         """Answer another host, if this one hears of all work; else it asks in vain."""
-        shape = self._shape_of(question.service, question.model)
+        shape = self._find_model(question.service, question.model)
         if shape is None or not self._is_dispatcher():
             return
         profile, model = shape
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -194,7 +194,7 @@
             directory=self.directory,
             choice=self.streams.placing.choice,
             clock=clock,
-            find_model=self._shape_of,
+            find_model=self._find_model,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
         )
         self.asking = DispatcherClient(
@@ -372,7 +372,7 @@
             granted=self.asking.granted,
         )
 
-    def _shape_of(self, service: str, model: str) -> ServedModel | None:
+    def _find_model(self, service: str, model: str) -> ServedModel | None:
         """Return the timing and model of a service, None if it is not declared."""
         known = self.configuration.configuration
         declared = known and known.services.get(service)
