--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -150,7 +150,7 @@
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
-            choice=self.streams.placing.choice,
+            choice=self.streams.placement.choice,
             clock=clock,
             find_model=lambda service, model: (PROFILE, PROFILE.models[0]),
             is_dispatcher=lambda: fleet.dispatching_host() == self.name,
@@ -165,7 +165,7 @@
         )
         self.asking = asking
         if fleet.scenario.dispatched:
-            self.streams.placing.asking = asking
+            self.streams.placement.asking = asking
             self.streams.on_end.append(self.tell_work)
             asking.on_unused.append(self.tell_work)
             self.datagrams.on_work.append(self._hear_work)
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -176,7 +176,7 @@
 
     def _wake(self) -> None:
         for host in self.hosts:
-            host.streams.placing.wake_all()
+            host.streams.placement.wake_all()
             host.dispatcher.wake()
 
     # -- callers -------------------------------------------------------------
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -192,7 +192,7 @@
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
-            choice=self.streams.placing.choice,
+            choice=self.streams.placement.choice,
             clock=clock,
             find_model=self._find_model,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
@@ -205,7 +205,7 @@
             clock=clock,
             dispatching_host=lambda: self.readers.dispatcher,
         )
-        self.streams.placing.asking = self.asking
+        self.streams.placement.asking = self.asking
         self.streams.on_end.append(self._tell_end)
         self.asking.on_unused.append(self._tell_end)
         self.readers.granted = lambda: self.asking.granted
@@ -216,7 +216,7 @@
             fanout=self.fanout,
             configuration=self.configuration,
         )
-        self.readers.on_news.append(self.streams.placing.wake_all)
+        self.readers.on_news.append(self.streams.placement.wake_all)
         self.configuration.on_newer.append(self._tell_version)
         self.leadership.on_taken.append(lambda: self.peers.tell(self._describe()))
         self.peers.on_heartbeat.append(self._note_heartbeat)
@@ -289,7 +289,7 @@
         started = self._clock.now()
         lame_until = started + min(LAME_SECONDS, 0.5 * grace)
         limit = started + grace - CLOSING_SECONDS
-        self.ingress.ends_at = self.streams.placing.ends_at = limit
+        self.ingress.ends_at = self.streams.placement.ends_at = limit
         while self._clock.now() < lame_until:
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._hand_over()
@@ -299,7 +299,7 @@
         # one that was overlooked was passed on and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
             if self._clock.now() >= limit - LAST_REFUSALS_SECONDS:
-                self.streams.placing.end_waits()
+                self.streams.placement.end_waits()
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._hand_over()
         self.ingress.server.refuse_more()
@@ -400,7 +400,7 @@
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
-        self.streams.placing.wake_all()
+        self.streams.placement.wake_all()
         self.dispatcher.wake()
 
     async def _answer_readiness(self, request: HttpRequest, exchange: Exchange) -> None:
