--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -206,7 +206,7 @@
     def _can_finish(self, work: StreamWork) -> bool:
         """Tell whether a stream that is begun now ends before this host does."""
         return can_finish(
-            longest_seconds=self._streams.placing.longest_seconds(work),
+            longest_seconds=self._streams.placement.longest_seconds(work),
             seconds_left=self.ends_at - self._clock.now(),
         )
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -90,7 +90,7 @@
             self._fresh_from = now
         self._pause = LONGEST_LOOK_SECONDS
         if self._directory.take_releases():
-            self._streams.placing.wake_all()
+            self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
             if stream.moved is None:
@@ -149,7 +149,7 @@
         since = max(
             self._directory.loads.work(key).last_event_at, oldest, self._fresh_from
         )
-        delay = self._streams.placing.delay(work.service, work.model.name)
+        delay = self._streams.placement.delay(work.service, work.model.name)
         return GroupQuiet(
             silent_seconds=now - since,
             predicted_gap=predicted,
