--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -68,7 +68,7 @@
             name=wire.name,
             peers=wire,
             directory=rig.directory,
-            choice=rig.service.placing.choice,
+            choice=rig.service.placement.choice,
             clock=rig.clock,
             find_model=lambda service, model: (PROFILE, MODEL),
             is_dispatcher=lambda: wire.name == "b",
@@ -81,7 +81,7 @@
             clock=rig.clock,
             dispatching_host=lambda: "b",
         )
-        rig.service.placing.asking = asking
+        rig.service.placement.asking = asking
         return dispatcher, asking
 
     def tell_work(self):
@@ -254,7 +254,7 @@
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
     await settle()
-    site.rig_a.service.placing.end_waits()
+    site.rig_a.service.placement.end_waits()
     async with asyncio.timeout(1.0):
         outcome = await serving
     assert outcome.status == 503
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -106,12 +106,12 @@
     intake_of(rig).hear(head(rig, "a0"), NAMED, rig.clock.now())
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await settle()
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     await settle()
     assert rig.targets.sends == []
     rig.targets.script("a0", answer(1))
     rig.clock.time += 1.0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await serving == Answered(status=200, target="a0")
 
 
@@ -291,7 +291,7 @@
     await settle()
     assert not serving.done()
     limits.hear(head(rig, "b0"), TargetNotice(), rig.clock.now())
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await serving == Answered(status=200, target="b0")
 
 
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -184,7 +184,7 @@
     rig.clock.time += 0.5
     rig.targets.script("b0", answer(3))
     rig.directory.loads.work(("b", 1)).running = 0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await task == Answered(status=200, target="b0")
     assert exchange.body == whole(1, 2, 3)
 
@@ -214,11 +214,11 @@
     """
     rig = await rig_of("a")
     work = rig.work(FakeExchange())
-    sound = rig.service.placing.longest_seconds(work)
+    sound = rig.service.placement.longest_seconds(work)
     group_work = rig.directory.loads.work(("a", 1))
     group_work.slowness, group_work.last_event_at = 5.0, rig.clock.now()
     passes = sound - work.route.objective_seconds
-    slow = rig.service.placing.longest_seconds(work)
+    slow = rig.service.placement.longest_seconds(work)
     assert slow >= work.route.objective_seconds + 4.9 * passes
 
 
@@ -229,7 +229,9 @@
     as if one did.
     """
     rig = await rig_of()
-    assert rig.service.placing.longest_seconds(rig.work(FakeExchange())) == float("inf")
+    assert rig.service.placement.longest_seconds(rig.work(FakeExchange())) == float(
+        "inf"
+    )
 
 
 async def test_a_head_that_says_it_is_not_the_one_gets_no_more_streams():
@@ -448,7 +450,7 @@
     for _ in range(5):
         await asyncio.sleep(0)
     rig.directory.loads.work(("a", 1)).running = 0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     tasks[0].cancel()
     for _ in range(20):
         await asyncio.sleep(0)
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -80,7 +80,7 @@
 
 def learn_delay(rig, stream, seconds):
     """Let first events of the stream's model come so much later than predicted."""
-    delay = rig.service.placing.delay(stream.work.service, stream.work.model.name)
+    delay = rig.service.placement.delay(stream.work.service, stream.work.model.name)
     for _ in range(LEAST_SAMPLES):
         delay.note(observed=seconds, predicted=0.0)
 
@@ -312,7 +312,7 @@
         await asyncio.sleep(0)
     assert not task.done()
     rig.directory.loads.work(("b", 1)).running = 0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await task == Answered(status=200, target="b0")
 
 
