--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -14,7 +14,7 @@
 from mallowpond.node.intake import Intake
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.observer_doubt import ObserverDoubt
 from mallowpond.state.order_book import OrderBook
@@ -101,7 +101,7 @@
                 del known[process]
         # What the list still shows by then is written anew, so the word was wrong.
         for process, at in list(self._replaced.items()):
-            if now - at > STILL_WRITTEN_SECONDS:
+            if now - at > STALE_ENTRY_SECONDS:
                 del self._replaced[process]
         for target in list(targets.values()):
             if target.lapsed and target.membership is not None:
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -19,7 +19,7 @@
     member,
     open_group,
 )
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import BreakCause, GroupPhase
 
 
@@ -242,7 +242,7 @@
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
     directory.break_group(directory.groups["g", 1], BreakCause.REFUSED)
-    clock.time += STILL_WRITTEN_SECONDS + 0.1
+    clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
     directory._whole_at = float("-inf")
     await directory.refresh()
@@ -352,7 +352,7 @@
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
     directory.learn(restarted(group[1]))
-    clock.time += STILL_WRITTEN_SECONDS + 0.1
+    clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
     directory._whole_at = float("-inf")
     await directory.refresh()
--- a/mallowpond/state/broken_groups.py
+++ b/mallowpond/state/broken_groups.py
@@ -11,7 +11,7 @@
 
 # Time after which a whole read of the list that still holds an entry shows that its
 # engine goes on writing it, in seconds: a silent one's goes after three heartbeats.
-STILL_WRITTEN_SECONDS = 5.0
+STALE_ENTRY_SECONDS = 5.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -48,7 +48,7 @@
         broken = self._broken.get(group.key)
         if broken is None or group.phase is not GroupPhase.OPEN:
             return False
-        is_late = asked_at - broken.at > STILL_WRITTEN_SECONDS
+        is_late = asked_at - broken.at > STALE_ENTRY_SECONDS
         if not (is_change or is_late or group.head != broken.head):
             return False
         if len(group.members) < broken.size:
--- a/mallowpond/state/ended_processes.py
+++ b/mallowpond/state/ended_processes.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable
 
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
 
 # Time for which an ended process is remembered, in seconds: many times what a report
@@ -44,5 +44,5 @@
             ended_at = self._ended_at.get(target.process)
             if ended_at is None:
                 continue
-            if asked_at - ended_at > STILL_WRITTEN_SECONDS:
+            if asked_at - ended_at > STALE_ENTRY_SECONDS:
                 del self._ended_at[target.process]
