--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -449,7 +449,7 @@
         One that it shows with a process that is gone is out of use from the start.
         """
         if not is_change:
-            self._ended.see(listed, asked_at=self._read_at)
+            self._ended.readmit(listed, asked_at=self._read_at)
         for target in listed:
             place = target.membership
             group = place and self._groups.get((place.group, place.epoch))
@@ -461,7 +461,9 @@
                 continue
             if group.head is None or group.head.id != target.id:
                 continue
-            seen = self._broken.see(group, is_change=is_change, asked_at=self._read_at)
+            seen = self._broken.readmit(
+                group, is_change=is_change, asked_at=self._read_at
+            )
             if seen:
                 log.info("groups: open anew", group=group.name, epoch=group.epoch)
 
--- a/mallowpond/state/broken_groups.py
+++ b/mallowpond/state/broken_groups.py
@@ -38,7 +38,7 @@
             at=now, head=group.head, size=len(group.members)
         )
 
-    def see(self, group: Group, *, is_change: bool, asked_at: float) -> bool:
+    def readmit(self, group: Group, *, is_change: bool, asked_at: float) -> bool:
         """Take a formation back that was listed anew; tell whether it was taken back.
 
         An entry in a list of changes is of a later version than what was known. A whole
--- a/mallowpond/state/ended_processes.py
+++ b/mallowpond/state/ended_processes.py
@@ -34,7 +34,7 @@
         self._ended_at.pop(later, None)
         self._ended_at[earlier] = now
 
-    def see(self, listed: Iterable[Target], *, asked_at: float) -> None:
+    def readmit(self, listed: Iterable[Target], *, asked_at: float) -> None:
         """Believe a whole read that shows a process long after its supposed end.
 
         Entries go after a few heartbeats of silence, so what was said of that process
