--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -488,7 +488,7 @@
                 self._probes.investigate(target)
 
     def _note_taken(self, step: Step) -> None:
-        self._book.note_taken(step, self._clock.now())
+        self._book.record_taken(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
                 # The formation is over: kept, it had its members join again, and they
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -114,7 +114,7 @@
         """Free the process for another order now."""
         self._record(target).pending = None
 
-    def note_taken(self, step: Step, now: float) -> None:
+    def record_taken(self, step: Step, now: float) -> None:
         """Note that a process has taken an order."""
         record = self._record(step.target)
         record.ordered_at = now
