--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -434,7 +434,7 @@
             log.info("planner: target changed since the list", target=target.id)
             return None
         now = self._clock.now()
-        if not self._book.note_report(report.target, report.orders, now=now):
+        if not self._book.record_report(report.target, report.orders, now=now):
             return None
         return report.orders
 
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -155,7 +155,7 @@
         record = self._records.get(target.process)
         return None if record is None else record.count
 
-    def note_report(self, target: Target, orders: int, *, now: float) -> bool:
+    def record_report(self, target: Target, orders: int, *, now: float) -> bool:
         """Take a process's own count; return False when it is out of date.
 
         Within one process the count never falls: a lower one was told late, and an
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -37,7 +37,7 @@
     """Return a book in which the first process has taken a join."""
     book = OrderBook()
     join = join_of(FIRST)
-    book.note_report(FIRST, 4, now=NOW)
+    book.record_report(FIRST, 4, now=NOW)
     book.begin(join, NOW)
     book.note_begun(join, expected=4, is_sure=True)
     book.record_taken(join, NOW)
@@ -69,24 +69,24 @@
     """
     book = book_of_first()
     book.doubt_count(FIRST)
-    assert not book.note_report(FIRST, 4, now=NOW)
+    assert not book.record_report(FIRST, 4, now=NOW)
     assert book.count(FIRST) is None
-    assert book.note_report(FIRST, 5, now=NOW)
-    assert book.note_report(SECOND, 0, now=NOW)
+    assert book.record_report(FIRST, 5, now=NOW)
+    assert book.record_report(SECOND, 0, now=NOW)
     assert (book.count(FIRST), book.count(SECOND)) == (5, 0)
 
 
 def test_a_count_that_a_probe_told_makes_older_ones_out_of_date():
     book = OrderBook()
-    book.note_report(FIRST, 4, now=NOW)
+    book.record_report(FIRST, 4, now=NOW)
     book.note_seen(FIRST, 4)
     assert book.count(FIRST) == 4
     book.note_seen(FIRST, 6)
     assert book.count(FIRST) is None
     book.note_begun(join_of(FIRST), expected=4, is_sure=True)
     assert book.count(FIRST) is None
-    assert not book.note_report(FIRST, 5, now=NOW)
-    assert book.note_report(FIRST, 6, now=NOW)
+    assert not book.record_report(FIRST, 5, now=NOW)
+    assert book.record_report(FIRST, 6, now=NOW)
 
 
 def test_a_count_that_is_not_sure_does_not_outlast_a_report():
@@ -99,7 +99,7 @@
     leave = Leave(target=FIRST, group="g", epoch=1)
     book.note_begun(leave, expected=5, is_sure=False)
     assert book.count(FIRST) == 6
-    assert book.note_report(FIRST, 5, now=NOW)
+    assert book.record_report(FIRST, 5, now=NOW)
 
 
 def test_a_member_that_left_is_free_before_the_list_shows_it():
@@ -145,10 +145,10 @@
     """
     book, target = OrderBook(), replace(FIRST, born=None)
     join = join_of(target)
-    book.note_report(target, 4, now=NOW)
+    book.record_report(target, 4, now=NOW)
     book.note_begun(join, expected=4, is_sure=True)
     book.record_taken(join, NOW)
     book.doubt_count(target)
-    assert not book.note_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
-    assert book.note_report(target, 0, now=NOW + 1.1 * REPORT_LAG_SECONDS)
+    assert not book.record_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
+    assert book.record_report(target, 0, now=NOW + 1.1 * REPORT_LAG_SECONDS)
     assert book.count(target) == 0
