--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -465,7 +465,7 @@
         match end:
             case OrderTaken(began=began):
                 if began or isinstance(step, Leave):
-                    self._book.note_begun(step, expected=expected, is_sure=began)
+                    self._book.record_begun(step, expected=expected, is_sure=began)
                 self._note_taken(step)
             case OrderFenced():
                 self._book.doubt_count(target)
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -176,7 +176,7 @@
         if record.count is not None and record.count < orders:
             record.count = None
 
-    def note_begun(self, step: Step, *, expected: int, is_sure: bool) -> None:
+    def record_begun(self, step: Step, *, expected: int, is_sure: bool) -> None:
         """Count an order on top of those that it expected before it.
 
         Reports lag, so the count is kept here: with an old one the next join would be
