--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -153,7 +153,7 @@
             asked_at=asked_at,
             shows_orders=self._may_learn(report.target),
         )
-        self._book.note_seen(report.target, report.orders)
+        self._book.raise_min_count(report.target, report.orders)
         if report.target.process != target.process:
             log.info(
                 "planner: another process answered",
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -169,7 +169,7 @@
         record.count = record.least_count = orders
         return True
 
-    def note_seen(self, target: Target, orders: int) -> None:
+    def raise_min_count(self, target: Target, orders: int) -> None:
         """Note a count that a process told beside: later ones may not be lower."""
         record = self._record(target)
         record.least_count = max(record.least_count, orders)
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -79,9 +79,9 @@
 def test_a_count_that_a_probe_told_makes_older_ones_out_of_date():
     book = OrderBook()
     book.record_report(FIRST, 4, now=NOW)
-    book.note_seen(FIRST, 4)
+    book.raise_min_count(FIRST, 4)
     assert book.count(FIRST) == 4
-    book.note_seen(FIRST, 6)
+    book.raise_min_count(FIRST, 6)
     assert book.count(FIRST) is None
     book.record_begun(join_of(FIRST), expected=4, is_sure=True)
     assert book.count(FIRST) is None
