--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -468,22 +468,22 @@
                     self._book.record_begun(step, expected=expected, is_sure=began)
                 self._note_taken(step)
             case OrderFenced():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
                 self._spawn(self._check_lease())
             case OrderUnfit() if isinstance(step, Stage):
                 # It loads already, by an order of an earlier planner.
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._book.end(target)
             case OrderUnfit():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
             case OrderMisdirected():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
                 self._probes.note_replaced(target)
             case OrderLost():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
                 self._probes.investigate(target)
 
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -477,7 +477,7 @@
     """
     rig = Rig(free("a"), free("b"))
     ready = await formed(rig)
-    rig.planner._book.doubt_count(ready[0])
+    rig.planner._book.invalidate_count(ready[0])
     rig.targets.reports[ready[0].id] = EngineReport(orders=1, target=ready[0])
     answer, ask = asyncio.Event(), rig.targets.report
 
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -189,7 +189,7 @@
         if is_sure:
             record.least_count = max(record.least_count, expected + 1)
 
-    def doubt_count(self, target: Target) -> None:
+    def invalidate_count(self, target: Target) -> None:
         """Have the process asked before its next order."""
         self._record(target).count = None
 
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -68,7 +68,7 @@
     Cause: the count fell back; that of another process may.
     """
     book = book_of_first()
-    book.doubt_count(FIRST)
+    book.invalidate_count(FIRST)
     assert not book.record_report(FIRST, 4, now=NOW)
     assert book.count(FIRST) is None
     assert book.record_report(FIRST, 5, now=NOW)
@@ -148,7 +148,7 @@
     book.record_report(target, 4, now=NOW)
     book.record_begun(join, expected=4, is_sure=True)
     book.record_taken(join, NOW)
-    book.doubt_count(target)
+    book.invalidate_count(target)
     assert not book.record_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
     assert book.record_report(target, 0, now=NOW + 1.1 * REPORT_LAG_SECONDS)
     assert book.count(target) == 0
