--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -506,7 +506,7 @@
     def _give_back(self, step: Step) -> None:
         """Free the target for another order after a moment."""
         if self._is_present(step.target):
-            self._book.give_back(step, self._clock.now())
+            self._book.release_later(step, self._clock.now())
 
     async def _check_lease(self) -> None:
         if self._leadership.age > LEASE_CHECK_SECONDS:
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -104,7 +104,7 @@
         if is_load(step):
             record.load = Load(model=step.model, at=now)
 
-    def give_back(self, step: Step, now: float) -> None:
+    def release_later(self, step: Step, now: float) -> None:
         """Free the process for another order after a moment."""
         record = self._record(step.target)
         record.pending = Pending(step=step, until=now + AGAIN_SECONDS)
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -130,7 +130,7 @@
     stage = Stage(target=FIRST, model="m")
     book.begin(stage, NOW)
     assert book.loading == {"a": "m"}
-    book.give_back(stage, NOW)
+    book.release_later(stage, NOW)
     assert book.loading == {}
     assert settled(book, FIRST, now=NOW + AGAIN_SECONDS).is_busy(FIRST)
     assert not settled(book, FIRST, now=NOW + AGAIN_SECONDS + 0.1).is_busy(FIRST)
