--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -272,7 +272,7 @@
         """Return a target as answers and orders show it before the list does."""
         if self._probes.is_leaving(target):
             return replace(target, draining=True)
-        return self._book.as_left(self._processes.present(target))
+        return self._book.without_left_group(self._processes.present(target))
 
     @property
     def _present(self) -> dict[str, Target]:
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -134,7 +134,7 @@
         record = self._records.get(target.process)
         return record.joined.key if record and record.joined else None
 
-    def as_left(self, target: Target) -> Target:
+    def without_left_group(self, target: Target) -> Target:
         """Return a target without the group that it left before the list shows it."""
         record, member = self._records.get(target.process), target.membership
         if record is None or member is None:
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -106,13 +106,13 @@
     book = book_of_first()
     place = Membership(group="g", epoch=1, rank=0, phase=GroupPhase.READY)
     shown = replace(FIRST, membership=place)
-    assert book.as_left(shown) == shown
+    assert book.without_left_group(shown) == shown
     book.record_taken(Leave(target=FIRST, group="g", epoch=1), NOW)
-    assert book.as_left(shown).membership is None
+    assert book.without_left_group(shown).membership is None
     assert book.joined(FIRST) is None
     assert not book.is_busy(FIRST)
     again = replace(shown, born=SECOND.born)
-    assert book.as_left(again) == again
+    assert book.without_left_group(again) == again
 
 
 def test_an_order_is_under_way_until_it_shows_or_its_time_is_over():
