--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -500,7 +500,7 @@
 
     def _may_learn(self, target: Target) -> bool:
         """Tell whether a report is the present process's and shows its last order."""
-        is_current = self._book.may_show(target, self._clock.now())
+        is_current = self._book.shows_last_order(target, self._clock.now())
         return is_current and self._is_present(target)
 
     def _give_back(self, step: Step) -> None:
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -143,7 +143,7 @@
             return target
         return replace(target, membership=None)
 
-    def may_show(self, target: Target, now: float) -> bool:
+    def shows_last_order(self, target: Target, now: float) -> bool:
         """Tell whether a process's report surely shows its last order."""
         record = self._records.get(target.process)
         return record is None or now - record.ordered_at > REPORT_LAG_SECONDS
@@ -163,7 +163,7 @@
         targets tell no start, so does one whose report must show the last order.
         """
         record = self._record(target)
-        may_be_another = target.born is None and self.may_show(target, now)
+        may_be_another = target.born is None and self.shows_last_order(target, now)
         if orders < record.least_count and not may_be_another:
             return False
         record.count = record.least_count = orders
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -57,7 +57,7 @@
     settled(book, SECOND)
     assert (book.busy, book.loading) == (frozenset(), {})
     assert (book.count(SECOND), book.joined(SECOND)) == (None, None)
-    assert book.may_show(SECOND, NOW)
+    assert book.shows_last_order(SECOND, NOW)
     assert (book.count(FIRST), book.joined(FIRST)) == (None, None)
 
 
