--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -50,7 +50,7 @@
     Stage,
     Step,
 )
-from mallowpond.state.order_book import OrderBook, is_load
+from mallowpond.state.order_book import OrderBook, loads_weights
 from mallowpond.state.processes import PresentProcesses, has_restarted
 
 log = structlog.get_logger()
@@ -360,7 +360,7 @@
         if isinstance(step, Leave | Close):
             self._watch.retire((step.group, step.epoch))
             self._peers.tell_suspicion((step.group, step.epoch), closing=True)
-        if is_load(step):
+        if loads_weights(step):
             self._loads_begun.append(now)
         self._spawn(self._order(step, self._leadership.fence))
 
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -101,7 +101,7 @@
         """Note an order that is about to be given."""
         record = self._record(step.target)
         record.pending = Pending(step=step, until=now + TURN_SECONDS)
-        if is_load(step):
+        if loads_weights(step):
             record.load = Load(model=step.model, at=now)
 
     def release_later(self, step: Step, now: float) -> None:
@@ -212,7 +212,7 @@
         return self._records.setdefault(target.process, _Record())
 
 
-def is_load(step: Step) -> bool:
+def loads_weights(step: Step) -> bool:
     """Tell whether an order has weights loaded from their store."""
     return isinstance(step, Stage) or (isinstance(step, Join) and step.loads)
 
