--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -61,14 +61,14 @@
         self._hosts = parts.hosts
         self._quarantine = parts.quarantine
         self._intake = parts.intake
-        self.placing = StreamPlacement(parts=parts)
+        self.placement = StreamPlacement(parts=parts)
         self.active: set[ActiveStream] = set()
         self._serving = 0
         # Called when a send has ended, whatever came of it.
         self.on_end: list[Callable[[], None]] = []
         # Set while streams are served or wait here.
         self.has_streams = asyncio.Event()
-        parts.directory.on_change.append(self.placing.wake_all)
+        parts.directory.on_change.append(self.placement.wake_all)
 
     # -- one stream ----------------------------------------------------------
 
@@ -86,11 +86,11 @@
     async def _serve(self, work: StreamWork) -> ServeOutcome:
         work.started_at = self._clock.now()
         work.last_event = work.request.last_event
-        self.placing.note_shape(work)
+        self.placement.note_shape(work)
         self._budget(work.service).note_first(work.started_at)
         failed: FailedAnswer | None = None
         while True:
-            group = await self.placing.place(work)
+            group = await self.placement.place(work)
             if isinstance(group, Refusal):
                 return await self._end_unserved(work, group, failed)
             end = await self._send(work, group)
@@ -130,7 +130,7 @@
             work.not_run += 1
             work.sent_to.pop()
             if work.not_run > MAX_NOT_RUN:
-                return self.placing.refuse(Reason.NO_GROUP, NO_GROUP_RETRY_SECONDS)
+                return self.placement.refuse(Reason.NO_GROUP, NO_GROUP_RETRY_SECONDS)
         elif not work.route.resumable:
             return Refusal(status=502, reason=Reason.MAYBE_RUN)
         elif self._attempts(work) >= work.route.max_attempts:
@@ -165,7 +165,7 @@
 
     def may_move(self, stream: ActiveStream) -> bool:
         """Tell whether a stream could go on at another group now."""
-        return self.may_go_on(stream) and self.placing.choose(stream.work) is not None
+        return self.may_go_on(stream) and self.placement.choose(stream.work) is not None
 
     def _attempts(self, work: StreamWork) -> int:
         """Count the engines that may have run the request and have not ended."""
@@ -186,7 +186,7 @@
             return Refusal(status=502, reason=refusal.reason)
         if not work.sent_to and refusal.status != 503:
             # Every engine turned it away: the caller may come back, whatever it asked.
-            return self.placing.refuse(refusal.reason, NO_GROUP_RETRY_SECONDS)
+            return self.placement.refuse(refusal.reason, NO_GROUP_RETRY_SECONDS)
         return refusal
 
     # -- one send ------------------------------------------------------------
@@ -196,7 +196,7 @@
         now = self._clock.now()
         own = self._directory.loads.work(group.key)
         load = self._directory.loads.load_of(group, work.profile)
-        usual_delay = self.placing.delay(work.service, work.model.name).usual
+        usual_delay = self.placement.delay(work.service, work.model.name).usual
         stream = ActiveStream(
             work=work,
             group=group,
@@ -229,7 +229,7 @@
         )
         stream.task = asyncio.create_task(self._attempt(stream))
         self.active.add(stream)
-        self.placing.wake(work.model.name)
+        self.placement.wake(work.model.name)
         try:
             async with asyncio.timeout(max(0.001, work.deadline - now)):
                 return await stream.task
@@ -246,7 +246,7 @@
             own.running -= 1
             own.reading_tokens -= stream.reading
             work.progress.drop_rest()
-            self.placing.wake(work.model.name)
+            self.placement.wake(work.model.name)
             for notify in self.on_end:
                 notify()
 
@@ -336,14 +336,14 @@
             work.longest_gap = max(work.longest_gap, now - work.last_event_at)
         work.last_event_at = now
         if stream.last_event_at is None:
-            self.placing.delay(work.service, work.model.name).note(
+            self.placement.delay(work.service, work.model.name).note(
                 observed=now - stream.sent_at,
                 predicted=stream.predicted,
                 slowness=stream.slowness,
             )
             own.reading_tokens -= stream.reading
             stream.reading = 0.0
-            self.placing.wake(work.model.name)
+            self.placement.wake(work.model.name)
         else:
             gap = now - stream.last_event_at
             self._metrics.gap.observe(gap)
