--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -303,7 +303,7 @@
     def _note_members(self) -> None:
         """Note the processes that the list shows in each group."""
         self._has_news = True
-        self._processes.settle(self._directory.targets, now=self._clock.now())
+        self._processes.reconcile(self._directory.targets, now=self._clock.now())
         groups = self._directory.groups
         known = groups.keys() | self._formations.keys()
         self._seen = {key: seen for key, seen in self._seen.items() if key in known}
@@ -319,7 +319,7 @@
         targets, groups = self._directory.targets, self._directory.groups
         present = self._present
         # While the list is away it shows nothing of what was ordered since.
-        self._book.settle(present, now=now, shows_orders=self._directory.is_settled)
+        self._book.reconcile(present, now=now, shows_orders=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
         self._leaving_since = {
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -195,7 +195,7 @@
 
     # -- what the list shows -------------------------------------------------
 
-    def settle(
+    def reconcile(
         self, targets: Mapping[str, Target], *, now: float, shows_orders: bool
     ) -> None:
         """Drop what the list shows to be done, and all of processes that ended.
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -55,7 +55,7 @@
         """Return the groups in which a member answers that it does not stand."""
         return frozenset(self._displaced.values())
 
-    def settle(self, targets: Mapping[str, Target], *, now: float) -> None:
+    def reconcile(self, targets: Mapping[str, Target], *, now: float) -> None:
         """Note where the list shows each target; forget those that it does not."""
         known = self._targets
         changed = {n: t for n, t in targets.items() if known.get(n) is not t}
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -29,7 +29,7 @@
 
 def settled(book, *targets, now=NOW):
     """Show these targets to the book."""
-    book.settle({t.id: t for t in targets}, now=now, shows_orders=True)
+    book.reconcile({t.id: t for t in targets}, now=now, shows_orders=True)
     return book
 
 
--- a/mallowpond/state/tests/test_processes.py
+++ b/mallowpond/state/tests/test_processes.py
@@ -80,7 +80,7 @@
 def test_targets_that_are_gone_are_forgotten():
     processes = PresentProcesses()
     heard(processes, SECOND)
-    processes.settle({}, now=1.0)
+    processes.reconcile({}, now=1.0)
     assert processes.present(FIRST) == FIRST
 
 
