--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -155,7 +155,7 @@
             find_model=lambda service, model: (PROFILE, PROFILE.models[0]),
             is_dispatcher=lambda: fleet.dispatching_host() == self.name,
         )
-        asking = DispatcherClient(
+        dispatcher_client = DispatcherClient(
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
@@ -163,11 +163,11 @@
             clock=clock,
             dispatching_host=fleet.dispatching_host,
         )
-        self.asking = asking
+        self.dispatcher_client = dispatcher_client
         if fleet.scenario.dispatched:
-            self.streams.placement.asking = asking
+            self.streams.placement.dispatcher_client = dispatcher_client
             self.streams.on_end.append(self.tell_work)
-            asking.on_unused.append(self.tell_work)
+            dispatcher_client.on_unused.append(self.tell_work)
             self.datagrams.on_work.append(self._hear_work)
 
     def tell_work(self) -> None:
@@ -179,7 +179,9 @@
         loads = self.directory.loads.own_loads()
         self.directory.loads.note_told(loads)
         work = Work(
-            node=self.name, loads=heartbeat_loads(loads), granted=self.asking.granted
+            node=self.name,
+            loads=heartbeat_loads(loads),
+            granted=self.dispatcher_client.granted,
         )
         self.datagrams.tell_nodes(work, (host,))
 
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -149,7 +149,7 @@
                 for other in self.hosts:
                     if other is not host:
                         other.directory.loads.note_peer(
-                            host.name, loads, host.asking.granted
+                            host.name, loads, host.dispatcher_client.granted
                         )
             self._wake()
             await asyncio.sleep(HEARTBEAT_SECONDS)
@@ -164,7 +164,7 @@
                     loads = host.directory.loads.own_loads()
                     host.directory.loads.note_told(loads)
                     reader.directory.loads.note_peer(
-                        host.name, loads, host.asking.granted
+                        host.name, loads, host.dispatcher_client.granted
                     )
                 await asyncio.sleep(DIGEST_SECONDS / TELLING_TURNS)
             if self.hosts:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -197,7 +197,7 @@
             find_model=self._find_model,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
         )
-        self.asking = DispatcherClient(
+        self.dispatcher_client = DispatcherClient(
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
@@ -205,10 +205,10 @@
             clock=clock,
             dispatching_host=lambda: self.readers.dispatcher,
         )
-        self.streams.placement.asking = self.asking
+        self.streams.placement.dispatcher_client = self.dispatcher_client
         self.streams.on_end.append(self._tell_end)
-        self.asking.on_unused.append(self._tell_end)
-        self.readers.granted = lambda: self.asking.granted
+        self.dispatcher_client.on_unused.append(self._tell_end)
+        self.readers.granted = lambda: self.dispatcher_client.granted
         self.sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
@@ -369,7 +369,7 @@
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
             loads=heartbeat_loads(self.directory.loads.own_loads()),
-            granted=self.asking.granted,
+            granted=self.dispatcher_client.granted,
         )
 
     def _find_model(self, service: str, model: str) -> ServedModel | None:
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -62,7 +62,7 @@
             rng=parts.rng,
         )
         # Without it this host goes by news of the others alone.
-        self.asking: DispatcherClient | None = None
+        self.dispatcher_client: DispatcherClient | None = None
         self.ends_at = inf
 
     def note_shape(self, work: StreamWork) -> None:
@@ -87,8 +87,8 @@
         """Let no stream wait for a place any longer."""
         for line in self._lines.values():
             line.end()
-        if self.asking is not None:
-            self.asking.end_waits()
+        if self.dispatcher_client is not None:
+            self.dispatcher_client.end_waits()
 
     async def place(self, work: StreamWork) -> Group | Refusal:
         """Return the group that a stream goes to, or why it goes to none."""
@@ -165,14 +165,14 @@
 
     def _give_back(self) -> None:
         """Tell that a place which was given is not used."""
-        if self.asking is not None:
-            self.asking.give_back()
+        if self.dispatcher_client is not None:
+            self.dispatcher_client.give_back()
 
     async def _ask(self, work: StreamWork) -> PlaceOutcome | None:
         """Ask the host that counts all places, if there is one."""
         now = self._clock.now()
         patience = min(self._patience(work), work.deadline - now)
-        if self.asking is None or patience <= LEAST_SECONDS:
+        if self.dispatcher_client is None or patience <= LEAST_SECONDS:
             return None
         claim = Claim(
             priority=work.priority,
@@ -183,7 +183,7 @@
         )
         self._metrics.waiting.inc()
         try:
-            return await self.asking.ask(self._seek(work), claim)
+            return await self.dispatcher_client.ask(self._seek(work), claim)
         finally:
             self._metrics.waiting.dec()
             work.waited += self._clock.now() - now
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -61,7 +61,7 @@
         self.wire_a, self.wire_b = Wire("a"), Wire("b")
         self.wire_a.other, self.wire_b.other = self.wire_b, self.wire_a
         self.dispatcher, self.asking_b = self._host(rig_b, self.wire_b)
-        _, self.asking = self._host(rig_a, self.wire_a)
+        _, self.dispatcher_client = self._host(rig_a, self.wire_a)
 
     def _host(self, rig, wire):
         dispatcher = Dispatcher(
@@ -73,7 +73,7 @@
             find_model=lambda service, model: (PROFILE, MODEL),
             is_dispatcher=lambda: wire.name == "b",
         )
-        asking = DispatcherClient(
+        dispatcher_client = DispatcherClient(
             name=wire.name,
             peers=wire,
             directory=rig.directory,
@@ -81,13 +81,17 @@
             clock=rig.clock,
             dispatching_host=lambda: "b",
         )
-        rig.service.placement.asking = asking
-        return dispatcher, asking
+        rig.service.placement.dispatcher_client = dispatcher_client
+        return dispatcher, dispatcher_client
 
     def tell_work(self):
         """Let `b` hear of the streams of `a`."""
         loads = self.rig_a.directory.loads.own_loads()
-        work = Work(node="a", loads=heartbeat_loads(loads), granted=self.asking.granted)
+        work = Work(
+            node="a",
+            loads=heartbeat_loads(loads),
+            granted=self.dispatcher_client.granted,
+        )
         self.rig_b.directory.loads.note_peer("a", loads_of(work), work.granted)
         self.dispatcher.wake()
 
@@ -163,13 +167,13 @@
     site.wire_a.is_cut = False
     await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     assert len(site.wire_a.sent) == 2
-    assert site.asking.granted == 1
+    assert site.dispatcher_client.granted == 1
 
 
 async def test_a_place_that_nobody_takes_is_free_again():
     """Guard against places that are lost with the callers who left."""
     site = await site_of("a")
-    site.asking.on_unused.append(site.tell_work)
+    site.dispatcher_client.on_unused.append(site.tell_work)
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
     site.rig_b.directory.loads.note_peer("c", full)
     serving = asyncio.create_task(
@@ -182,7 +186,7 @@
     site.dispatcher.wake()
     given = site.wire_b.sent[-1]
     assert given.verdict is PlaceVerdict.GRANTED
-    assert site.asking.granted == given.granted
+    assert site.dispatcher_client.granted == given.granted
     assert site.rig_b.directory.loads.load(GROUP).running == 0
 
 
