--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -51,7 +51,7 @@
     Step,
 )
 from mallowpond.state.order_book import OrderBook, loads_weights
-from mallowpond.state.processes import PresentProcesses, has_restarted
+from mallowpond.state.processes import CurrentProcesses, has_restarted
 
 log = structlog.get_logger()
 
@@ -117,7 +117,7 @@
         # at its start would take a group for whole whose member has started again.
         self._seen: dict[GroupKey, set[Process]] = {}
         self._noted: dict[GroupKey, Group] = {}
-        self._processes = PresentProcesses()
+        self._processes = CurrentProcesses()
         self._gate = CallGate(clock=clock)
         self._probes = TargetProbes(
             configuration=configuration,
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -18,7 +18,7 @@
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.observer_doubt import ObserverDoubt
 from mallowpond.state.order_book import OrderBook
-from mallowpond.state.processes import PresentProcesses
+from mallowpond.state.processes import CurrentProcesses
 
 log = structlog.get_logger()
 
@@ -43,7 +43,7 @@
         directory: Directory,
         targets: Targets,
         peers: PeerNetwork,
-        processes: PresentProcesses,
+        processes: CurrentProcesses,
         book: OrderBook,
         clock: Clock,
         gate: CallGate,
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -41,7 +41,7 @@
     since: float
 
 
-class PresentProcesses:
+class CurrentProcesses:
     """Know the present process of each target, by direct answers and the list."""
 
     def __init__(self) -> None:
--- a/mallowpond/state/tests/test_processes.py
+++ b/mallowpond/state/tests/test_processes.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from mallowpond.state.fleet import GroupPhase, Membership, Target
-from mallowpond.state.processes import PresentProcesses, has_restarted
+from mallowpond.state.processes import CurrentProcesses, has_restarted
 
 PLACE = Membership(group="g", epoch=1, rank=0, phase=GroupPhase.OPEN)
 # The clock of the host was set back between the two starts.
@@ -27,7 +27,7 @@
 
 
 def test_an_answer_of_another_process_ends_the_listed_one():
-    processes = PresentProcesses()
+    processes = CurrentProcesses()
     heard(processes, FIRST)
     assert processes.present(FIRST) == FIRST
     heard(processes, SECOND, asked_at=2.0)
@@ -44,7 +44,7 @@
     Sequence: two questions are under way; the answer to the first comes last.
     Cause: answers were taken in the order in which they came.
     """
-    processes = PresentProcesses()
+    processes = CurrentProcesses()
     heard(processes, THIRD, asked_at=2.0)
     heard(processes, SECOND, asked_at=1.0)
     assert processes.present(FIRST).process == THIRD.process
@@ -57,28 +57,28 @@
     answers, and nobody knows which of the two is later.
     Cause: the answer was held against what the list showed afterwards.
     """
-    processes = PresentProcesses()
+    processes = CurrentProcesses()
     heard(processes, THIRD, asked=FIRST)
     assert processes.present(SECOND) == SECOND
     assert processes.present(FIRST).process == THIRD.process
 
 
 def test_the_list_decides_when_it_shows_a_third_process_later():
-    processes = PresentProcesses()
+    processes = CurrentProcesses()
     heard(processes, SECOND)
     assert processes.present(THIRD) == THIRD
     assert processes.present(FIRST).process == SECOND.process
 
 
 def test_a_process_that_answers_again_later_is_present():
-    processes = PresentProcesses()
+    processes = CurrentProcesses()
     heard(processes, SECOND)
     heard(processes, FIRST, asked_at=2.0)
     assert processes.present(FIRST) == FIRST
 
 
 def test_targets_that_are_gone_are_forgotten():
-    processes = PresentProcesses()
+    processes = CurrentProcesses()
     heard(processes, SECOND)
     processes.reconcile({}, now=1.0)
     assert processes.present(FIRST) == FIRST
