--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -150,7 +150,7 @@
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
-            choice=self.streams.placement.choice,
+            selector=self.streams.placement.selector,
             clock=clock,
             find_model=lambda service, model: (PROFILE, PROFILE.models[0]),
             is_dispatcher=lambda: fleet.dispatching_host() == self.name,
--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -49,7 +49,7 @@
         name: str,
         peers: PeerNetwork,
         directory: Directory,
-        choice: GroupSelector,
+        selector: GroupSelector,
         clock: Clock,
         find_model: Callable[[str, str], ServedModel | None],
         is_dispatcher: Callable[[], bool],
@@ -57,7 +57,7 @@
         self._name = name
         self._peers = peers
         self._directory = directory
-        self._choice = choice
+        self._choice = selector
         self._clock = clock
         self._find_model = find_model
         self._is_dispatcher = is_dispatcher
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -192,7 +192,7 @@
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
-            choice=self.streams.placement.choice,
+            selector=self.streams.placement.selector,
             clock=clock,
             find_model=self._find_model,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -54,7 +54,7 @@
         self._intake = parts.intake
         self._lines: dict[str, WaitQueue] = {}
         self._shapes: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
-        self.choice = GroupSelector(
+        self.selector = GroupSelector(
             directory=parts.directory,
             quarantine=parts.quarantine,
             budget=parts.budget,
@@ -81,7 +81,7 @@
 
     def delay(self, service: str, model: str) -> FirstEventDelay:
         """Return what was learnt of the first events of a model."""
-        return self.choice.delay(service, model)
+        return self.selector.delay(service, model)
 
     def end_waits(self) -> None:
         """Let no stream wait for a place any longer."""
@@ -125,7 +125,7 @@
 
     def choose(self, work: StreamWork) -> Group | None:
         """Return the group with a place for a stream now, None if there is none."""
-        return self.choice.by_news(self._seek(work))
+        return self.selector.by_news(self._seek(work))
 
     def _seek(self, work: StreamWork) -> Seek:
         return Seek(
@@ -199,7 +199,7 @@
             ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
             places=len(groups) * work.profile.slots,
             # Every host gets its part of the places that free.
-            service_seconds=self.choice.hold_seconds(work.profile, work.model)
+            service_seconds=self.selector.hold_seconds(work.profile, work.model)
             * self._hosts(),
         )
         patience = min(self._patience(work), work.deadline - now)
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -68,7 +68,7 @@
             name=wire.name,
             peers=wire,
             directory=rig.directory,
-            choice=rig.service.placement.choice,
+            selector=rig.service.placement.selector,
             clock=rig.clock,
             find_model=lambda service, model: (PROFILE, MODEL),
             is_dispatcher=lambda: wire.name == "b",
