--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -272,13 +272,13 @@
         """Return a target as answers and orders show it before the list does."""
         if self._probes.is_leaving(target):
             return replace(target, draining=True)
-        return self._book.without_left_group(self._processes.present(target))
+        return self._book.without_left_group(self._processes.current(target))
 
     @property
     def _present(self) -> dict[str, Target]:
         """Return every listed target, as the process that it runs now."""
         targets = self._directory.targets
-        return {t: self._processes.present(listed) for t, listed in targets.items()}
+        return {t: self._processes.current(listed) for t, listed in targets.items()}
 
     def _remember(self, step: Join) -> None:
         self._next_epoch = max(self._next_epoch, step.epoch + 1)
@@ -297,8 +297,8 @@
                 members=step.members,
                 ordered_at=self._clock.now(),
             )
-            present = self._present
-            self._seen[key] = {present[member].process for member in step.members}
+            current = self._present
+            self._seen[key] = {current[member].process for member in step.members}
 
     def _note_members(self) -> None:
         """Note the processes that the list shows in each group."""
@@ -317,9 +317,9 @@
         """Drop what the list shows to be done, and what is out of date."""
         now = self._clock.now()
         targets, groups = self._directory.targets, self._directory.groups
-        present = self._present
+        current = self._present
         # While the list is away it shows nothing of what was ordered since.
-        self._book.reconcile(present, now=now, shows_orders=self._directory.is_settled)
+        self._book.reconcile(current, now=now, shows_orders=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
         self._leaving_since = {
@@ -336,16 +336,16 @@
             if key in groups or now - formation.ordered_at < self._stall_seconds
         }
         self._closed &= groups.keys()
-        self._note_ended(present)
+        self._note_ended(current)
         self._loads_begun = [at for at in self._loads_begun if now - at < 10.0]
         self._probes.look()
         if self._directory.is_lost:
             self._ask_pending(now)
 
-    def _note_ended(self, present: dict[str, Target]) -> None:
+    def _note_ended(self, current: dict[str, Target]) -> None:
         """Log each group that ends by the restart of a member, once."""
         groups = self._directory.groups
-        ended = {k for k, seen in self._seen.items() if has_restarted(seen, present)}
+        ended = {k for k, seen in self._seen.items() if has_restarted(seen, current)}
         for name, epoch in sorted(ended & groups.keys() - self._ended):
             log.info("planner: member started again", group=name, epoch=epoch)
         self._ended = ended & groups.keys()
@@ -402,8 +402,8 @@
         seen = self._seen.get(key, ())
         targets = self._directory.targets
         listed = [targets[p.id] for p in seen if p.id in targets]
-        present = {t.id: self._processes.present(t) for t in listed}
-        return has_restarted(seen, present)
+        current = {t.id: self._processes.current(t) for t in listed}
+        return has_restarted(seen, current)
 
     def _stands_elsewhere(self, step: Join) -> bool:
         """Tell whether a target has joined another group here and not left it.
@@ -443,7 +443,7 @@
         listed = self._directory.targets.get(target.id)
         if listed is None:
             return False
-        return self._processes.present(listed).process == target.process
+        return self._processes.current(listed).process == target.process
 
     def _note(self, step: Step, end: OrderEnd, *, expected: int) -> None:
         target = step.target
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -236,7 +236,7 @@
             # streams would be turned away for as long as it was vouched for.
             if not await self.probe(target):
                 return
-            if self._processes.present(target).group_key != target.group_key:
+            if self._processes.current(target).group_key != target.group_key:
                 return
             self._directory.vouch(target.id)
             self._peers.tell_vouch(target.id)
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -163,11 +163,11 @@
         if not isinstance(step, Open):
             return
         group = self.directory.groups[(step.group, step.epoch)]
-        present = [self.planner._processes.present(m) for m in group.members]
+        current = [self.planner._processes.current(m) for m in group.members]
         ready = [
             member.membership is not None
             and member.membership.phase is GroupPhase.READY
-            for member in present
+            for member in current
         ]
         self._check(ready == [True, True], step, "not whole")
 
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -129,7 +129,7 @@
         elif asked_at - known.since > SETTLED_SECONDS:
             self._displaced[known.process] = known.group_key
 
-    def present(self, target: Target) -> Target:
+    def current(self, target: Target) -> Target:
         """Return a listed target, or what is known of the process that follows it.
 
         That one gets no orders before the list shows it: what came of them would show
@@ -146,6 +146,6 @@
         )
 
 
-def has_restarted(seen: Iterable[Process], present: Mapping[str, Target]) -> bool:
+def has_restarted(seen: Iterable[Process], current: Mapping[str, Target]) -> bool:
     """Tell whether the target of one of these processes runs another one now."""
-    return any(p.id in present and present[p.id].process != p for p in seen)
+    return any(p.id in current and current[p.id].process != p for p in seen)
--- a/mallowpond/state/tests/test_processes.py
+++ b/mallowpond/state/tests/test_processes.py
@@ -29,13 +29,13 @@
 def test_an_answer_of_another_process_ends_the_listed_one():
     processes = CurrentProcesses()
     heard(processes, FIRST)
-    assert processes.present(FIRST) == FIRST
+    assert processes.current(FIRST) == FIRST
     heard(processes, SECOND, asked_at=2.0)
-    present = processes.present(FIRST)
-    assert present.process == SECOND.process
-    assert present.membership is None
-    assert present.lapsed
-    assert processes.present(SECOND) == SECOND
+    current = processes.current(FIRST)
+    assert current.process == SECOND.process
+    assert current.membership is None
+    assert current.lapsed
+    assert processes.current(SECOND) == SECOND
 
 
 def test_an_answer_that_was_asked_for_earlier_changes_nothing():
@@ -47,7 +47,7 @@
     processes = CurrentProcesses()
     heard(processes, THIRD, asked_at=2.0)
     heard(processes, SECOND, asked_at=1.0)
-    assert processes.present(FIRST).process == THIRD.process
+    assert processes.current(FIRST).process == THIRD.process
 
 
 def test_an_answer_ends_only_the_process_that_was_asked():
@@ -59,29 +59,29 @@
     """
     processes = CurrentProcesses()
     heard(processes, THIRD, asked=FIRST)
-    assert processes.present(SECOND) == SECOND
-    assert processes.present(FIRST).process == THIRD.process
+    assert processes.current(SECOND) == SECOND
+    assert processes.current(FIRST).process == THIRD.process
 
 
 def test_the_list_decides_when_it_shows_a_third_process_later():
     processes = CurrentProcesses()
     heard(processes, SECOND)
-    assert processes.present(THIRD) == THIRD
-    assert processes.present(FIRST).process == SECOND.process
+    assert processes.current(THIRD) == THIRD
+    assert processes.current(FIRST).process == SECOND.process
 
 
 def test_a_process_that_answers_again_later_is_present():
     processes = CurrentProcesses()
     heard(processes, SECOND)
     heard(processes, FIRST, asked_at=2.0)
-    assert processes.present(FIRST) == FIRST
+    assert processes.current(FIRST) == FIRST
 
 
 def test_targets_that_are_gone_are_forgotten():
     processes = CurrentProcesses()
     heard(processes, SECOND)
     processes.reconcile({}, now=1.0)
-    assert processes.present(FIRST) == FIRST
+    assert processes.current(FIRST) == FIRST
 
 
 def test_a_group_has_restarted_when_one_seen_in_it_is_another_process_now():
