--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -177,7 +177,7 @@
             self.dispatcher.wake()
             return
         loads = self.directory.loads.own_loads()
-        self.directory.loads.note_told(loads)
+        self.directory.loads.record_published(loads)
         work = Work(
             node=self.name,
             loads=heartbeat_loads(loads),
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -162,7 +162,7 @@
                 reader = hosts[0] if hosts else None
                 for host in hosts[1 + turn :: TELLING_TURNS]:
                     loads = host.directory.loads.own_loads()
-                    host.directory.loads.note_told(loads)
+                    host.directory.loads.record_published(loads)
                     reader.directory.loads.note_peer(
                         host.name, loads, host.dispatcher_client.granted
                     )
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -120,7 +120,7 @@
         loads = {key: self.load(key) for key in groups}
         return {k: (v.running, v.reading_tokens) for k, v in loads.items() if v.running}
 
-    def note_told(self, loads: LoadsByGroup) -> None:
+    def record_published(self, loads: LoadsByGroup) -> None:
         """Note which of this host's work is part of the readers' sums."""
         self._told = loads
 
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -218,7 +218,7 @@
         if loads == self._told_work and self._work_turn % UNCHANGED_WORK_TURNS:
             return
         self._told_work = loads
-        self._directory.loads.note_told(loads)
+        self._directory.loads.record_published(loads)
         self._send_work(loads, {*self.names, self.dispatcher})
 
     def tell_dispatcher(self) -> None:
@@ -229,7 +229,7 @@
         loads = self._directory.loads.own_loads()
         if self._peers.is_large and host in self.names[:1]:
             self._told_work = loads
-            self._directory.loads.note_told(loads)
+            self._directory.loads.record_published(loads)
         self._send_work(loads, {host})
 
     def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
