--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -147,7 +147,7 @@
         self._gate.note(answered=not isinstance(report, Unavailable))
         if isinstance(report, Unavailable):
             return report
-        self._processes.hear(
+        self._processes.record_answer(
             asked=target,
             answered=report.target,
             asked_at=asked_at,
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -90,7 +90,7 @@
             return known
         return _Listed(process=target.process, group_key=target.group_key, since=now)
 
-    def hear(
+    def record_answer(
         self,
         *,
         asked: Target,
--- a/mallowpond/state/tests/test_processes.py
+++ b/mallowpond/state/tests/test_processes.py
@@ -23,7 +23,7 @@
 
 def heard(processes, answered, *, asked=FIRST, asked_at=1.0):
     """Take an answer."""
-    processes.hear(asked=asked, answered=answered, asked_at=asked_at)
+    processes.record_answer(asked=asked, answered=answered, asked_at=asked_at)
 
 
 def test_an_answer_of_another_process_ends_the_listed_one():
