--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -87,7 +87,7 @@
         self._ledger.merge(record, self._clock.now())
         self.review()
         for request in self._held - before:
-            if request == record.request and record.is_enough:
+            if request == record.request and record.has_enough_evidence:
                 # Whoever told it has decided it, and tells everybody.
                 continue
             for notify in self.on_decided:
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -59,7 +59,7 @@
     age: float = 0.0
 
     @property
-    def is_enough(self) -> bool:
+    def has_enough_evidence(self) -> bool:
         """Tell whether this record by itself may hold the request back."""
         evidence = [ending for ending in self.endings if not ending.refuted]
         return len(evidence) >= ENDINGS_TO_HOLD
