--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -187,5 +187,5 @@
 
     def _hear_work(self, work: Work) -> None:
         loads = self.directory.loads
-        loads.note_peer(work.node, loads_of(work), work.granted)
+        loads.record_peer_loads(work.node, loads_of(work), work.granted)
         self.dispatcher.wake()
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -148,7 +148,7 @@
                 loads = host.directory.loads.own_loads()
                 for other in self.hosts:
                     if other is not host:
-                        other.directory.loads.note_peer(
+                        other.directory.loads.record_peer_loads(
                             host.name, loads, host.dispatcher_client.granted
                         )
             self._wake()
@@ -163,7 +163,7 @@
                 for host in hosts[1 + turn :: TELLING_TURNS]:
                     loads = host.directory.loads.own_loads()
                     host.directory.loads.record_published(loads)
-                    reader.directory.loads.note_peer(
+                    reader.directory.loads.record_peer_loads(
                         host.name, loads, host.dispatcher_client.granted
                     )
                 await asyncio.sleep(DIGEST_SECONDS / TELLING_TURNS)
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -124,7 +124,9 @@
         """Note which of this host's work is part of the readers' sums."""
         self._told = loads
 
-    def note_peer(self, name: str, loads: LoadsByGroup, granted: int = 0) -> None:
+    def record_peer_loads(
+        self, name: str, loads: LoadsByGroup, granted: int = 0
+    ) -> None:
         """Note a peer's work by group, with the places up to number `granted`."""
         self._peers.note(name, loads, granted, self._clock.now())
 
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -293,7 +293,7 @@
             notify()
 
     def _note_work(self, work: Work) -> None:
-        self._directory.loads.note_peer(work.node, loads_of(work), work.granted)
+        self._directory.loads.record_peer_loads(work.node, loads_of(work), work.granted)
 
     # -- the configuration ---------------------------------------------------
 
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -395,7 +395,7 @@
 
     def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
-        self.directory.loads.note_peer(
+        self.directory.loads.record_peer_loads(
             heartbeat.node, loads_of(heartbeat), heartbeat.granted
         )
         # Places that other hosts' streams freed are known only from here: without
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -114,7 +114,7 @@
 
 async def test_loads_of_silent_peers_are_forgotten():
     directory, _, clock = await directory_of(listing(*open_group("g")))
-    directory.loads.note_peer("n", {("g", 1): (3, 500.0)})
+    directory.loads.record_peer_loads("n", {("g", 1): (3, 500.0)})
     assert directory.loads.load(("g", 1)).running == 3
     clock.time += 5.0
     assert directory.loads.load(("g", 1)).running == 0
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -92,7 +92,7 @@
             loads=heartbeat_loads(loads),
             granted=self.dispatcher_client.granted,
         )
-        self.rig_b.directory.loads.note_peer("a", loads_of(work), work.granted)
+        self.rig_b.directory.loads.record_peer_loads("a", loads_of(work), work.granted)
         self.dispatcher.wake()
 
 
@@ -142,13 +142,13 @@
     site = await site_of("a")
     site.rig_a.targets.script("a0", answer(1))
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
-    site.rig_b.directory.loads.note_peer("c", full)
+    site.rig_b.directory.loads.record_peer_loads("c", full)
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
     await settle()
     assert site.rig_a.targets.sends == []
-    site.rig_b.directory.loads.note_peer("c", {})
+    site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
     assert await serving == Answered(status=200, target="a0")
 
@@ -175,14 +175,14 @@
     site = await site_of("a")
     site.dispatcher_client.on_unused.append(site.tell_work)
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
-    site.rig_b.directory.loads.note_peer("c", full)
+    site.rig_b.directory.loads.record_peer_loads("c", full)
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
     await settle()
     serving.cancel()
     await asyncio.gather(serving, return_exceptions=True)
-    site.rig_b.directory.loads.note_peer("c", {})
+    site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
     given = site.wire_b.sent[-1]
     assert given.verdict is PlaceVerdict.GRANTED
@@ -193,7 +193,7 @@
 async def test_who_cannot_be_placed_in_time_is_refused_at_once():
     """Guard against callers that wait for what the line says will not come."""
     site = await site_of("a")
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     waiting = []
     for _ in range(60):
         work = site.rig_a.work(FakeExchange())
@@ -214,7 +214,7 @@
 async def test_who_waited_in_vain_is_not_told_to_come_back_at_once(groups, reason):
     """Guard against callers whose only other try comes while nothing has changed."""
     site = await site_of(*groups)
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
     await settle()
@@ -253,7 +253,7 @@
 async def test_a_stopping_host_ends_the_waits_at_the_dispatcher_too():
     """Guard against requests that get no answer as their host ends."""
     site = await site_of("a")
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
@@ -272,10 +272,10 @@
     loads.note_grant("a", 1, GROUP, 100.0)
     loads.note_grant("a", 2, GROUP, 100.0)
     assert loads.load(GROUP).running == 2
-    loads.note_peer("a", {GROUP: (1, 50.0)}, 1)
+    loads.record_peer_loads("a", {GROUP: (1, 50.0)}, 1)
     assert loads.load(GROUP).running == 2
     assert loads.load(GROUP).reading_tokens == 150.0
-    loads.note_peer("a", {GROUP: (2, 0.0)}, 2)
+    loads.record_peer_loads("a", {GROUP: (2, 0.0)}, 2)
     assert loads.load(GROUP).running == 2
     assert loads.load(GROUP).reading_tokens == 0.0
 
@@ -287,7 +287,7 @@
     loads = GroupLoads(clock=clock)
     loads.note_grant("a", 1, GROUP, 100.0)
     if tells:
-        loads.note_peer("a", {GROUP: (1, 0.0)}, 1)
+        loads.record_peer_loads("a", {GROUP: (1, 0.0)}, 1)
     clock.time += max(GRANT_SECONDS, PEER_LOAD_SECONDS) + 0.1
     assert loads.load(GROUP).running == 0
 
@@ -297,12 +297,12 @@
     monkeypatch.setattr(dispatcher_client, "RENEW_SECONDS", 0.01)
     site = await site_of("a")
     site.rig_a.targets.script("a0", answer(1))
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
     await settle()
     site.wire_b.is_cut = True
-    site.rig_b.directory.loads.note_peer("c", {})
+    site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
     site.wire_b.is_cut = False
     # Well before the patience of its caller ends.
