--- a/mallowpond/gateway/quarantine.py
+++ b/mallowpond/gateway/quarantine.py
@@ -22,7 +22,7 @@
 
     def problem(self, request: str) -> Problem | None:
         """Return how a request is refused before it is sent, None if it may be sent."""
-        seconds = self._ledger.seconds_held(request, self._clock.now())
+        seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
         if seconds <= 0.0:
             return None
         return Problem(
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -28,7 +28,7 @@
 
     def refusal(self, request: str) -> Refusal | None:
         """Return how a request is refused before it is sent, None if it may be sent."""
-        seconds = self._ledger.seconds_held(request, self._clock.now())
+        seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
         if seconds <= 0.0:
             return None
         return Refusal(status=503, reason=Reason.HELD_BACK, retry_after=seconds)
@@ -95,7 +95,7 @@
 
     def is_held(self, request: str) -> bool:
         """Tell whether a request is held back now."""
-        return self._ledger.seconds_held(request, self._clock.now()) > 0.0
+        return self._ledger.quarantine_seconds_left(request, self._clock.now()) > 0.0
 
     def record(self, request: str) -> CrashRecord | None:
         """Return what is known of a request, None if nothing is."""
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -95,9 +95,11 @@
 
     def held(self, now: float) -> frozenset[str]:
         """Return the requests that are held back."""
-        return frozenset(r for r in self._held if self.seconds_held(r, now) > 0.0)
+        return frozenset(
+            r for r in self._held if self.quarantine_seconds_left(r, now) > 0.0
+        )
 
-    def seconds_held(self, request: str, now: float) -> float:
+    def quarantine_seconds_left(self, request: str, now: float) -> float:
         """Return for how long a request is held back from now on, 0 if it is not."""
         if request not in self._held:
             return 0.0
