--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -171,7 +171,7 @@
                 reader = self.hosts[0].directory
                 sums = reader.loads.all_loads(reader.groups)
                 for host in self.hosts[1:]:
-                    host.directory.loads.note_totals(sums)
+                    host.directory.loads.record_totals(sums)
                 self._wake()
 
     def _wake(self) -> None:
--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -288,7 +288,7 @@
         elif self._behind_since is None:
             self._behind_since = now
         if loads and not self.is_reader():
-            self.loads.note_totals(loads)
+            self.loads.record_totals(loads)
 
     def hear_change(self, read: TargetsRead, *, previous: int) -> None:
         """Take a change of the list that a reader passes on.
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -147,7 +147,7 @@
         """Count the places up to a number no more: their streams are counted."""
         self._peers.settle(name, number, self._clock.now())
 
-    def note_totals(self, loads: LoadsByGroup) -> None:
+    def record_totals(self, loads: LoadsByGroup) -> None:
         """Note the sums of all hosts' work that a reader tells."""
         self._totals = loads
         self._totals_at = self._clock.now()
