--- a/mallowpond/controller/quarantine.py
+++ b/mallowpond/controller/quarantine.py
@@ -15,7 +15,7 @@
 from mallowpond.coordination.ports import Clock, Committed, TableService
 from mallowpond.coordination.store import TableView, TypedPut, Versioned, transaction
 from mallowpond.state.crash_ledger import (
-    HOLD_SECONDS,
+    QUARANTINE_SECONDS,
     CrashLedger,
     CrashRecord,
     Ending,
@@ -144,7 +144,9 @@
 
     async def _drop(self, rows: dict[str, Versioned[QuarantineRow]]) -> None:
         now = self._wall_time()
-        kept = {r: HOLD_SECONDS if r in self._held else KEPT_SECONDS for r in rows}
+        kept = {
+            r: QUARANTINE_SECONDS if r in self._held else KEPT_SECONDS for r in rows
+        }
         old = [r for r, row in rows.items() if now - row.value.ended_at > kept[r]]
         if not old:
             return
--- a/mallowpond/gateway/tests/test_quarantine.py
+++ b/mallowpond/gateway/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from mallowpond.gateway.tests.callers import ask, runs, serving_site, set_faults
-from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, HOLD_SECONDS
+from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, QUARANTINE_SECONDS
 
 FATAL = "fatal"
 # Returns of the request, of which nearly all used to reach an engine.
@@ -37,7 +37,7 @@
             reply = await come_again(site, gateway)
             assert (reply.status, reply.reason) == (503, "held_back")
             assert reply.outcome == "not_run"
-            assert 0.0 < float(reply.headers["retry-after"]) <= HOLD_SECONDS
+            assert 0.0 < float(reply.headers["retry-after"]) <= QUARANTINE_SECONDS
         assert len(runs(site)) == ended
         assert (await ask(site, prompt="star")).status == 200
 
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -30,7 +30,7 @@
 from mallowpond.node.repeated_news import RepeatedNews
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.state.codec import to_plain
-from mallowpond.state.crash_ledger import HOLD_SECONDS, CrashRecord, Ending
+from mallowpond.state.crash_ledger import QUARANTINE_SECONDS, CrashRecord, Ending
 from mallowpond.state.decoding import Unreadable, decode
 from mallowpond.state.ownership import first_owners
 from mallowpond.state.store_clock import StoreClock
@@ -267,7 +267,7 @@
             if ended_at is not None:
                 age = max(0.0, self._clock.now() - ended_at)
         was_held = self._quarantine.is_held(request)
-        if age < HOLD_SECONDS:
+        if age < QUARANTINE_SECONDS:
             record = CrashRecord(request=request, endings=found.endings, age=age)
             self._quarantine.hear(record)
         is_held = self._quarantine.is_held(request)
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -37,7 +37,7 @@
 )
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.standins.platform import MemoryTable, PlatformFaults
-from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, HOLD_SECONDS
+from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, QUARANTINE_SECONDS
 from mallowpond.state.fleet import Process
 from mallowpond.state.store_clock import StoreClock
 
@@ -239,7 +239,7 @@
     assert await fleet.hosts[0].sharing.write()
     assert await fleet.hosts[1].sharing.read()
     assert len((await fleet.table.scan(PREFIX)).rows) == 1
-    fleet.clock.time += HOLD_SECONDS
+    fleet.clock.time += QUARANTINE_SECONDS
     assert await fleet.hosts[1].sharing.read()
     assert (await fleet.table.scan(PREFIX)).rows == ()
     assert fleet.who_holds() == []
@@ -314,7 +314,7 @@
     rig.clock.time += 1.0
     again = await rig.service.serve(rig.work(FakeExchange(), route))
     assert again == Refusal(
-        status=503, reason=Reason.HELD_BACK, retry_after=HOLD_SECONDS - 1.0
+        status=503, reason=Reason.HELD_BACK, retry_after=QUARANTINE_SECONDS - 1.0
     )
     assert len(rig.targets.sends) == ENDINGS_TO_HOLD
 
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -20,7 +20,7 @@
 UNEXPLAINED_TO_HOLD = 2
 # Time for which a request is held back after the last target that it ended, in seconds:
 # a target is replaced or repaired in minutes, and one more try then costs one target.
-HOLD_SECONDS = 600.0
+QUARANTINE_SECONDS = 600.0
 # Time after which a request's endings are forgotten, in seconds: until then one more
 # ending holds it back again.
 FORGET_SECONDS = 3600.0
@@ -103,7 +103,7 @@
         """Return for how long a request is held back from now on, 0 if it is not."""
         if request not in self._held:
             return 0.0
-        return max(0.0, self._entries[request].last_at + HOLD_SECONDS - now)
+        return max(0.0, self._entries[request].last_at + QUARANTINE_SECONDS - now)
 
     def note_life(self, process: Process) -> None:
         """Note that a target goes on: what broke off there was only a connection."""
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -11,10 +11,10 @@
     ENDED_SECONDS,
     ENDINGS_TO_HOLD,
     FORGET_SECONDS,
-    HOLD_SECONDS,
     MAX_ANSWERED,
     MAX_ENDINGS,
     MAX_REQUESTS,
+    QUARANTINE_SECONDS,
     CrashLedger,
     CrashRecord,
     Ending,
@@ -47,7 +47,7 @@
         assert not ledger.held(0.0)
         ledger.note_ending("bad", ending(number), 0.0)
     assert ledger.held(0.0) == {"bad"}
-    assert ledger.quarantine_seconds_left("bad", 1.0) == HOLD_SECONDS - 1.0
+    assert ledger.quarantine_seconds_left("bad", 1.0) == QUARANTINE_SECONDS - 1.0
 
 
 def test_one_target_counts_once_however_often_it_is_told():
@@ -168,17 +168,17 @@
 
 def test_a_hold_ends_and_one_more_ending_begins_it_anew():
     ledger = ledger_of(record("bad", "a", "b", "c"))
-    assert not ledger.held(HOLD_SECONDS)
-    assert ledger.quarantine_seconds_left("bad", HOLD_SECONDS + 1.0) == 0.0
-    ledger.note_ending("bad", ending("d"), HOLD_SECONDS + 1.0)
-    assert ledger.held(HOLD_SECONDS + 1.0) == {"bad"}
-    later = HOLD_SECONDS + FORGET_SECONDS + 2.0
+    assert not ledger.held(QUARANTINE_SECONDS)
+    assert ledger.quarantine_seconds_left("bad", QUARANTINE_SECONDS + 1.0) == 0.0
+    ledger.note_ending("bad", ending("d"), QUARANTINE_SECONDS + 1.0)
+    assert ledger.held(QUARANTINE_SECONDS + 1.0) == {"bad"}
+    later = QUARANTINE_SECONDS + FORGET_SECONDS + 2.0
     ledger.note_ending("bad", ending("e"), later)
     assert not ledger.held(later)
 
 
 def test_an_age_counts_when_a_host_hears_of_it_late():
-    ledger = ledger_of(record("bad", "a", "b", "c", age=HOLD_SECONDS - 5.0))
+    ledger = ledger_of(record("bad", "a", "b", "c", age=QUARANTINE_SECONDS - 5.0))
     assert ledger.quarantine_seconds_left("bad", 0.0) == 5.0
 
 
