--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -149,7 +149,7 @@
             and group.head.service == service
             and not group.head.draining
             and group.key not in self._broken
-            and self.loads.work(group.key).suspected_until <= now
+            and self.loads.work(group.key).excluded_until <= now
             and self._is_known_to_live(group, now)
         ]
 
@@ -166,13 +166,13 @@
     def withhold(self, key: GroupKey, until: float) -> None:
         """Send a group no new streams until a time."""
         work = self.loads.work(key)
-        work.suspected_until = max(work.suspected_until, until)
-        self._release_at = min(self._release_at, work.suspected_until)
+        work.excluded_until = max(work.excluded_until, until)
+        self._release_at = min(self._release_at, work.excluded_until)
 
     def release(self, key: GroupKey) -> None:
         """Send a group new streams again that was withheld."""
         work, now = self.loads.work(key), self._clock.now()
-        work.suspected_until = min(work.suspected_until, now)
+        work.excluded_until = min(work.excluded_until, now)
         self._release_at = min(self._release_at, now)
 
     def take_releases(self) -> bool:
@@ -184,7 +184,7 @@
         now = self._clock.now()
         if now < self._release_at:
             return False
-        ends = (work.suspected_until for work in self.loads.all_work())
+        ends = (work.excluded_until for work in self.loads.all_work())
         self._release_at = min((end for end in ends if end > now), default=inf)
         return True
 
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -31,7 +31,7 @@
     reading_tokens: float = 0.0
     slowness: float = 1.0
     last_event_at: float = 0.0
-    suspected_until: float = 0.0
+    excluded_until: float = 0.0
     suspicions: int = 0
     # Length of the last pause after the group turned a stream away, 0 since an event.
     pause_seconds: float = 0.0
@@ -39,7 +39,7 @@
     def forget_pace(self) -> None:
         """Drop what the engines of before taught; what runs is counted on."""
         self.slowness = 1.0
-        self.suspected_until = 0.0
+        self.excluded_until = 0.0
         self.suspicions = 0
         self.pause_seconds = 0.0
 
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -379,7 +379,7 @@
             self._directory.loads.load_of(group, work.profile),
             work.prompt_tokens,
         )
-        if own.suspected_until <= now:
+        if own.excluded_until <= now:
             # Streams that were under way together are turned away once, not in a row.
             pause = max(pause, min(2 * own.pause_seconds, MOST_PAUSE_SECONDS))
             own.pause_seconds = pause
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -224,7 +224,7 @@
                 stream.move(Reason.SLOW_TARGET)
 
     def _is_marked(self, key: GroupKey) -> bool:
-        return self._directory.loads.work(key).suspected_until > self._clock.now()
+        return self._directory.loads.work(key).excluded_until > self._clock.now()
 
     def _mark(self, key: GroupKey) -> None:
         # The group reports that it broke only after the stall time, so until then
