--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -8,7 +8,7 @@
 
 from mallowpond.coordination.ports import Clock, Unavailable
 from mallowpond.node.group_loads import GroupLoads
-from mallowpond.node.peer_work import Figures
+from mallowpond.node.peer_work import LoadsByGroup
 from mallowpond.node.ports import HistoryLost, SiteSource, TargetsRead
 from mallowpond.state.broken_groups import BrokenGroups
 from mallowpond.state.ended_processes import EndedProcesses
@@ -149,7 +149,7 @@
             and group.head.service == service
             and not group.head.draining
             and group.key not in self._broken
-            and self.loads.work(group.key).suspected_until <= now
+            and self.loads.work(group.key).excluded_until <= now
             and self._is_known_to_live(group, now)
         ]
 
@@ -166,13 +166,13 @@
     def withhold(self, key: GroupKey, until: float) -> None:
         """Send a group no new streams until a time."""
         work = self.loads.work(key)
-        work.suspected_until = max(work.suspected_until, until)
-        self._release_at = min(self._release_at, work.suspected_until)
+        work.excluded_until = max(work.excluded_until, until)
+        self._release_at = min(self._release_at, work.excluded_until)
 
     def release(self, key: GroupKey) -> None:
         """Send a group new streams again that was withheld."""
         work, now = self.loads.work(key), self._clock.now()
-        work.suspected_until = min(work.suspected_until, now)
+        work.excluded_until = min(work.excluded_until, now)
         self._release_at = min(self._release_at, now)
 
     def take_releases(self) -> bool:
@@ -184,7 +184,7 @@
         now = self._clock.now()
         if now < self._release_at:
             return False
-        ends = (work.suspected_until for work in self.loads.all_work())
+        ends = (work.excluded_until for work in self.loads.all_work())
         self._release_at = min((end for end in ends if end > now), default=inf)
         return True
 
@@ -277,7 +277,7 @@
             return self.poll_seconds
         return POLL_SECONDS if self.tries_first() else LOST_POLL_SECONDS
 
-    def hear_digest(self, changed: int, loads: Figures) -> None:
+    def hear_digest(self, changed: int, loads: LoadsByGroup) -> None:
         """Note a reader's newest change of the list, and its sums of all work."""
         now = self._clock.now()
         self._heard_at = now
@@ -288,7 +288,7 @@
         elif self._behind_since is None:
             self._behind_since = now
         if loads and not self.is_reader():
-            self.loads.note_totals(loads)
+            self.loads.record_totals(loads)
 
     def hear_change(self, read: TargetsRead, *, previous: int) -> None:
         """Take a change of the list that a reader passes on.
@@ -449,7 +449,7 @@
         One that it shows with a process that is gone is out of use from the start.
         """
         if not is_change:
-            self._ended.see(listed, asked_at=self._read_at)
+            self._ended.readmit(listed, asked_at=self._read_at)
         for target in listed:
             place = target.membership
             group = place and self._groups.get((place.group, place.epoch))
@@ -461,7 +461,9 @@
                 continue
             if group.head is None or group.head.id != target.id:
                 continue
-            seen = self._broken.see(group, is_change=is_change, asked_at=self._read_at)
+            seen = self._broken.readmit(
+                group, is_change=is_change, asked_at=self._read_at
+            )
             if seen:
                 log.info("groups: open anew", group=group.name, epoch=group.epoch)
 
@@ -520,10 +522,10 @@
 
     def _regroup(self, targets: Collection[Target]) -> None:
         """Gather the groups that these targets belonged or belong to, each once."""
-        touched = dict.fromkeys(t.place for t in targets if t.place is not None)
+        touched = dict.fromkeys(t.group_key for t in targets if t.group_key is not None)
         for target in targets:
-            if target.place is not None:
-                self._members.setdefault(target.place, set()).add(target.id)
+            if target.group_key is not None:
+                self._members.setdefault(target.group_key, set()).add(target.id)
         for key in touched:
             members = self._members[key]
             present = [self._targets[m] for m in members if m in self._targets]
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -25,7 +25,7 @@
     heartbeat_loads,
     loads_of,
 )
-from mallowpond.node.peer_work import Figures
+from mallowpond.node.peer_work import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import TargetsRead
 from mallowpond.state.ownership import ranked_by_capacity
@@ -87,7 +87,7 @@
         self._reads = False
         self._turn = 0
         self._work_turn = 0
-        self._told_work: Figures = {}
+        self._told_work: LoadsByGroup = {}
         self._store_was_reached = True
         # The last place that this host was given, which its work holds.
         self.granted: Callable[[], int] = lambda: 0
@@ -218,7 +218,7 @@
         if loads == self._told_work and self._work_turn % UNCHANGED_WORK_TURNS:
             return
         self._told_work = loads
-        self._directory.loads.note_told(loads)
+        self._directory.loads.record_published(loads)
         self._send_work(loads, {*self.names, self.dispatcher})
 
     def tell_dispatcher(self) -> None:
@@ -229,10 +229,10 @@
         loads = self._directory.loads.own_loads()
         if self._peers.is_large and host in self.names[:1]:
             self._told_work = loads
-            self._directory.loads.note_told(loads)
+            self._directory.loads.record_published(loads)
         self._send_work(loads, {host})
 
-    def _send_work(self, loads: Figures, hosts: set[str]) -> None:
+    def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
         work = Work(
             node=self._name, loads=heartbeat_loads(loads), granted=self.granted()
         )
@@ -293,7 +293,7 @@
             notify()
 
     def _note_work(self, work: Work) -> None:
-        self._directory.loads.note_peer(work.node, loads_of(work), work.granted)
+        self._directory.loads.record_peer_loads(work.node, loads_of(work), work.granted)
 
     # -- the configuration ---------------------------------------------------
 
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -19,7 +19,7 @@
     member,
     open_group,
 )
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import BreakCause, GroupPhase
 
 
@@ -114,7 +114,7 @@
 
 async def test_loads_of_silent_peers_are_forgotten():
     directory, _, clock = await directory_of(listing(*open_group("g")))
-    directory.loads.note_peer("n", {("g", 1): (3, 500.0)})
+    directory.loads.record_peer_loads("n", {("g", 1): (3, 500.0)})
     assert directory.loads.load(("g", 1)).running == 3
     clock.time += 5.0
     assert directory.loads.load(("g", 1)).running == 0
@@ -242,7 +242,7 @@
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
     directory.break_group(directory.groups["g", 1], BreakCause.REFUSED)
-    clock.time += STILL_WRITTEN_SECONDS + 0.1
+    clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
     directory._whole_at = float("-inf")
     await directory.refresh()
@@ -352,7 +352,7 @@
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
     directory.learn(restarted(group[1]))
-    clock.time += STILL_WRITTEN_SECONDS + 0.1
+    clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
     directory._whole_at = float("-inf")
     await directory.refresh()
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -319,7 +319,7 @@
     host = await follower(*open_group("g"))
     key = ("g", 1)
     host.directory.loads.work(key).running = 3
-    host.directory.loads.note_told({key: (3, 100.0)})
+    host.directory.loads.record_published({key: (3, 100.0)})
     host.directory.hear_digest(10, {key: (8, 500.0)})
     load = host.directory.loads.load(key)
     assert (load.running, load.reading_tokens) == (8, 400.0)
