--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -218,7 +218,7 @@
             return
         step = next_epoch(
             cell=cell.value,
-            noted=self._noted(cell.value),
+            acknowledged=self._noted(cell.value),
             joining=tuple(self.takers()),
             gone=self._gone(cell.value),
         )
--- a/mallowpond/state/proposal.py
+++ b/mallowpond/state/proposal.py
@@ -63,19 +63,19 @@
 def next_epoch(
     *,
     cell: CellRow,
-    noted: frozenset[str],
+    acknowledged: frozenset[str],
     joining: tuple[str, ...],
     gone: tuple[str, ...],
 ) -> CellRow | None:
     """Return the cell with one member more or less, once it is safe to move on.
 
-    `noted` holds the counted members whose rows name the present epoch. Epochs
+    `acknowledged` holds the counted members whose rows name the present epoch. Epochs
     differ by one member and a step needs a majority that has noted the last one, so
     majorities of neighbouring epochs share a member. Without that a cell whose hosts
     were all replaced behind a partition could accept a change while the old members
     still vouched for the old version.
     """
-    if 2 * len(noted.intersection(cell.members)) <= len(cell.members):
+    if 2 * len(acknowledged.intersection(cell.members)) <= len(cell.members):
         return None
     added = sorted(set(joining) - set(cell.members))
     removed = sorted(set(gone).intersection(cell.members))
--- a/mallowpond/state/tests/test_proposal.py
+++ b/mallowpond/state/tests/test_proposal.py
@@ -67,20 +67,27 @@
 
 
 def test_epoch_moves_by_one_member():
-    step = next_epoch(cell=UB, noted=frozenset("ab"), joining=("d", "e"), gone=())
+    step = next_epoch(
+        cell=UB, acknowledged=frozenset("ab"), joining=("d", "e"), gone=()
+    )
     assert step == CellRow(cell="ub", epoch=4, members=("a", "b", "c", "d"))
 
 
 def test_epoch_removes_before_it_adds():
-    step = next_epoch(cell=UB, noted=frozenset("ab"), joining=("d",), gone=("c",))
+    step = next_epoch(
+        cell=UB, acknowledged=frozenset("ab"), joining=("d",), gone=("c",)
+    )
     assert step == CellRow(cell="ub", epoch=4, members=("a", "b"))
 
 
 def test_epoch_waits_for_a_majority_to_note_the_last():
-    step = next_epoch(cell=UB, noted=frozenset("a"), joining=("d",), gone=())
+    step = next_epoch(cell=UB, acknowledged=frozenset("a"), joining=("d",), gone=())
     assert step is None
 
 
 def test_last_member_is_never_removed():
     alone = CellRow(cell="ub", epoch=1, members=("a",))
-    assert next_epoch(cell=alone, noted=frozenset("a"), joining=(), gone=("a",)) is None
+    assert (
+        next_epoch(cell=alone, acknowledged=frozenset("a"), joining=(), gone=("a",))
+        is None
+    )
