--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -23,7 +23,7 @@
     intake_of,
     listing,
 )
-from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, CrashRecord, Ending
+from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, CrashRecord, Ending
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.state.site_configuration import Backend, Repeat, Route
@@ -257,12 +257,12 @@
     budget = RetryWindow(ratio=0.0, slack=9.0, window_seconds=10.0)
     service = service_of(directory, fakes, clock, budget)
     ends = []
-    for _ in range(ENDINGS_TO_HOLD + 1):
+    for _ in range(ENDINGS_TO_QUARANTINE + 1):
         clock.time += 0.5
         ends.append(await service.serve(work_of(clock, ONCE, FakeExchange())))
-    assert [end.status for end in ends] == [502] * ENDINGS_TO_HOLD + [503]
+    assert [end.status for end in ends] == [502] * ENDINGS_TO_QUARANTINE + [503]
     assert ends[-1].reason is Reason.HELD_BACK
-    assert len(fakes.sends) == ENDINGS_TO_HOLD
+    assert len(fakes.sends) == ENDINGS_TO_QUARANTINE
 
 
 async def test_a_call_goes_to_a_target_that_nobody_saw_end():
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -14,7 +14,7 @@
 
 # Targets that must have ended under a request before it is held back. Fewer would hold
 # back what stood on two targets that were lost by themselves.
-ENDINGS_TO_HOLD = 3
+ENDINGS_TO_QUARANTINE = 3
 # Of these, how many must not be explained by a request that is held back already: those
 # that stood beside it came to share its endings, and one more may be chance.
 UNEXPLAINED_TO_HOLD = 2
@@ -62,7 +62,7 @@
     def has_enough_evidence(self) -> bool:
         """Tell whether this record by itself may hold the request back."""
         evidence = [ending for ending in self.endings if not ending.refuted]
-        return len(evidence) >= ENDINGS_TO_HOLD
+        return len(evidence) >= ENDINGS_TO_QUARANTINE
 
 
 @dataclass(kw_only=True)
@@ -229,7 +229,7 @@
         """Choose again what is held back, if this request's endings bear on it."""
         was_suspect = request in self._suspects
         entry = self._entries.get(request)
-        if entry is not None and len(entry.evidence) >= ENDINGS_TO_HOLD:
+        if entry is not None and len(entry.evidence) >= ENDINGS_TO_QUARANTINE:
             self._suspects.add(request)
         else:
             self._suspects.discard(request)
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -9,7 +9,7 @@
 from mallowpond.state.crash_ledger import (
     ANSWERED_SECONDS,
     ENDED_SECONDS,
-    ENDINGS_TO_HOLD,
+    ENDINGS_TO_QUARANTINE,
     FORGET_SECONDS,
     MAX_ANSWERED,
     MAX_ENDINGS,
@@ -43,7 +43,7 @@
 
 def test_a_request_is_held_back_once_three_targets_ended_under_it():
     ledger = CrashLedger()
-    for number in range(ENDINGS_TO_HOLD):
+    for number in range(ENDINGS_TO_QUARANTINE):
         assert not ledger.held(0.0)
         ledger.note_ending("bad", ending(number), 0.0)
     assert ledger.held(0.0) == {"bad"}
@@ -57,7 +57,7 @@
 
 def test_a_target_that_starts_again_under_its_id_counts_again():
     ledger = CrashLedger()
-    for born in range(ENDINGS_TO_HOLD):
+    for born in range(ENDINGS_TO_QUARANTINE):
         again = Ending(process=Process(id="a", born=born), ran=0.1)
         ledger.note_ending("bad", again, 0.0)
     assert ledger.held(0.0) == {"bad"}
