--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -10,6 +10,7 @@
 from mallowpond.emulator.virtual_time import VirtualClock
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Dispatcher
+from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.intake import Intake
 from mallowpond.node.messages import (
     PlaceAnswer,
@@ -19,7 +20,6 @@
     loads_of,
 )
 from mallowpond.node.metrics import NodeMetrics
-from mallowpond.node.place_asking import PlaceAsking
 from mallowpond.node.ports import TargetsRead
 from mallowpond.node.quarantine import Quarantine
 from mallowpond.node.rate_limits import RateLimits
@@ -150,12 +150,12 @@
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
-            choice=self.streams.placing.choice,
+            selector=self.streams.placement.selector,
             clock=clock,
-            shape_of=lambda service, model: (PROFILE, PROFILE.models[0]),
+            find_model=lambda service, model: (PROFILE, PROFILE.models[0]),
             is_dispatcher=lambda: fleet.dispatching_host() == self.name,
         )
-        asking = PlaceAsking(
+        dispatcher_client = DispatcherClient(
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
@@ -163,11 +163,11 @@
             clock=clock,
             dispatching_host=fleet.dispatching_host,
         )
-        self.asking = asking
+        self.dispatcher_client = dispatcher_client
         if fleet.scenario.dispatched:
-            self.streams.placing.asking = asking
+            self.streams.placement.dispatcher_client = dispatcher_client
             self.streams.on_end.append(self.tell_work)
-            asking.on_unused.append(self.tell_work)
+            dispatcher_client.on_unused.append(self.tell_work)
             self.datagrams.on_work.append(self._hear_work)
 
     def tell_work(self) -> None:
@@ -177,13 +177,15 @@
             self.dispatcher.wake()
             return
         loads = self.directory.loads.own_loads()
-        self.directory.loads.note_told(loads)
+        self.directory.loads.record_published(loads)
         work = Work(
-            node=self.name, loads=heartbeat_loads(loads), granted=self.asking.granted
+            node=self.name,
+            loads=heartbeat_loads(loads),
+            granted=self.dispatcher_client.granted,
         )
         self.datagrams.tell_nodes(work, (host,))
 
     def _hear_work(self, work: Work) -> None:
         loads = self.directory.loads
-        loads.note_peer(work.node, loads_of(work), work.granted)
+        loads.record_peer_loads(work.node, loads_of(work), work.granted)
         self.dispatcher.wake()
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -50,8 +50,8 @@
     Stage,
     Step,
 )
-from mallowpond.state.order_book import OrderBook, is_load
-from mallowpond.state.processes import PresentProcesses, has_restarted
+from mallowpond.state.order_book import OrderBook, loads_weights
+from mallowpond.state.processes import CurrentProcesses, has_restarted
 
 log = structlog.get_logger()
 
@@ -117,7 +117,7 @@
         # at its start would take a group for whole whose member has started again.
         self._seen: dict[GroupKey, set[Process]] = {}
         self._noted: dict[GroupKey, Group] = {}
-        self._processes = PresentProcesses()
+        self._processes = CurrentProcesses()
         self._gate = CallGate(clock=clock)
         self._probes = TargetProbes(
             configuration=configuration,
@@ -272,13 +272,13 @@
         """Return a target as answers and orders show it before the list does."""
         if self._probes.is_leaving(target):
             return replace(target, draining=True)
-        return self._book.as_left(self._processes.present(target))
+        return self._book.without_left_group(self._processes.current(target))
 
     @property
     def _present(self) -> dict[str, Target]:
         """Return every listed target, as the process that it runs now."""
         targets = self._directory.targets
-        return {t: self._processes.present(listed) for t, listed in targets.items()}
+        return {t: self._processes.current(listed) for t, listed in targets.items()}
 
     def _remember(self, step: Join) -> None:
         self._next_epoch = max(self._next_epoch, step.epoch + 1)
@@ -297,13 +297,13 @@
                 members=step.members,
                 ordered_at=self._clock.now(),
             )
-            present = self._present
-            self._seen[key] = {present[member].process for member in step.members}
+            current = self._present
+            self._seen[key] = {current[member].process for member in step.members}
 
     def _note_members(self) -> None:
         """Note the processes that the list shows in each group."""
         self._has_news = True
-        self._processes.settle(self._directory.targets, now=self._clock.now())
+        self._processes.reconcile(self._directory.targets, now=self._clock.now())
         groups = self._directory.groups
         known = groups.keys() | self._formations.keys()
         self._seen = {key: seen for key, seen in self._seen.items() if key in known}
@@ -317,9 +317,9 @@
         """Drop what the list shows to be done, and what is out of date."""
         now = self._clock.now()
         targets, groups = self._directory.targets, self._directory.groups
-        present = self._present
+        current = self._present
         # While the list is away it shows nothing of what was ordered since.
-        self._book.settle(present, now=now, shows_orders=self._directory.is_settled)
+        self._book.reconcile(current, now=now, shows_orders=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
         self._leaving_since = {
@@ -336,16 +336,16 @@
             if key in groups or now - formation.ordered_at < self._stall_seconds
         }
         self._closed &= groups.keys()
-        self._note_ended(present)
+        self._note_ended(current)
         self._loads_begun = [at for at in self._loads_begun if now - at < 10.0]
         self._probes.look()
         if self._directory.is_lost:
             self._ask_pending(now)
 
-    def _note_ended(self, present: dict[str, Target]) -> None:
+    def _note_ended(self, current: dict[str, Target]) -> None:
         """Log each group that ends by the restart of a member, once."""
         groups = self._directory.groups
-        ended = {k for k, seen in self._seen.items() if has_restarted(seen, present)}
+        ended = {k for k, seen in self._seen.items() if has_restarted(seen, current)}
         for name, epoch in sorted(ended & groups.keys() - self._ended):
             log.info("planner: member started again", group=name, epoch=epoch)
         self._ended = ended & groups.keys()
@@ -360,7 +360,7 @@
         if isinstance(step, Leave | Close):
             self._watch.retire((step.group, step.epoch))
             self._peers.tell_suspicion((step.group, step.epoch), closing=True)
-        if is_load(step):
+        if loads_weights(step):
             self._loads_begun.append(now)
         self._spawn(self._order(step, self._leadership.fence))
 
@@ -402,8 +402,8 @@
         seen = self._seen.get(key, ())
         targets = self._directory.targets
         listed = [targets[p.id] for p in seen if p.id in targets]
-        present = {t.id: self._processes.present(t) for t in listed}
-        return has_restarted(seen, present)
+        current = {t.id: self._processes.current(t) for t in listed}
+        return has_restarted(seen, current)
 
     def _stands_elsewhere(self, step: Join) -> bool:
         """Tell whether a target has joined another group here and not left it.
@@ -427,14 +427,14 @@
         if isinstance(report, Unavailable):
             self._probes.investigate(target)
             return None
-        if report.target.place != target.place:
+        if report.target.group_key != target.group_key:
             # Another planner's order came after the list was read: a count that
             # includes it would let an order through that was planned without it,
             # and the target would stand in two groups.
             log.info("planner: target changed since the list", target=target.id)
             return None
         now = self._clock.now()
-        if not self._book.note_report(report.target, report.orders, now=now):
+        if not self._book.record_report(report.target, report.orders, now=now):
             return None
         return report.orders
 
@@ -443,7 +443,7 @@
         listed = self._directory.targets.get(target.id)
         if listed is None:
             return False
-        return self._processes.present(listed).process == target.process
+        return self._processes.current(listed).process == target.process
 
     def _note(self, step: Step, end: OrderEnd, *, expected: int) -> None:
         target = step.target
@@ -465,30 +465,30 @@
         match end:
             case OrderTaken(began=began):
                 if began or isinstance(step, Leave):
-                    self._book.note_begun(step, expected=expected, is_sure=began)
+                    self._book.record_begun(step, expected=expected, is_sure=began)
                 self._note_taken(step)
             case OrderFenced():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
                 self._spawn(self._check_lease())
             case OrderUnfit() if isinstance(step, Stage):
                 # It loads already, by an order of an earlier planner.
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._book.end(target)
             case OrderUnfit():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
             case OrderMisdirected():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
                 self._probes.note_replaced(target)
             case OrderLost():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._give_back(step)
                 self._probes.investigate(target)
 
     def _note_taken(self, step: Step) -> None:
-        self._book.note_taken(step, self._clock.now())
+        self._book.record_taken(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
                 # The formation is over: kept, it had its members join again, and they
@@ -500,13 +500,13 @@
 
     def _may_learn(self, target: Target) -> bool:
         """Tell whether a report is the present process's and shows its last order."""
-        is_current = self._book.may_show(target, self._clock.now())
+        is_current = self._book.shows_last_order(target, self._clock.now())
         return is_current and self._is_present(target)
 
     def _give_back(self, step: Step) -> None:
         """Free the target for another order after a moment."""
         if self._is_present(step.target):
-            self._book.give_back(step, self._clock.now())
+            self._book.release_later(step, self._clock.now())
 
     async def _check_lease(self) -> None:
         if self._leadership.age > LEASE_CHECK_SECONDS:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -16,7 +16,8 @@
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.configuration_sharing import ConfigurationSharing
 from mallowpond.node.directory import Directory
-from mallowpond.node.dispatcher import Dispatcher, Shape
+from mallowpond.node.dispatcher import Dispatcher, ServedModel
+from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.fanout import Fanout
 from mallowpond.node.ingress import Ingress
 from mallowpond.node.intake import Intake
@@ -24,7 +25,6 @@
 from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_asking import PlaceAsking
 from mallowpond.node.planner import GroupPlanner
 from mallowpond.node.ports import NodePorts
 from mallowpond.node.quarantine import Quarantine
@@ -183,7 +183,7 @@
             configuration=self.configuration,
             directory=self.directory,
             clock=clock,
-            is_stopping=lambda: self.ingress.stopping,
+            is_stopping=lambda: self.ingress.is_stopping,
             is_planning=lambda: self.leadership.fence > 0,
             fanout=self.fanout,
             cores=settings.cores,
@@ -192,12 +192,12 @@
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
-            choice=self.streams.placing.choice,
+            selector=self.streams.placement.selector,
             clock=clock,
-            shape_of=self._shape_of,
+            find_model=self._find_model,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
         )
-        self.asking = PlaceAsking(
+        self.dispatcher_client = DispatcherClient(
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
@@ -205,10 +205,10 @@
             clock=clock,
             dispatching_host=lambda: self.readers.dispatcher,
         )
-        self.streams.placing.asking = self.asking
+        self.streams.placement.dispatcher_client = self.dispatcher_client
         self.streams.on_end.append(self._tell_end)
-        self.asking.on_unused.append(self._tell_end)
-        self.readers.granted = lambda: self.asking.granted
+        self.dispatcher_client.on_unused.append(self._tell_end)
+        self.readers.granted = lambda: self.dispatcher_client.granted
         self.sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
@@ -216,7 +216,7 @@
             fanout=self.fanout,
             configuration=self.configuration,
         )
-        self.readers.on_news.append(self.streams.placing.wake_all)
+        self.readers.on_news.append(self.streams.placement.wake_all)
         self.configuration.on_newer.append(self._tell_version)
         self.leadership.on_taken.append(lambda: self.peers.tell(self._describe()))
         self.peers.on_heartbeat.append(self._note_heartbeat)
@@ -229,7 +229,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new callers should come to this node."""
-        return self.configuration.is_sure and not self.ingress.stopping
+        return self.configuration.is_sure and not self.ingress.is_stopping
 
     async def start(self) -> None:
         """Listen, and follow the platform."""
@@ -281,7 +281,7 @@
 
     async def drain(self) -> None:
         """Tell the balancer, serve on for a moment, then finish what is in progress."""
-        self.ingress.stopping = True
+        self.ingress.is_stopping = True
         await self._hand_over()
         self.peers.tell(self._describe())
         log.info("node: draining", in_flight=self.ingress.in_flight)
@@ -289,7 +289,7 @@
         started = self._clock.now()
         lame_until = started + min(LAME_SECONDS, 0.5 * grace)
         limit = started + grace - CLOSING_SECONDS
-        self.ingress.ends_at = self.streams.placing.ends_at = limit
+        self.ingress.ends_at = self.streams.placement.ends_at = limit
         while self._clock.now() < lame_until:
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._hand_over()
@@ -299,7 +299,7 @@
         # one that was overlooked was passed on and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
             if self._clock.now() >= limit - LAST_REFUSALS_SECONDS:
-                self.streams.placing.end_waits()
+                self.streams.placement.end_waits()
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._hand_over()
         self.ingress.server.refuse_more()
@@ -341,7 +341,7 @@
             log.warning("node: no metrics address", error=str(error))
 
     def _may_plan(self) -> bool:
-        return self.configuration.store_answers and not self.ingress.stopping
+        return self.configuration.store_answers and not self.ingress.is_stopping
 
     def _budget(self, service: str) -> RetryWindow:
         bounds = self._settings.bounds
@@ -362,17 +362,17 @@
             version=known.version if known else 0,
             sure=self.configuration.is_sure,
             store=self.configuration.store_answers,
-            stopping=self.ingress.stopping,
+            stopping=self.ingress.is_stopping,
             planning=self.leadership.fence,
             traffic=self._traffic.seen,
             interval=self.peers.interval,
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
             loads=heartbeat_loads(self.directory.loads.own_loads()),
-            granted=self.asking.granted,
+            granted=self.dispatcher_client.granted,
         )
 
-    def _shape_of(self, service: str, model: str) -> Shape | None:
+    def _find_model(self, service: str, model: str) -> ServedModel | None:
         """Return the timing and model of a service, None if it is not declared."""
         known = self.configuration.configuration
         declared = known and known.services.get(service)
@@ -395,12 +395,12 @@
 
     def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
-        self.directory.loads.note_peer(
+        self.directory.loads.record_peer_loads(
             heartbeat.node, loads_of(heartbeat), heartbeat.granted
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
-        self.streams.placing.wake_all()
+        self.streams.placement.wake_all()
         self.dispatcher.wake()
 
     async def _answer_readiness(self, request: HttpRequest, exchange: Exchange) -> None:
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -37,11 +37,11 @@
     """Hold where the list shows a process, and since when."""
 
     process: Process
-    place: GroupKey | None
+    group_key: GroupKey | None
     since: float
 
 
-class PresentProcesses:
+class CurrentProcesses:
     """Know the present process of each target, by direct answers and the list."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         """Return the groups in which a member answers that it does not stand."""
         return frozenset(self._displaced.values())
 
-    def settle(self, targets: Mapping[str, Target], *, now: float) -> None:
+    def reconcile(self, targets: Mapping[str, Target], *, now: float) -> None:
         """Note where the list shows each target; forget those that it does not."""
         known = self._targets
         changed = {n: t for n, t in targets.items() if known.get(n) is not t}
@@ -69,22 +69,28 @@
         if changed or gone:
             self._targets = dict(targets)
         self._displaced = {
-            process: place
-            for process, place in self._displaced.items()
-            if self._is_shown(process, place)
+            process: group_key
+            for process, group_key in self._displaced.items()
+            if self._is_shown(process, group_key)
         }
 
-    def _is_shown(self, process: Process, place: GroupKey) -> bool:
+    def _is_shown(self, process: Process, group_key: GroupKey) -> bool:
         listed = self._listed.get(process.id)
-        return listed is not None and (listed.process, listed.place) == (process, place)
+        return listed is not None and (listed.process, listed.group_key) == (
+            process,
+            group_key,
+        )
 
     def _as_listed(self, target: Target, now: float) -> _Listed:
         known = self._listed.get(target.id)
-        if known and (known.process, known.place) == (target.process, target.place):
+        if known and (known.process, known.group_key) == (
+            target.process,
+            target.group_key,
+        ):
             return known
-        return _Listed(process=target.process, place=target.place, since=now)
+        return _Listed(process=target.process, group_key=target.group_key, since=now)
 
-    def hear(
+    def record_answer(
         self,
         *,
         asked: Target,
@@ -112,21 +118,25 @@
 
     def _hear_place(self, asked: Target, answered: Target, asked_at: float) -> None:
         known = self._listed.get(asked.id)
-        if known is None or answered.process != known.process or known.place is None:
+        if (
+            known is None
+            or answered.process != known.process
+            or known.group_key is None
+        ):
             return
-        if answered.place == known.place:
+        if answered.group_key == known.group_key:
             self._displaced.pop(known.process, None)
         elif asked_at - known.since > SETTLED_SECONDS:
-            self._displaced[known.process] = known.place
+            self._displaced[known.process] = known.group_key
 
-    def present(self, target: Target) -> Target:
+    def current(self, target: Target) -> Target:
         """Return a listed target, or what is known of the process that follows it.
 
         That one gets no orders before the list shows it: what came of them would show
         nowhere, and its group could not be opened. The same holds for a target that has
         lost the place that the list shows.
         """
-        if target.place and self._displaced.get(target.process) == target.place:
+        if target.group_key and self._displaced.get(target.process) == target.group_key:
             return replace(target, model="", membership=None, lapsed=True)
         heard = self._heard.get(target.id)
         if heard is None or target.process not in heard.ended:
@@ -136,6 +146,6 @@
         )
 
 
-def has_restarted(seen: Iterable[Process], present: Mapping[str, Target]) -> bool:
+def has_restarted(seen: Iterable[Process], current: Mapping[str, Target]) -> bool:
     """Tell whether the target of one of these processes runs another one now."""
-    return any(p.id in present and present[p.id].process != p for p in seen)
+    return any(p.id in current and current[p.id].process != p for p in seen)
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -29,7 +29,7 @@
 
 def settled(book, *targets, now=NOW):
     """Show these targets to the book."""
-    book.settle({t.id: t for t in targets}, now=now, shows_orders=True)
+    book.reconcile({t.id: t for t in targets}, now=now, shows_orders=True)
     return book
 
 
@@ -37,10 +37,10 @@
     """Return a book in which the first process has taken a join."""
     book = OrderBook()
     join = join_of(FIRST)
-    book.note_report(FIRST, 4, now=NOW)
+    book.record_report(FIRST, 4, now=NOW)
     book.begin(join, NOW)
-    book.note_begun(join, expected=4, is_sure=True)
-    book.note_taken(join, NOW)
+    book.record_begun(join, expected=4, is_sure=True)
+    book.record_taken(join, NOW)
     return book
 
 
@@ -57,7 +57,7 @@
     settled(book, SECOND)
     assert (book.busy, book.loading) == (frozenset(), {})
     assert (book.count(SECOND), book.joined(SECOND)) == (None, None)
-    assert book.may_show(SECOND, NOW)
+    assert book.shows_last_order(SECOND, NOW)
     assert (book.count(FIRST), book.joined(FIRST)) == (None, None)
 
 
@@ -68,25 +68,25 @@
     Cause: the count fell back; that of another process may.
     """
     book = book_of_first()
-    book.doubt_count(FIRST)
-    assert not book.note_report(FIRST, 4, now=NOW)
+    book.invalidate_count(FIRST)
+    assert not book.record_report(FIRST, 4, now=NOW)
     assert book.count(FIRST) is None
-    assert book.note_report(FIRST, 5, now=NOW)
-    assert book.note_report(SECOND, 0, now=NOW)
+    assert book.record_report(FIRST, 5, now=NOW)
+    assert book.record_report(SECOND, 0, now=NOW)
     assert (book.count(FIRST), book.count(SECOND)) == (5, 0)
 
 
 def test_a_count_that_a_probe_told_makes_older_ones_out_of_date():
     book = OrderBook()
-    book.note_report(FIRST, 4, now=NOW)
-    book.note_seen(FIRST, 4)
+    book.record_report(FIRST, 4, now=NOW)
+    book.raise_min_count(FIRST, 4)
     assert book.count(FIRST) == 4
-    book.note_seen(FIRST, 6)
+    book.raise_min_count(FIRST, 6)
     assert book.count(FIRST) is None
-    book.note_begun(join_of(FIRST), expected=4, is_sure=True)
+    book.record_begun(join_of(FIRST), expected=4, is_sure=True)
     assert book.count(FIRST) is None
-    assert not book.note_report(FIRST, 5, now=NOW)
-    assert book.note_report(FIRST, 6, now=NOW)
+    assert not book.record_report(FIRST, 5, now=NOW)
+    assert book.record_report(FIRST, 6, now=NOW)
 
 
 def test_a_count_that_is_not_sure_does_not_outlast_a_report():
@@ -97,22 +97,22 @@
     """
     book = book_of_first()
     leave = Leave(target=FIRST, group="g", epoch=1)
-    book.note_begun(leave, expected=5, is_sure=False)
+    book.record_begun(leave, expected=5, is_sure=False)
     assert book.count(FIRST) == 6
-    assert book.note_report(FIRST, 5, now=NOW)
+    assert book.record_report(FIRST, 5, now=NOW)
 
 
 def test_a_member_that_left_is_free_before_the_list_shows_it():
     book = book_of_first()
     place = Membership(group="g", epoch=1, rank=0, phase=GroupPhase.READY)
     shown = replace(FIRST, membership=place)
-    assert book.as_left(shown) == shown
-    book.note_taken(Leave(target=FIRST, group="g", epoch=1), NOW)
-    assert book.as_left(shown).membership is None
+    assert book.without_left_group(shown) == shown
+    book.record_taken(Leave(target=FIRST, group="g", epoch=1), NOW)
+    assert book.without_left_group(shown).membership is None
     assert book.joined(FIRST) is None
     assert not book.is_busy(FIRST)
     again = replace(shown, born=SECOND.born)
-    assert book.as_left(again) == again
+    assert book.without_left_group(again) == again
 
 
 def test_an_order_is_under_way_until_it_shows_or_its_time_is_over():
@@ -130,7 +130,7 @@
     stage = Stage(target=FIRST, model="m")
     book.begin(stage, NOW)
     assert book.loading == {"a": "m"}
-    book.give_back(stage, NOW)
+    book.release_later(stage, NOW)
     assert book.loading == {}
     assert settled(book, FIRST, now=NOW + AGAIN_SECONDS).is_busy(FIRST)
     assert not settled(book, FIRST, now=NOW + AGAIN_SECONDS + 0.1).is_busy(FIRST)
@@ -145,10 +145,10 @@
     """
     book, target = OrderBook(), replace(FIRST, born=None)
     join = join_of(target)
-    book.note_report(target, 4, now=NOW)
-    book.note_begun(join, expected=4, is_sure=True)
-    book.note_taken(join, NOW)
-    book.doubt_count(target)
-    assert not book.note_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
-    assert book.note_report(target, 0, now=NOW + 1.1 * REPORT_LAG_SECONDS)
+    book.record_report(target, 4, now=NOW)
+    book.record_begun(join, expected=4, is_sure=True)
+    book.record_taken(join, NOW)
+    book.invalidate_count(target)
+    assert not book.record_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
+    assert book.record_report(target, 0, now=NOW + 1.1 * REPORT_LAG_SECONDS)
     assert book.count(target) == 0
