--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -97,7 +97,7 @@
         self.on_place_answer: list[Callable[[PlaceAnswer], None]] = []
         self.on_work: list[Callable[[Work], None]] = []
 
-    def tell_nodes(self, message: Told, nodes: Iterable[str]) -> None:
+    def send_to(self, message: Told, nodes: Iterable[str]) -> None:
         """Send a message to some hosts."""
         loop = asyncio.get_running_loop()
         for node in nodes:
@@ -183,7 +183,7 @@
             loads=heartbeat_loads(loads),
             granted=self.dispatcher_client.granted,
         )
-        self.datagrams.tell_nodes(work, (host,))
+        self.datagrams.send_to(work, (host,))
 
     def _hear_work(self, work: Work) -> None:
         loads = self.directory.loads
--- a/mallowpond/node/configuration_sharing.py
+++ b/mallowpond/node/configuration_sharing.py
@@ -56,11 +56,11 @@
     def _ask(self) -> None:
         """Ask the strongest hosts for the configuration that this one lacks."""
         question = ConfigurationQuestion(node=self._name)
-        self._peers.tell_nodes(question, self._readers.strongest)
+        self._peers.send_to(question, self._readers.strongest)
 
     def _answer(self, question: ConfigurationQuestion) -> None:
         for part in self._in_parts():
-            self._peers.tell_nodes(part, (question.node,))
+            self._peers.send_to(part, (question.node,))
 
     def _in_parts(self) -> list[ConfigurationPart]:
         """Return the configuration in datagrams, none if it is too large for them."""
--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -180,7 +180,7 @@
 
     def _tell(self, asker: Asker, answer: PlaceAnswer) -> None:
         if asker.node != self._name:
-            self._peers.tell_nodes(answer, (asker.node,))
+            self._peers.send_to(answer, (asker.node,))
             return
         for notify in self.on_own_answer:
             notify(answer)
--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -151,7 +151,7 @@
             has_begun=claim.has_begun,
             avoided=tuple(sorted(self._with_avoided(seek).avoided)),
         )
-        self._peers.tell_nodes(question, (host,))
+        self._peers.send_to(question, (host,))
         answer = await self._next_answer(asker, ANSWER_SECONDS)
         if answer is None:
             self._silent_until = now + SILENT_SECONDS
--- a/mallowpond/node/fanout.py
+++ b/mallowpond/node/fanout.py
@@ -49,9 +49,9 @@
             return
         centres = self._peers.nodes_by_data_centre()
         near = [*centres.pop(self._data_centre, ()), *centres.pop("", ())]
-        self._peers.tell_nodes(message, near)
+        self._peers.send_to(message, near)
         relays = [self.relay(nodes) for nodes in centres.values()]
-        self._peers.tell_nodes(replace(message, pass_on=True), relays)
+        self._peers.send_to(replace(message, pass_on=True), relays)
 
     def relay(self, nodes: list[str]) -> str:
         """Return the host of a data centre that tells the others there.
@@ -71,7 +71,7 @@
             return
         near = self._peers.nodes_by_data_centre().get(self._data_centre, ())
         told = [node for node in near if node != message.node]
-        self._peers.tell_nodes(replace(message, pass_on=False), told)
+        self._peers.send_to(replace(message, pass_on=False), told)
 
 
 class PartCollector:
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -232,7 +232,7 @@
         while True:
             if self._is_among_seniors:
                 heartbeat = replace(self._describe(), interval=SENIOR_SECONDS)
-                self.tell_nodes(heartbeat, self.seniors)
+                self.send_to(heartbeat, self.seniors)
             await self._clock.sleep(SENIOR_SECONDS)
 
     @property
@@ -246,7 +246,7 @@
             self.tell(heartbeat)
             return
         others = self._addresses.keys() - self.seniors
-        self.tell_nodes(heartbeat, others)
+        self.send_to(heartbeat, others)
 
     async def run_rows(self) -> None:
         """Keep this node's row, and read those of others, until cancelled."""
@@ -299,12 +299,12 @@
     def ask_liveness(self, node: str, number: int, target: str) -> None:
         """Ask a peer whether a target lives."""
         question = LivenessQuestion(node=self._name, number=number, target=target)
-        self.tell_nodes(question, (node,))
+        self.send_to(question, (node,))
 
     def tell_liveness(self, question: LivenessQuestion, alive: bool) -> None:
         """Answer a peer that asked whether a target lives."""
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
-        self.tell_nodes(answer, (question.node,))
+        self.send_to(answer, (question.node,))
 
     def tell_vouch(self, target: str) -> None:
         """Tell every peer that a target which the list has lost is healthy."""
@@ -328,7 +328,7 @@
         peer = self._peers.get(node)
         return peer.heartbeat.cores if peer else 0.0
 
-    def tell_nodes(self, message: Message, nodes: Iterable[str]) -> None:
+    def send_to(self, message: Message, nodes: Iterable[str]) -> None:
         """Send a message to some peers."""
         self._send(message, (self._addresses[n] for n in nodes if n in self._addresses))
 
@@ -430,7 +430,7 @@
         if is_new and self._is_among_seniors:
             # A host that has just started must know whom to follow before the next
             # heartbeat of the fleet's pace, seconds later.
-            self.tell_nodes(self._describe(), (heartbeat.node,))
+            self.send_to(self._describe(), (heartbeat.node,))
 
     def _note_met(self, heartbeat: Heartbeat, now: float) -> None:
         self._met += 1
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -142,7 +142,7 @@
             by_receivers.setdefault(self._receivers(request), []).append(record)
         for receivers, records in by_receivers.items():
             message = CrashRecords(node=self._name, records=tuple(records))
-            self._peers.tell_nodes(message, receivers)
+            self._peers.send_to(message, receivers)
 
     def _receivers(self, request: str) -> frozenset[str]:
         """Return whom a record goes to: all hosts once it was held back."""
@@ -166,7 +166,7 @@
         for at in range(0, max(1, len(records)), RECORDS_AT_ONCE):
             part = tuple(records[at : at + RECORDS_AT_ONCE])
             answer = CrashRecords(node=self._name, records=part, answer=True)
-            self._peers.tell_nodes(answer, (question.node,))
+            self._peers.send_to(answer, (question.node,))
 
     async def run_asking(self) -> None:
         """Ask some peers what they know, as this process knows nothing yet."""
@@ -181,7 +181,7 @@
         """Ask some peers once."""
         live = [peer.heartbeat.node for peer in self._peers.live]
         asked = self._rng.sample(live, min(ASKED_PEERS, len(live)))
-        self._peers.tell_nodes(CrashQuestion(node=self._name), asked)
+        self._peers.send_to(CrashQuestion(node=self._name), asked)
 
     # -- the store -----------------------------------------------------------
 
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -236,7 +236,7 @@
         work = Work(
             node=self._name, loads=heartbeat_loads(loads), granted=self.granted()
         )
-        self._peers.tell_nodes(work, hosts - {self._name})
+        self._peers.send_to(work, hosts - {self._name})
 
     # -- the list of targets -------------------------------------------------
 
@@ -314,7 +314,7 @@
         # twice as many datagrams.
         names = self.names
         asked = [names[number % len(names)]] if names else []
-        self._peers.tell_nodes(question, asked)
+        self._peers.send_to(question, asked)
 
     def _answer(self, question: VersionQuestion) -> None:
         confirmation = self._configuration.confirmation
@@ -326,7 +326,7 @@
             version=confirmation.version,
             age=confirmation.age(self._clock.now()),
         )
-        self._peers.tell_nodes(answer, (question.node,))
+        self._peers.send_to(answer, (question.node,))
 
     def _note_answer(self, answer: VersionAnswer) -> None:
         self._configuration.hear_answer(answer.number, answer.version, answer.age)
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -39,7 +39,7 @@
         self.on_place_question, self.on_place_answer = [], []
         self.sent = []
 
-    def tell_nodes(self, message, nodes):
+    def send_to(self, message, nodes):
         """Hand a message to the other host."""
         self.sent.append(message)
         if self.is_cut or self.other is None or self.other.name not in nodes:
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -392,7 +392,7 @@
     """Build a host of a fleet over several data centres, with what it sends to whom."""
     host = Host(name, data_centre=name[0], cores=0.5 if int(name[1:]) > 2 else 2.0)
     host.sent = []
-    host.peers.tell_nodes = lambda message, nodes: host.sent.append(
+    host.peers.send_to = lambda message, nodes: host.sent.append(
         (message, sorted(nodes))
     )
     for centre in centres:
