--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -167,7 +167,7 @@
         if fleet.scenario.dispatched:
             self.streams.placement.dispatcher_client = dispatcher_client
             self.streams.on_end.append(self.tell_work)
-            dispatcher_client.on_unused.append(self.tell_work)
+            dispatcher_client.on_unused_grant.append(self.tell_work)
             self.datagrams.on_work.append(self._hear_work)
 
     def tell_work(self) -> None:
--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -78,7 +78,7 @@
         # The last place that the dispatcher gave, of which peers are told.
         self.granted = 0
         # Called when a place was given that no stream takes any more.
-        self.on_unused: list[Callable[[], None]] = []
+        self.on_unused_grant: list[Callable[[], None]] = []
         peers.on_place_answer.append(self._hear)
         dispatcher.on_own_answer.append(self._hear)
 
@@ -209,5 +209,5 @@
 
     def give_back(self) -> None:
         """Tell that a place was given which no stream takes."""
-        for notify in self.on_unused:
+        for notify in self.on_unused_grant:
             notify()
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -207,7 +207,7 @@
         )
         self.streams.placement.dispatcher_client = self.dispatcher_client
         self.streams.on_end.append(self._tell_end)
-        self.dispatcher_client.on_unused.append(self._tell_end)
+        self.dispatcher_client.on_unused_grant.append(self._tell_end)
         self.readers.granted = lambda: self.dispatcher_client.granted
         self.sharing = ConfigurationSharing(
             name=settings.name,
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -173,7 +173,7 @@
 async def test_a_place_that_nobody_takes_is_free_again():
     """Guard against places that are lost with the callers who left."""
     site = await site_of("a")
-    site.dispatcher_client.on_unused.append(site.tell_work)
+    site.dispatcher_client.on_unused_grant.append(site.tell_work)
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
     site.rig_b.directory.loads.record_peer_loads("c", full)
     serving = asyncio.create_task(
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -122,7 +122,7 @@
     """
     site = await site_of("a")
     rig, unused = site.rig_a, []
-    site.dispatcher_client.on_unused.append(lambda: unused.append(True))
+    site.dispatcher_client.on_unused_grant.append(lambda: unused.append(True))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
 
     def grant(number):
