--- a/mallowpond/state/rows.py
+++ b/mallowpond/state/rows.py
@@ -105,7 +105,7 @@
     members: tuple[GroupMember, ...]
 
     @property
-    def leader(self) -> GroupMember:
+    def head(self) -> GroupMember:
         """Return the member that requests are sent to."""
         return self.members[0]
 
