--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -17,7 +17,7 @@
 ENDINGS_TO_QUARANTINE = 3
 # Of these, how many must not be explained by a request that is held back already: those
 # that stood beside it came to share its endings, and one more may be chance.
-UNEXPLAINED_TO_HOLD = 2
+UNEXPLAINED_TO_QUARANTINE = 2
 # Time for which a request is held back after the last target that it ended, in seconds:
 # a target is replaced or repaired in minutes, and one more try then costs one target.
 QUARANTINE_SECONDS = 600.0
@@ -249,7 +249,7 @@
         held = []
         for request in sorted(self._suspects, key=self._rank):
             evidence = self._entries[request].evidence
-            if len(evidence - explained) >= UNEXPLAINED_TO_HOLD:
+            if len(evidence - explained) >= UNEXPLAINED_TO_QUARANTINE:
                 held.append(request)
                 explained |= evidence
         self._held = frozenset(held)
