--- a/mallowpond/node/configuration_sharing.py
+++ b/mallowpond/node/configuration_sharing.py
@@ -51,7 +51,7 @@
     def _tell_fleet(self) -> None:
         if self._readers.reads:
             for part in self._in_parts():
-                self._fanout.tell(part)
+                self._fanout.broadcast(part)
 
     def _ask(self) -> None:
         """Ask the strongest hosts for the configuration that this one lacks."""
--- a/mallowpond/node/fanout.py
+++ b/mallowpond/node/fanout.py
@@ -42,10 +42,10 @@
         self._peers = peers
         self._readers = readers
 
-    def tell(self, message: Relayed) -> None:
+    def broadcast(self, message: Relayed) -> None:
         """Tell every host, those of other data centres through one of theirs."""
         if not self._peers.is_large:
-            self._peers.tell(message)
+            self._peers.broadcast(message)
             return
         centres = self._peers.nodes_by_data_centre()
         near = [*centres.pop(self._data_centre, ()), *centres.pop("", ())]
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -243,7 +243,7 @@
         """Tell the fleet how this node is, but those that hear it more often."""
         heartbeat = self._describe()
         if not self._is_among_seniors:
-            self.tell(heartbeat)
+            self.broadcast(heartbeat)
             return
         others = self._addresses.keys() - self.seniors
         self.send_to(heartbeat, others)
@@ -266,7 +266,7 @@
         self, key: tuple[str, int], *, cleared: bool = False, closing: bool = False
     ) -> None:
         """Tell every peer that a group is silent, sound again, or closing."""
-        self.tell(
+        self.broadcast(
             Suspicion(
                 node=self._name,
                 group=key[0],
@@ -280,7 +280,7 @@
         """Tell every peer that a formation serves no more."""
         if group.head is None:
             return
-        self.tell(
+        self.broadcast(
             GroupBroken(
                 node=self._name,
                 group=group.name,
@@ -292,7 +292,7 @@
 
     def ask_about(self, key: GroupKey, silent: float) -> None:
         """Ask every peer whether a group advances."""
-        self.tell(
+        self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
         )
 
@@ -308,9 +308,9 @@
 
     def tell_vouch(self, target: str) -> None:
         """Tell every peer that a target which the list has lost is healthy."""
-        self.tell(Vouch(node=self._name, targets=(target,)))
+        self.broadcast(Vouch(node=self._name, targets=(target,)))
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every known peer."""
         self._send(message, self._addresses.values())
 
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -142,4 +142,4 @@
             told.append(word)
             self._told_at[process] = now
         if told and self._peers is not None:
-            self._peers.tell(RateLimitNews(node=self._name, limits=tuple(told)))
+            self._peers.broadcast(RateLimitNews(node=self._name, limits=tuple(told)))
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -203,7 +203,7 @@
             if self._peers.is_large and is_first
             else {}
         )
-        self._fanout.tell(
+        self._fanout.broadcast(
             Digest(
                 node=self._name,
                 version=known.version,
@@ -244,7 +244,7 @@
         if not self._reads:
             return
         for change in self._in_parts(read, previous):
-            self._fanout.tell(change)
+            self._fanout.broadcast(change)
 
     def _in_parts(self, read: TargetsRead, previous: int) -> list[ListChange]:
         """Return a change in datagrams, none if it is too large for them."""
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -218,7 +218,7 @@
         )
         self.readers.on_news.append(self.streams.placement.wake_all)
         self.configuration.on_newer.append(self._tell_version)
-        self.leadership.on_taken.append(lambda: self.peers.tell(self._describe()))
+        self.leadership.on_taken.append(lambda: self.peers.broadcast(self._describe()))
         self.peers.on_heartbeat.append(self._note_heartbeat)
         self.peers.on_vouch.append(self.directory.vouch)
         self.peers.on_work.append(lambda work: self.dispatcher.wake())
@@ -283,7 +283,7 @@
         """Tell the balancer, serve on for a moment, then finish what is in progress."""
         self.ingress.is_stopping = True
         await self._hand_over()
-        self.peers.tell(self._describe())
+        self.peers.broadcast(self._describe())
         log.info("node: draining", in_flight=self.ingress.in_flight)
         grace = self._settings.bounds.grace
         started = self._clock.now()
@@ -389,7 +389,7 @@
     def _tell_version(self) -> None:
         """Tell a newer version at once; in a large fleet only the readers do."""
         if not self.peers.is_large:
-            self.peers.tell(self._describe())
+            self.peers.broadcast(self._describe())
         elif self.readers.reads:
             self.readers.step()
 
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -351,7 +351,7 @@
     peers._transport = FakeTransport(sent=sent)
     peers.datagram_received(encode(replace(beat("c"), address=address)), SENDER)
     peers.datagram_received(encode(beat("b")), SENDER)
-    peers.tell(Advance(node="a", group="g", epoch=1))
+    peers.broadcast(Advance(node="a", group="g", epoch=1))
     assert sent == [("127.0.0.1", 9)]
 
 
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -193,7 +193,7 @@
         self.on_rate_limits, self.other, self.losses = [], None, 0
         self.live = ()
 
-    def tell(self, news):
+    def broadcast(self, news):
         """Hand news to the other host."""
         assert isinstance(news, RateLimitNews)
         if self.losses:
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -413,7 +413,7 @@
     """
     host = large_fleet("a0")
     message = digest(changed=10)
-    host.fanout.tell(message)
+    host.fanout.broadcast(message)
     (near, near_nodes), (far, far_nodes) = host.sent
     assert (near.pass_on, far.pass_on) == (False, True)
     assert near_nodes == sorted(f"a{number}" for number in range(1, 20))
