--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -73,7 +73,7 @@
         self._traffic = traffic
         self._limits_version = 0
         self.is_stopping = False
-        self.ends_at = float("inf")
+        self.shutdown_at = float("inf")
         self.in_flight = 0
         self.server = HttpServer(
             handler=self._handle, on_bad_input=self._answer_bad_input
@@ -89,7 +89,7 @@
                 "ingress: reached while stopping",
                 target=request.path,
                 earlier=exchange.earlier,
-                left=round(self.ends_at - self._clock.now(), 3),
+                left=round(self.shutdown_at - self._clock.now(), 3),
             )
         try:
             await self._serve(request, exchange)
@@ -198,7 +198,7 @@
             deadline=deadline,
             exchange=exchange,
         )
-        if deadline > self.ends_at:
+        if deadline > self.shutdown_at:
             # Calls are short: until its deadline each has its answer, or an end.
             return self._come_back(Reason.STOPPING)
         return await self._calls.serve(call)
@@ -207,7 +207,7 @@
         """Tell whether a stream that is begun now ends before this host does."""
         return can_finish(
             longest_seconds=self._streams.placement.longest_seconds(work),
-            seconds_left=self.ends_at - self._clock.now(),
+            seconds_left=self.shutdown_at - self._clock.now(),
         )
 
     def _come_back(self, reason: Reason) -> Refusal:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -289,7 +289,7 @@
         started = self._clock.now()
         lame_until = started + min(LAME_SECONDS, 0.5 * grace)
         limit = started + grace - CLOSING_SECONDS
-        self.ingress.ends_at = self.streams.placement.ends_at = limit
+        self.ingress.shutdown_at = self.streams.placement.shutdown_at = limit
         while self._clock.now() < lame_until:
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._hand_over()
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -63,7 +63,7 @@
         )
         # Without it this host goes by news of the others alone.
         self.dispatcher_client: DispatcherClient | None = None
-        self.ends_at = inf
+        self.shutdown_at = inf
 
     def note_shape(self, work: StreamWork) -> None:
         """Remember what a stream of its model looks like, for those that wait."""
@@ -281,9 +281,9 @@
         Judged only when it was taken, a stream got a place just before its host ended
         and was cut off; its caller can still come back to another host.
         """
-        if self.ends_at == inf or work.has_begun:
+        if self.shutdown_at == inf or work.has_begun:
             return False
-        return self._clock.now() + self.longest_seconds(work) > self.ends_at
+        return self._clock.now() + self.longest_seconds(work) > self.shutdown_at
 
     def _refuse_unplaced(self, work: StreamWork) -> Refusal:
         """Refuse a stream that waited in vain."""
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -196,7 +196,7 @@
     """
     async with ingress_of(SITE) as (ingress, _):
         ingress.is_stopping = True
-        ingress.ends_at = ingress._clock.now() + left
+        ingress.shutdown_at = ingress._clock.now() + left
         data = request("X-Mallowpond-Model: m", target=target)
         answer = await talk(ingress, data)
     assert answer.startswith(b"HTTP/1.1 %d " % status)
@@ -211,7 +211,7 @@
     """
     async with ingress_of(SITE) as (ingress, calls):
         ingress.is_stopping = True
-        ingress.ends_at = ingress._clock.now() + 0.1
+        ingress.shutdown_at = ingress._clock.now() + 0.1
         answer = await talk(ingress, request())
     assert answer.startswith(b"HTTP/1.1 503 ")
     assert b"retry-after: " in answer.lower()
