--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -42,10 +42,10 @@
 # started, in seconds, and the share of their own time that they may wait: the first
 # read of a large one by many hosts takes longer than a start, and callers that lost
 # their first try with all hosts come again only once.
-FIRST_READ_SECONDS = 1.5
-FIRST_READ_SHARE = 0.3
+FIRST_CONFIGURATION_SECONDS = 1.5
+FIRST_CONFIGURATION_SHARE = 0.3
 # Longest time that a request without a limit of its own is served, in seconds.
-DEFAULT_SECONDS = 30.0
+DEFAULT_TIMEOUT_SECONDS = 30.0
 
 
 class Ingress:
@@ -151,28 +151,31 @@
     async def _admit_and_serve(
         self, request: CallerRequest, exchange: Exchange, started_at: float
     ) -> ServeOutcome:
-        limit = min(FIRST_READ_SECONDS, FIRST_READ_SHARE * _own_seconds(request))
+        limit = min(
+            FIRST_CONFIGURATION_SECONDS,
+            FIRST_CONFIGURATION_SHARE * _requested_seconds(request),
+        )
         await self._configuration.wait_for_first(limit)
         configuration = self._configuration.configuration
         if configuration is None:
-            return self._come_back(Reason.NO_CONFIGURATION)
+            return self._retry_later(Reason.NO_CONFIGURATION)
         self._apply_limits(configuration)
         route = configuration.find_route(request.host, request.path)
         if route is None:
             if not self._configuration.is_sure:
                 # A newer version may have the route.
-                return self._come_back(Reason.UNSURE)
+                return self._retry_later(Reason.UNSURE)
             return Refusal(status=404, reason=Reason.NO_ROUTE)
         workspace, priority = None, route.priority
         if configuration.uses_keys and route.needs_key:
             if not self._configuration.is_sure:
-                return self._come_back(Reason.UNSURE)
+                return self._retry_later(Reason.UNSURE)
             holder = configuration.keys.get(request.key or "")
             if holder is None:
                 return Refusal(status=401, reason=Reason.UNKNOWN_KEY)
             workspace, priority = holder.workspace, holder.priority
         service = choose_backend(route, self._rng.random())
-        deadline = started_at + _seconds_left(request, route)
+        deadline = started_at + _timeout_seconds(request, route)
         if route.repeat is Repeat.STREAM:
             shape = _shape(configuration, service, request)
             if shape is not None:
@@ -188,7 +191,7 @@
                     exchange=exchange,
                 )
                 if self.is_stopping and not self._can_finish(work):
-                    return self._come_back(Reason.STOPPING)
+                    return self._retry_later(Reason.STOPPING)
                 return await self._streams.serve(work)
         call = CallWork(
             request=request,
@@ -200,7 +203,7 @@
         )
         if deadline > self.ends_at:
             # Calls are short: until its deadline each has its answer, or an end.
-            return self._come_back(Reason.STOPPING)
+            return self._retry_later(Reason.STOPPING)
         return await self._calls.serve(call)
 
     def _can_finish(self, work: StreamWork) -> bool:
@@ -210,7 +213,7 @@
             seconds_left=self.ends_at - self._clock.now(),
         )
 
-    def _come_back(self, reason: Reason) -> Refusal:
+    def _retry_later(self, reason: Reason) -> Refusal:
         after = spread_retry_after(UNSURE_RETRY_SECONDS, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
@@ -257,13 +260,15 @@
         await exchange.respond(bad.status, json.dumps({"error": bad.reason}).encode())
 
 
-def _own_seconds(request: CallerRequest) -> float:
+def _requested_seconds(request: CallerRequest) -> float:
     left = request.seconds_left
-    return DEFAULT_SECONDS if left is None else left
+    return DEFAULT_TIMEOUT_SECONDS if left is None else left
 
 
-def _seconds_left(request: CallerRequest, route: Route) -> float:
-    return min(_own_seconds(request), route.timeout_seconds or DEFAULT_SECONDS)
+def _timeout_seconds(request: CallerRequest, route: Route) -> float:
+    return min(
+        _requested_seconds(request), route.timeout_seconds or DEFAULT_TIMEOUT_SECONDS
+    )
 
 
 def _shape(
--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -31,7 +31,7 @@
 LEASE_KEY = "leases/planner"
 LEASE_NAME = "planner"
 # Pause between two looks at who should plan, in seconds.
-LOOK_SECONDS = 0.2
+CHECK_SECONDS = 0.2
 # Pause between two renewals, in seconds, and the time after which a lease that was
 # not renewed has lapsed: three renewals and the longest usual answer.
 RENEW_SECONDS = 1.5
@@ -45,7 +45,7 @@
 # second of silence after which another node takes it.
 CONFIRMED_SECONDS = 0.8
 # Time after its start within which a node waits to hear of a planner, in seconds.
-LISTEN_SECONDS = 0.6
+DISCOVERY_SECONDS = 0.6
 
 
 class Leadership:
@@ -79,8 +79,8 @@
         self._version = 0
         self._renewed_at = float("-inf")
         self._started_at = clock.now()
-        self._watched: tuple[int, float] | None = None
-        self.on_taken: list[Callable[[], None]] = []
+        self._unchanged_since: tuple[int, float] | None = None
+        self.on_acquired: list[Callable[[], None]] = []
 
     @property
     def fence(self) -> int:
@@ -93,7 +93,7 @@
         return 0
 
     @property
-    def age(self) -> float:
+    def renewal_age(self) -> float:
         """Return the seconds since the lease was surely held."""
         return self._clock.now() - self._renewed_at
 
@@ -101,19 +101,19 @@
         """Take, renew and give up until cancelled."""
         while True:
             await self.step()
-            await self._clock.sleep(LOOK_SECONDS)
+            await self._clock.sleep(CHECK_SECONDS)
 
     async def step(self) -> None:
         """Look once at who should plan."""
         now = self._clock.now()
         if self._fence:
-            if self._is_overruled():
+            if self._is_superseded():
                 self.step_down("a peer plans with a higher number")
             elif now - self._renewed_at >= RENEW_SECONDS:
                 await self.renew()
             return
-        if self._should_take(now):
-            await self._take()
+        if self._should_acquire(now):
+            await self._acquire()
 
     def step_down(self, reason: str) -> None:
         """Stop planning; the row stays as it is."""
@@ -126,11 +126,11 @@
         if self._fence:
             self.step_down("this node stops")
 
-    def _is_overruled(self) -> bool:
+    def _is_superseded(self) -> bool:
         return any(p.heartbeat.planning > self._fence for p in self._peers.live)
 
-    def _should_take(self, now: float) -> bool:
-        if not self._may_plan() or now - self._started_at < LISTEN_SECONDS:
+    def _should_acquire(self, now: float) -> bool:
+        if not self._may_plan() or now - self._started_at < DISCOVERY_SECONDS:
             return False
         able = [p.heartbeat for p in self._peers.live]
         able = [h for h in able if h.store and not h.stopping]
@@ -139,24 +139,24 @@
         cores = {self._name: self._cores, **{h.node: h.cores for h in able}}
         return ranked_by_capacity(LEASE_NAME, cores)[0] == self._name
 
-    async def _take(self) -> None:
+    async def _acquire(self) -> None:
         row = await self._table.read(LEASE_KEY)
         if isinstance(row, Unavailable):
             log.warning("planner: lease not read", reason=row.reason)
             return
         fence, version = 1, 0
         if row is not None:
-            lease = _lease_of(row)
-            if not self._may_replace(row.version, lease):
+            lease = _decode_lease(row)
+            if not self._can_take_over(row.version, lease):
                 return
             fence, version = _next_fence(row.version, lease), row.version
         if await self._write(fence, version):
             self._fence = fence
-            self._tell_taken(fence)
-            for notify in self.on_taken:
+            self._log_acquired(fence)
+            for notify in self.on_acquired:
                 notify()
 
-    def _tell_taken(self, fence: int) -> None:
+    def _log_acquired(self, fence: int) -> None:
         """Log what this node took the lease for: the last planner as it was heard."""
         last = self._peers.last_planner
         log.info(
@@ -168,7 +168,7 @@
             stopped=last and last.heartbeat.stopping,
         )
 
-    def _may_replace(self, version: int, lease: LeaseRow | Unreadable) -> bool:
+    def _can_take_over(self, version: int, lease: LeaseRow | Unreadable) -> bool:
         """Tell whether the holder can do no harm any more.
 
         Engines that check fencing refuse an old holder; elsewhere its lease has to
@@ -177,18 +177,18 @@
         """
         limit = LEASE_SECONDS + RENEW_SECONDS
         if self._checks_fencing and isinstance(lease, LeaseRow):
-            if self._is_gone(lease):
+            if self._is_holder_gone(lease):
                 return True
             limit = UNRENEWED_SECONDS
         now = self._clock.now()
-        if self._watched is None or self._watched[0] != version:
-            self._watched = (version, now)
+        if self._unchanged_since is None or self._unchanged_since[0] != version:
+            self._unchanged_since = (version, now)
             if isinstance(lease, Unreadable):
                 self._notes.note("lease", LEASE_KEY, lease)
             return False
-        return now - self._watched[1] > limit
+        return now - self._unchanged_since[1] > limit
 
-    def _is_gone(self, lease: LeaseRow) -> bool:
+    def _is_holder_gone(self, lease: LeaseRow) -> bool:
         if lease.holder == self._name:
             return True
         return self._peers.is_gone(lease.holder, lease.incarnation)
@@ -196,7 +196,7 @@
     async def confirm(self) -> bool:
         """Renew the lease; tell whether it is surely held."""
         await self.renew()
-        return self._fence > 0 and self.age < CONFIRMED_SECONDS
+        return self._fence > 0 and self.renewal_age < CONFIRMED_SECONDS
 
     async def renew(self) -> None:
         """Renew the lease, and learn by it whether another node took it."""
@@ -223,7 +223,7 @@
         return False
 
 
-def _lease_of(row: Row | UnreadableRow) -> LeaseRow | Unreadable:
+def _decode_lease(row: Row | UnreadableRow) -> LeaseRow | Unreadable:
     if isinstance(row, UnreadableRow):
         return Unreadable(fault=Fault.BYTES)
     lease = decode(row.value, LeaseRow)
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -67,7 +67,7 @@
 SUMMARY_SECONDS = 2.0
 # Pause between two questions to the targets of orders while the list is lost, in
 # seconds: reports lag by some hundred milliseconds.
-ASK_SECONDS = 0.3
+PENDING_POLL_SECONDS = 0.3
 # Time between two plans from which this process counts as having stood still, in
 # seconds: another node takes over after a second of silence, and a number that it has
 # not given to every member of a group does not guard the others.
@@ -115,8 +115,8 @@
         self._book = OrderBook()
         # Both are kept beyond a planner's term: one that knew only what the list shows
         # at its start would take a group for whole whose member has started again.
-        self._seen: dict[GroupKey, set[Process]] = {}
-        self._noted: dict[GroupKey, Group] = {}
+        self._seen_processes: dict[GroupKey, set[Process]] = {}
+        self._recorded_groups: dict[GroupKey, Group] = {}
         self._processes = PresentProcesses()
         self._gate = CallGate(clock=clock)
         self._probes = TargetProbes(
@@ -129,32 +129,32 @@
             clock=clock,
             gate=self._gate,
             intake=intake,
-            may_learn=self._may_learn,
+            is_report_current=self._is_report_current,
             spawn=self._spawn,
         )
         self._reset()
-        leadership.on_taken.append(self._reset)
-        directory.on_change.append(self._note_members)
+        leadership.on_acquired.append(self._reset)
+        directory.on_change.append(self._record_members)
         watch.on_suspect.append(self._investigate)
 
     def _reset(self) -> None:
         self._probes.reset()
         self._book.reset()
-        self._is_fresh = False
+        self._has_fresh_list = False
         self._stepped_at = self._clock.now()
-        self._lease_asked_at = float("-inf")
+        self._lease_checked_at = float("-inf")
         self._next_epoch = self._leadership.fence * EPOCHS_PER_FENCE + 1
         self._closed: set[GroupKey] = set()
-        self._ended: set[GroupKey] = set()
+        self._restarted_groups: set[GroupKey] = set()
         self._leaving_since: dict[Process, float] = {}
         self._formations: dict[GroupKey, Formation] = {}
         self._first_seen: dict[GroupKey, float] = {}
-        self._cleared: dict[GroupKey, list[float]] = {}
+        self._cleared_at: dict[GroupKey, list[float]] = {}
         self._loads_begun: list[float] = []
-        self._asked_at = float("-inf")
+        self._polled_at = float("-inf")
         self._planned_at = float("-inf")
-        self._has_news = True
-        self._summed_up_at = float("-inf")
+        self._has_changes = True
+        self._summarized_at = float("-inf")
 
     async def run(self) -> None:
         """Plan until cancelled."""
@@ -175,19 +175,19 @@
             self._directory.poll_seconds = POLL_SECONDS
             return
         self._directory.poll_seconds = (
-            PLANNER_POLL_SECONDS if self._awaits_effects else POLL_SECONDS
+            PLANNER_POLL_SECONDS if self._has_pending_effects else POLL_SECONDS
         )
-        if not await self._is_confirmed():
+        if not await self._is_lease_confirmed():
             return
         self._stepped_at = self._clock.now()
-        if not self._is_fresh:
+        if not self._has_fresh_list:
             # A plan on an old list would take apart what the last planner formed.
-            self._is_fresh = await self._directory.refresh()
+            self._has_fresh_list = await self._directory.refresh()
             return
         configuration = self._configuration.configuration
         if configuration is None or not self._is_due():
             return
-        self._planned_at, self._has_news = self._stepped_at, False
+        self._planned_at, self._has_changes = self._stepped_at, False
         self._settle()
         for service in configuration.services.values():
             if service.profile is not None and service.profile.models:
@@ -195,26 +195,26 @@
 
     def _is_due(self) -> bool:
         """Tell whether a plan may find something to do."""
-        if self._has_news or self._awaits_effects:
+        if self._has_changes or self._has_pending_effects:
             return True
         return self._clock.now() - self._planned_at >= IDLE_PLAN_SECONDS
 
     @property
-    def _awaits_effects(self) -> bool:
+    def _has_pending_effects(self) -> bool:
         """Tell whether the list is about to show what was ordered."""
         if self._book.busy:
             return True
         forming = (GroupPhase.JOINING, GroupPhase.READY, GroupPhase.CLOSING)
         return any(g.phase in forming for g in self._directory.groups.values())
 
-    async def _is_confirmed(self) -> bool:
+    async def _is_lease_confirmed(self) -> bool:
         """Tell whether the lease is held, asked for anew after this process paused."""
         if not self._has_paused:
             return True
         now = self._clock.now()
-        if now - self._lease_asked_at < LEASE_CHECK_SECONDS:
+        if now - self._lease_checked_at < LEASE_CHECK_SECONDS:
             return False
-        self._lease_asked_at = now
+        self._lease_checked_at = now
         log.info("planner: paused", seconds=round(now - self._stepped_at, 3))
         return await self._leadership.confirm()
 
@@ -228,20 +228,20 @@
     def _plan_service(self, service: str, profile: EngineProfile) -> None:
         view = self._view(service, profile)
         steps = plan_steps(view)
-        if view.now - self._summed_up_at > SUMMARY_SECONDS:
-            self._summed_up_at = view.now
+        if view.now - self._summarized_at > SUMMARY_SECONDS:
+            self._summarized_at = view.now
             log_summary(self._directory, view)
         for step in steps:
             if isinstance(step, Join):
-                self._remember(step)
-            self._begin(step)
+                self._record_formation(step)
+            self._start_order(step)
 
     def _view(self, service: str, profile: EngineProfile) -> FormationView:
         now = self._clock.now()
         return FormationView(
             profile=profile,
             targets=tuple(
-                self._as_known(target)
+                self._with_latest_state(target)
                 for target in self._directory.all_of_service(service)
             ),
             now=now,
@@ -253,10 +253,10 @@
             formations=self._formations,
             first_seen=self._first_seen,
             unheld=self._processes.unheld,
-            seen={key: frozenset(seen) for key, seen in self._seen.items()},
+            seen={key: frozenset(seen) for key, seen in self._seen_processes.items()},
             distrusted=frozenset(
                 key
-                for key, times in self._cleared.items()
+                for key, times in self._cleared_at.items()
                 if sum(now - at < CLEARED_SECONDS for at in times) >= CLEARED_SUSPICIONS
             ),
             closed=frozenset(self._closed),
@@ -268,7 +268,7 @@
             newest_target_at=self._directory.newest_target_at,
         )
 
-    def _as_known(self, target: Target) -> Target:
+    def _with_latest_state(self, target: Target) -> Target:
         """Return a target as answers and orders show it before the list does."""
         if self._probes.is_leaving(target):
             return replace(target, draining=True)
@@ -280,7 +280,7 @@
         targets = self._directory.targets
         return {t: self._processes.present(listed) for t, listed in targets.items()}
 
-    def _remember(self, step: Join) -> None:
+    def _record_formation(self, step: Join) -> None:
         self._next_epoch = max(self._next_epoch, step.epoch + 1)
         key = (step.group, step.epoch)
         if key not in self._formations:
@@ -298,20 +298,24 @@
                 ordered_at=self._clock.now(),
             )
             present = self._present
-            self._seen[key] = {present[member].process for member in step.members}
+            self._seen_processes[key] = {
+                present[member].process for member in step.members
+            }
 
-    def _note_members(self) -> None:
+    def _record_members(self) -> None:
         """Note the processes that the list shows in each group."""
-        self._has_news = True
+        self._has_changes = True
         self._processes.settle(self._directory.targets, now=self._clock.now())
         groups = self._directory.groups
         known = groups.keys() | self._formations.keys()
-        self._seen = {key: seen for key, seen in self._seen.items() if key in known}
+        self._seen_processes = {
+            key: seen for key, seen in self._seen_processes.items() if key in known
+        }
         for key, group in groups.items():
-            if self._noted.get(key) is not group:
+            if self._recorded_groups.get(key) is not group:
                 members = {member.process for member in group.members}
-                self._seen.setdefault(key, set()).update(members)
-        self._noted = dict(groups)
+                self._seen_processes.setdefault(key, set()).update(members)
+        self._recorded_groups = dict(groups)
 
     def _settle(self) -> None:
         """Drop what the list shows to be done, and what is out of date."""
@@ -327,7 +331,7 @@
             for target in targets.values()
             if target.draining or self._probes.is_leaving(target)
         }
-        for known in (self._first_seen, self._cleared):
+        for known in (self._first_seen, self._cleared_at):
             for key in [k for k in known if k not in groups]:
                 del known[key]
         self._formations = {
@@ -336,23 +340,27 @@
             if key in groups or now - formation.ordered_at < self._stall_seconds
         }
         self._closed &= groups.keys()
-        self._note_ended(present)
+        self._log_restarted(present)
         self._loads_begun = [at for at in self._loads_begun if now - at < 10.0]
-        self._probes.look()
+        self._probes.probe_due()
         if self._directory.is_lost:
-            self._ask_pending(now)
+            self._poll_pending(now)
 
-    def _note_ended(self, present: dict[str, Target]) -> None:
+    def _log_restarted(self, present: dict[str, Target]) -> None:
         """Log each group that ends by the restart of a member, once."""
         groups = self._directory.groups
-        ended = {k for k, seen in self._seen.items() if has_restarted(seen, present)}
-        for name, epoch in sorted(ended & groups.keys() - self._ended):
+        ended = {
+            k
+            for k, seen in self._seen_processes.items()
+            if has_restarted(seen, present)
+        }
+        for name, epoch in sorted(ended & groups.keys() - self._restarted_groups):
             log.info("planner: member started again", group=name, epoch=epoch)
-        self._ended = ended & groups.keys()
+        self._restarted_groups = ended & groups.keys()
 
     # -- orders --------------------------------------------------------------
 
-    def _begin(self, step: Step) -> None:
+    def _start_order(self, step: Step) -> None:
         now = self._clock.now()
         if self._book.is_busy(step.target):
             return
@@ -362,30 +370,30 @@
             self._peers.tell_suspicion((step.group, step.epoch), closing=True)
         if is_load(step):
             self._loads_begun.append(now)
-        self._spawn(self._order(step, self._leadership.fence))
+        self._spawn(self._send_order(step, self._leadership.fence))
 
-    async def _order(self, step: Step, fence: int) -> None:
+    async def _send_order(self, step: Step, fence: int) -> None:
         """Give an order under the fencing number with which it was planned."""
         target = step.target
-        if isinstance(step, Join) and self._stands_elsewhere(step):
-            self._give_back(step)
+        if isinstance(step, Join) and self._has_joined_elsewhere(step):
+            self._release_target(step)
             return
-        expected = await self._count_of(target)
+        expected = await self._order_count(target)
         if expected is None:
-            self._give_back(step)
+            self._release_target(step)
             return
         # Planned before this node lost the lease and took it anew, an order rests on
         # what was since forgotten.
         async with self._gate.turn():
             is_held = fence and fence == self._leadership.fence
-            if not is_held or self._has_paused or self._is_overtaken(step):
-                self._give_back(step)
+            if not is_held or self._has_paused or self._is_outdated(step):
+                self._release_target(step)
                 return
             end = await self._targets.order(step, fence=fence, expected=expected)
         self._gate.note(answered=not isinstance(end, OrderLost))
-        self._note(step, end, expected=expected)
+        self._handle_result(step, end, expected=expected)
 
-    def _is_overtaken(self, step: Step) -> bool:
+    def _is_outdated(self, step: Step) -> bool:
         """Tell whether an order's target, or a member it counts on, is another process.
 
         Nor may a member join a formation that is over by now. The plan is as old as
@@ -399,13 +407,13 @@
         key = (step.group, step.epoch)
         if isinstance(step, Join) and key not in self._formations:
             return True
-        seen = self._seen.get(key, ())
+        seen = self._seen_processes.get(key, ())
         targets = self._directory.targets
         listed = [targets[p.id] for p in seen if p.id in targets]
         present = {t.id: self._processes.present(t) for t in listed}
         return has_restarted(seen, present)
 
-    def _stands_elsewhere(self, step: Join) -> bool:
+    def _has_joined_elsewhere(self, step: Join) -> bool:
         """Tell whether a target has joined another group here and not left it.
 
         The list may show the join late; what was ordered counts before what is shown.
@@ -419,7 +427,7 @@
         log.warning("planner: join withheld", target=step.target.id, stands_in=key[0])
         return True
 
-    async def _count_of(self, target: Target) -> int | None:
+    async def _order_count(self, target: Target) -> int | None:
         known = self._book.count(target)
         if known is not None:
             return known
@@ -445,7 +453,7 @@
             return False
         return self._processes.present(listed).process == target.process
 
-    def _note(self, step: Step, end: OrderEnd, *, expected: int) -> None:
+    def _handle_result(self, step: Step, end: OrderEnd, *, expected: int) -> None:
         target = step.target
         is_late = not self._is_present(target)
         kind = type(step).__name__.lower()
@@ -466,10 +474,10 @@
             case OrderTaken(began=began):
                 if began or isinstance(step, Leave):
                     self._book.note_begun(step, expected=expected, is_sure=began)
-                self._note_taken(step)
+                self._record_accepted(step)
             case OrderFenced():
                 self._book.doubt_count(target)
-                self._give_back(step)
+                self._release_target(step)
                 self._spawn(self._check_lease())
             case OrderUnfit() if isinstance(step, Stage):
                 # It loads already, by an order of an earlier planner.
@@ -477,17 +485,17 @@
                 self._book.end(target)
             case OrderUnfit():
                 self._book.doubt_count(target)
-                self._give_back(step)
+                self._release_target(step)
             case OrderMisdirected():
                 self._book.doubt_count(target)
-                self._give_back(step)
-                self._probes.note_replaced(target)
+                self._release_target(step)
+                self._probes.mark_replaced(target)
             case OrderLost():
                 self._book.doubt_count(target)
-                self._give_back(step)
+                self._release_target(step)
                 self._probes.investigate(target)
 
-    def _note_taken(self, step: Step) -> None:
+    def _record_accepted(self, step: Step) -> None:
         self._book.note_taken(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
@@ -498,18 +506,18 @@
             case Close(group=group, epoch=epoch):
                 self._closed.add((group, epoch))
 
-    def _may_learn(self, target: Target) -> bool:
+    def _is_report_current(self, target: Target) -> bool:
         """Tell whether a report is the present process's and shows its last order."""
         is_current = self._book.may_show(target, self._clock.now())
         return is_current and self._is_present(target)
 
-    def _give_back(self, step: Step) -> None:
+    def _release_target(self, step: Step) -> None:
         """Free the target for another order after a moment."""
         if self._is_present(step.target):
             self._book.give_back(step, self._clock.now())
 
     async def _check_lease(self) -> None:
-        if self._leadership.age > LEASE_CHECK_SECONDS:
+        if self._leadership.renewal_age > LEASE_CHECK_SECONDS:
             await self._leadership.renew()
 
     # -- probes --------------------------------------------------------------
@@ -528,20 +536,20 @@
             return
         if group.key in self._processes.unheld:
             return
-        self._cleared.setdefault(group.key, []).append(self._clock.now())
+        self._cleared_at.setdefault(group.key, []).append(self._clock.now())
         log.info(
             "planner: suspicion cleared",
             group=group.name,
-            times=len(self._cleared[group.key]),
+            times=len(self._cleared_at[group.key]),
         )
         self._watch.clear(group.key)
         self._peers.tell_suspicion(group.key, cleared=True)
 
-    def _ask_pending(self, now: float) -> None:
+    def _poll_pending(self, now: float) -> None:
         """Ask the targets of orders what came of them while the list is lost."""
-        if now - self._asked_at < ASK_SECONDS:
+        if now - self._polled_at < PENDING_POLL_SECONDS:
             return
-        self._asked_at = now
+        self._polled_at = now
         for identifier in sorted(self._book.busy):
             target = self._directory.targets.get(identifier)
             if target is not None and identifier not in self._probes.lost:
@@ -550,10 +558,10 @@
     def _spawn(self, work: Awaitable[None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task[None]) -> None:
-        self._has_news = True
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        self._has_changes = True
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("planner: task failed", error=repr(task.exception()))
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -23,14 +23,14 @@
 log = structlog.get_logger()
 
 # Pause between two probes of a target that did not answer, in seconds.
-PROBE_SECONDS = 2.0
+PROBE_INTERVAL_SECONDS = 2.0
 # Probes in a row that must fail before a target counts as lost.
-PROBES = 2
+PROBE_ATTEMPTS = 2
 # Pause between two probes of a member that the list has lost, in seconds.
-LAPSE_PROBE_SECONDS = 1.0
+LAPSED_PROBE_INTERVAL_SECONDS = 1.0
 # Probes in a row that find a target unhealthy before it counts as leaving: a head
 # whose slots are full refuses a probe as it refuses a request.
-UNHEALTHY_PROBES = 2
+UNHEALTHY_THRESHOLD = 2
 
 
 class TargetProbes:
@@ -48,7 +48,7 @@
         clock: Clock,
         gate: CallGate,
         intake: Intake,
-        may_learn: Callable[[Target], bool],
+        is_report_current: Callable[[Target], bool],
         spawn: Callable[[Coroutine[Any, Any, Any]], None],
     ) -> None:
         self._configuration = configuration
@@ -60,17 +60,19 @@
         self._clock = clock
         self._gate = gate
         self._intake = intake
-        self._may_learn = may_learn
+        self._is_report_current = is_report_current
         self._spawn = spawn
         # What is known of a process ends with it: kept by the id, a target that has
         # just started again would count as dead, or share the answer of the earlier.
         self._lost: dict[Process, float] = {}
         self._replaced: dict[Process, float] = {}
-        self._asking: dict[Process, asyncio.Task[bool]] = {}
+        self._running_probes: dict[Process, asyncio.Task[bool]] = {}
         self._lapse_probed: dict[Process, float] = {}
         self._unhealthy: dict[Process, int] = {}
         self._doubt = ObserverDoubt()
-        self._others = SecondOpinion(peers=peers, look=self._look, spawn=spawn)
+        self._others = SecondOpinion(
+            peers=peers, look=self._probe_for_peer, spawn=spawn
+        )
 
     @property
     def lost(self) -> frozenset[str]:
@@ -82,7 +84,7 @@
         if self._intake.is_leaving(target):
             return True
         unhealthy = self._unhealthy.get(target.process, 0)
-        return target.lapsed and unhealthy >= UNHEALTHY_PROBES
+        return target.lapsed and unhealthy >= UNHEALTHY_THRESHOLD
 
     def reset(self) -> None:
         """Forget what an earlier planner's time taught."""
@@ -91,7 +93,7 @@
         self._lapse_probed.clear()
         self._unhealthy.clear()
 
-    def look(self) -> None:
+    def probe_due(self) -> None:
         """Probe again what is due: lost targets, and those the list has lost."""
         now = self._clock.now()
         targets = self._directory.targets
@@ -105,18 +107,21 @@
                 del self._replaced[process]
         for target in list(targets.values()):
             if target.lapsed and target.membership is not None:
-                self._look_at_lapsed(target, now)
+                self._check_lapsed(target, now)
         for process, at in self._lost.items():
-            if now - at > PROBE_SECONDS and process not in self._asking:
+            if (
+                now - at > PROBE_INTERVAL_SECONDS
+                and process not in self._running_probes
+            ):
                 self._spawn(self.probe(listed[process]))
 
     def investigate(self, target: Target) -> None:
         """Probe a target that did not answer an order or a question."""
         process = target.process
-        if process not in self._asking and process not in self._lost:
+        if process not in self._running_probes and process not in self._lost:
             self._spawn(self.probe(target))
 
-    def note_replaced(self, target: Target) -> None:
+    def mark_replaced(self, target: Target) -> None:
         """Note that another engine refused what was meant for this one.
 
         Its report would be no news of this one, and looks like a late one of it: a
@@ -129,11 +134,11 @@
     async def probe(self, target: Target) -> bool:
         """Ask whether a process lives; whoever asks meanwhile shares the answer."""
         process = target.process
-        running = self._asking.get(process)
+        running = self._running_probes.get(process)
         if running is None:
-            running = asyncio.ensure_future(self._ask(target))
-            self._asking[process] = running
-            running.add_done_callback(lambda _: self._asking.pop(process, None))
+            running = asyncio.ensure_future(self._probe(target))
+            self._running_probes[process] = running
+            running.add_done_callback(lambda _: self._running_probes.pop(process, None))
         return await asyncio.shield(running)
 
     async def report(self, target: Target) -> EngineReport | Unavailable:
@@ -151,7 +156,7 @@
             asked=target,
             answered=report.target,
             asked_at=asked_at,
-            shows_orders=self._may_learn(report.target),
+            shows_orders=self._is_report_current(report.target),
         )
         self._book.note_seen(report.target, report.orders)
         if report.target.process != target.process:
@@ -163,14 +168,14 @@
             )
         return report
 
-    async def _ask(self, target: Target) -> bool:
+    async def _probe(self, target: Target) -> bool:
         reason = ""
-        for _ in range(PROBES):
+        for _ in range(PROBE_ATTEMPTS):
             report = await self.report(target)
             if isinstance(report, Unavailable):
                 reason = report.reason
                 continue
-            if self._may_learn(report.target):
+            if self._is_report_current(report.target):
                 self._directory.learn(report.target)
             if self._lost.pop(target.process, None) is not None:
                 log.info("planner: target regained", target=target.id)
@@ -200,20 +205,23 @@
         log.warning("planner: target seen by another host", target=target.id)
         return False
 
-    async def _look(self, identifier: str) -> bool | None:
+    async def _probe_for_peer(self, identifier: str) -> bool | None:
         """Tell another host whether a target answers here, None if it is not known."""
         target = self._directory.targets.get(identifier)
         if target is None:
             return None
-        for _ in range(PROBES):
+        for _ in range(PROBE_ATTEMPTS):
             if not isinstance(await self.report(target), Unavailable):
                 return True
         return False
 
-    def _look_at_lapsed(self, target: Target, now: float) -> None:
+    def _check_lapsed(self, target: Target, now: float) -> None:
         if target.process in self._lost:
             self._directory.forget(target.id)
-        elif now - self._lapse_probed.get(target.process, 0.0) > LAPSE_PROBE_SECONDS:
+        elif (
+            now - self._lapse_probed.get(target.process, 0.0)
+            > LAPSED_PROBE_INTERVAL_SECONDS
+        ):
             self._lapse_probed[target.process] = now
             self._spawn(self._probe_lapsed(target))
 
@@ -243,5 +251,5 @@
             return
         times = self._unhealthy.get(target.process, 0) + 1
         self._unhealthy[target.process] = times
-        if times == UNHEALTHY_PROBES:
+        if times == UNHEALTHY_THRESHOLD:
             log.info("planner: target leaves unannounced", target=target.id)
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -44,18 +44,18 @@
 
 # Time after a stop in which new requests are still served, in seconds: the balancer
 # asks once a second and takes a node out after two misses.
-LAME_SECONDS = 3.2
+LAME_DUCK_SECONDS = 3.2
 # Time in which a node that has just started reads what it needs before it serves
 # callers that already wait, and the pause between two looks, in seconds: two answers of
 # the store take 0.01 s, and a store that is down must not keep them.
-FIRST_READ_SECONDS = 0.25
-FIRST_LOOK_SECONDS = 0.005
+STARTUP_READ_SECONDS = 0.25
+STARTUP_POLL_SECONDS = 0.005
 # Part of the grace time that is kept back for closing, in seconds.
 CLOSING_SECONDS = 0.7
 DRAIN_CHECK_SECONDS = 0.05
 # Time before the end in which streams that still wait are refused, in seconds: closed
 # with their host, requests that no engine had seen got no answer.
-LAST_REFUSALS_SECONDS = 0.2
+REFUSE_WAITING_SECONDS = 0.2
 
 
 class Node:
@@ -206,8 +206,8 @@
             dispatching_host=lambda: self.readers.dispatcher,
         )
         self.streams.placing.asking = self.asking
-        self.streams.on_end.append(self._tell_end)
-        self.asking.on_unused.append(self._tell_end)
+        self.streams.on_end.append(self._on_slot_freed)
+        self.asking.on_unused.append(self._on_slot_freed)
         self.readers.granted = lambda: self.asking.granted
         self.sharing = ConfigurationSharing(
             name=settings.name,
@@ -217,9 +217,9 @@
             configuration=self.configuration,
         )
         self.readers.on_news.append(self.streams.placing.wake_all)
-        self.configuration.on_newer.append(self._tell_version)
-        self.leadership.on_taken.append(lambda: self.peers.tell(self._describe()))
-        self.peers.on_heartbeat.append(self._note_heartbeat)
+        self.configuration.on_newer.append(self._publish_version)
+        self.leadership.on_acquired.append(lambda: self.peers.tell(self._describe()))
+        self.peers.on_heartbeat.append(self._on_heartbeat)
         self.peers.on_vouch.append(self.directory.vouch)
         self.peers.on_work.append(lambda work: self.dispatcher.wake())
         self.directory.on_change.append(self.dispatcher.wake)
@@ -241,7 +241,7 @@
         self._spawn(self.configuration.run())
         self._spawn(self.directory.run())
         if self._listener is not None:
-            await self._read_first()
+            await self._await_first_read()
         await self._listen(self.ingress.server, self._settings.callers, self._listener)
         for work in (
             self.peers.run_heartbeats(),
@@ -267,45 +267,45 @@
         self._stack.push_async_callback(server.close)
         await server.start(host, int(port), listener)
 
-    async def _read_first(self) -> None:
+    async def _await_first_read(self) -> None:
         """Wait until the store has told what callers need, but not for long.
 
         Callers already wait on the socket: answered some milliseconds sooner, each of
         them would be refused for want of a configuration.
         """
-        limit = self._clock.now() + FIRST_READ_SECONDS
+        limit = self._clock.now() + STARTUP_READ_SECONDS
         while self._clock.now() < limit:
             if self.configuration.configuration and self.directory.targets:
                 return
-            await self._clock.sleep(FIRST_LOOK_SECONDS)
+            await self._clock.sleep(STARTUP_POLL_SECONDS)
 
     async def drain(self) -> None:
         """Tell the balancer, serve on for a moment, then finish what is in progress."""
         self.ingress.is_stopping = True
-        await self._hand_over()
+        await self._release_lease()
         self.peers.tell(self._describe())
         log.info("node: draining", in_flight=self.ingress.in_flight)
         grace = self._settings.bounds.grace
         started = self._clock.now()
-        lame_until = started + min(LAME_SECONDS, 0.5 * grace)
+        lame_duck_until = started + min(LAME_DUCK_SECONDS, 0.5 * grace)
         limit = started + grace - CLOSING_SECONDS
         self.ingress.ends_at = self.streams.placing.ends_at = limit
-        while self._clock.now() < lame_until:
+        while self._clock.now() < lame_duck_until:
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
-            await self._hand_over()
+            await self._release_lease()
         # New connections go to other hosts by now; those of before still come here.
         self.ingress.server.keep_no_connections()
         # Asked of the server: a request that it has just read is not in flight yet, and
         # one that was overlooked was passed on and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
-            if self._clock.now() >= limit - LAST_REFUSALS_SECONDS:
+            if self._clock.now() >= limit - REFUSE_WAITING_SECONDS:
                 self.streams.placing.end_waits()
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
-            await self._hand_over()
+            await self._release_lease()
         self.ingress.server.refuse_more()
         log.info("node: drained", in_flight=self.ingress.in_flight)
 
-    async def _hand_over(self) -> None:
+    async def _release_lease(self) -> None:
         """Stop planning if another node can take over.
 
         While the store is away none can, and groups that lose a member would stay
@@ -381,19 +381,19 @@
         spec = declared.profile.model(model)
         return None if spec is None else (declared.profile, spec)
 
-    def _tell_end(self) -> None:
+    def _on_slot_freed(self) -> None:
         """Tell whoever counts places that this host holds one less."""
         self.readers.tell_dispatcher()
         self.dispatcher.wake()
 
-    def _tell_version(self) -> None:
+    def _publish_version(self) -> None:
         """Tell a newer version at once; in a large fleet only the readers do."""
         if not self.peers.is_large:
             self.peers.tell(self._describe())
         elif self.readers.reads:
             self.readers.step()
 
-    def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
         self.directory.loads.note_peer(
             heartbeat.node, loads_of(heartbeat), heartbeat.granted
--- a/mallowpond/node/tests/test_leadership.py
+++ b/mallowpond/node/tests/test_leadership.py
@@ -7,9 +7,9 @@
 
 from mallowpond.coordination.ports import Put, Transaction, UnreadableRow
 from mallowpond.node.leadership import (
+    DISCOVERY_SECONDS,
     LEASE_KEY,
     LEASE_SECONDS,
-    LISTEN_SECONDS,
     RENEW_SECONDS,
     UNRENEWED_SECONDS,
     Leadership,
@@ -60,7 +60,7 @@
         checks_fencing=checks_fencing,
         may_plan=lambda: True,
     )
-    clock.time += LISTEN_SECONDS
+    clock.time += DISCOVERY_SECONDS
     return leadership
 
 
@@ -78,7 +78,7 @@
     )
     await leadership.step()
     assert leadership.fence == 0
-    clock.time += LISTEN_SECONDS
+    clock.time += DISCOVERY_SECONDS
     await leadership.step()
     assert leadership.fence == 1
 
@@ -167,7 +167,7 @@
     clock.time += RENEW_SECONDS
     await leadership.step()
     assert leadership.fence == 1
-    assert leadership.age == 0.0
+    assert leadership.renewal_age == 0.0
 
 
 async def test_nobody_takes_over_from_a_planner_that_is_heard_of():
@@ -282,7 +282,7 @@
     first, second = (leadership_of(name, table, clock) for name in "ab")
     await first.step()
     assert await first.confirm()
-    await second._take()
+    await second._acquire()
     assert not await first.confirm()
     assert first.fence == 0
     assert await second.confirm()
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -38,8 +38,8 @@
 
     def __init__(self):
         self.fence = 3
-        self.age = 0.0
-        self.on_taken = []
+        self.renewal_age = 0.0
+        self.on_acquired = []
         self.confirms = True
         self.asked = 0
 
@@ -356,7 +356,7 @@
     rig.planner._book.note_taken(leave, rig.clock.now())
     rig.planner._book.note_taken(join, rig.clock.now())
     shown = placed(join.target.id, join, 0)
-    assert rig.planner._as_known(shown).membership == shown.membership
+    assert rig.planner._with_latest_state(shown).membership == shown.membership
 
 
 def restarted(name, born=2):
@@ -717,7 +717,7 @@
     rig.targets.report = slow
     await rig.steps(2)
     rig.leadership.fence = 5
-    for notify in rig.leadership.on_taken:
+    for notify in rig.leadership.on_acquired:
         notify()
     answer.set()
     for _ in range(20):
@@ -737,7 +737,7 @@
     await rig.steps()
     await rig.show(restarted("g1"))
     rig.leadership.fence = 5
-    for notify in rig.leadership.on_taken:
+    for notify in rig.leadership.on_acquired:
         notify()
     rig.source.listed.append(listing(revision=10, whole=False))
     await rig.steps(3)
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -55,8 +55,8 @@
 class CheckedPlanner(GroupPlanner):
     """Plan, and remember the tasks that raised."""
 
-    def _finished(self, task):
-        super()._finished(task)
+    def _on_task_done(self, task):
+        super()._on_task_done(task)
         if not task.cancelled() and task.exception() is not None:
             self.failed.append(repr(task.exception()))
 
@@ -175,7 +175,7 @@
         """Become the planner."""
         self.leadership.fence = fence
         self.targets.told_since.clear()
-        for notify in self.leadership.on_taken:
+        for notify in self.leadership.on_acquired:
             notify()
 
 
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -11,7 +11,7 @@
 from mallowpond.node.messages import Heartbeat, Work, heartbeat_loads
 from mallowpond.node.outcomes import Answered, Refusal
 from mallowpond.node.ports import NodePorts
-from mallowpond.node.service import CLOSING_SECONDS, LAME_SECONDS, build
+from mallowpond.node.service import CLOSING_SECONDS, LAME_DUCK_SECONDS, build
 from mallowpond.node.settings import NodeSettings
 from mallowpond.node.tests.fakes import (
     PROFILE,
@@ -91,13 +91,13 @@
     node = node_over(clock, source=source, targets=targets)
     await node.directory.refresh()
     targets.script("g0", answer(1))
-    node._note_heartbeat(heartbeat(PROFILE.slots + 1))
+    node._on_heartbeat(heartbeat(PROFILE.slots + 1))
     rig = rig_over(node, clock, targets, source)
     task = asyncio.create_task(node.streams.serve(rig.work(FakeExchange())))
     for _ in range(5):
         await asyncio.sleep(0)
     assert targets.sends == []
-    node._note_heartbeat(heartbeat(0))
+    node._on_heartbeat(heartbeat(0))
     for _ in range(50):
         await asyncio.sleep(0)
     assert targets.sends == [("g0", None)]
@@ -171,7 +171,7 @@
             writer.write(get(path))
             await reader.readuntil(b"\r\n\r\n")
         await idle.readuntil(b"0\r\n\r\n")
-        clock.until = clock.now() + LAME_SECONDS + 0.5
+        clock.until = clock.now() + LAME_DUCK_SECONDS + 0.5
         stopping = asyncio.create_task(node.drain())
         assert await idle.read() == b""
         ends["/first"].set()
@@ -209,7 +209,7 @@
     async with asyncio.timeout(5.0):
         while not server._busy:
             await asyncio.sleep(0.001)
-        clock.until = clock.now() + LAME_SECONDS + 0.5
+        clock.until = clock.now() + LAME_DUCK_SECONDS + 0.5
         stopping = asyncio.create_task(node.drain())
         while clock.now() < clock.until and not stopping.done():
             await asyncio.sleep(0.001)
@@ -234,7 +234,7 @@
     source = FakeSource(listed=deque([listing(*open_group("g"))]))
     node = node_over(clock, source=source, targets=targets)
     await node.directory.refresh()
-    node._note_heartbeat(heartbeat(PROFILE.slots + 1))
+    node._on_heartbeat(heartbeat(PROFILE.slots + 1))
     targets.script("g0", answer(1))
     rig = rig_over(node, clock, targets, source)
 
@@ -258,7 +258,7 @@
         while clock.now() < clock.until:
             await asyncio.sleep(0.001)
         if frees:
-            node._note_heartbeat(heartbeat(0))
+            node._on_heartbeat(heartbeat(0))
             await asyncio.sleep(0.05)
         clock.until = float("inf")
         await stopping
@@ -310,7 +310,7 @@
     """
     source = FakeSource(cut=True)
     node = node_over(FakeClock(), source=source)
-    await node.leadership._take()
+    await node.leadership._acquire()
     await node.configuration.step()
     stopping = asyncio.create_task(node.drain())
     for _ in range(3):
