--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -73,7 +73,7 @@
         self._traffic = traffic
         self._limits_version = 0
         self.is_stopping = False
-        self.ends_at = float("inf")
+        self.shutdown_at = float("inf")
         self.in_flight = 0
         self.server = HttpServer(
             handler=self._handle, on_bad_input=self._answer_bad_input
@@ -89,7 +89,7 @@
                 "ingress: reached while stopping",
                 target=request.path,
                 earlier=exchange.earlier,
-                left=round(self.ends_at - self._clock.now(), 3),
+                left=round(self.shutdown_at - self._clock.now(), 3),
             )
         try:
             await self._serve(request, exchange)
@@ -201,7 +201,7 @@
             deadline=deadline,
             exchange=exchange,
         )
-        if deadline > self.ends_at:
+        if deadline > self.shutdown_at:
             # Calls are short: until its deadline each has its answer, or an end.
             return self._retry_later(Reason.STOPPING)
         return await self._calls.serve(call)
@@ -209,8 +209,8 @@
     def _can_finish(self, work: StreamWork) -> bool:
         """Tell whether a stream that is begun now ends before this host does."""
         return can_finish(
-            longest_seconds=self._streams.placing.longest_seconds(work),
-            seconds_left=self.ends_at - self._clock.now(),
+            longest_seconds=self._streams.placement.longest_seconds(work),
+            seconds_left=self.shutdown_at - self._clock.now(),
         )
 
     def _retry_later(self, reason: Reason) -> Refusal:
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -50,8 +50,8 @@
     Stage,
     Step,
 )
-from mallowpond.state.order_book import OrderBook, is_load
-from mallowpond.state.processes import PresentProcesses, has_restarted
+from mallowpond.state.order_book import OrderBook, loads_weights
+from mallowpond.state.processes import CurrentProcesses, has_restarted
 
 log = structlog.get_logger()
 
@@ -117,7 +117,7 @@
         # at its start would take a group for whole whose member has started again.
         self._seen_processes: dict[GroupKey, set[Process]] = {}
         self._recorded_groups: dict[GroupKey, Group] = {}
-        self._processes = PresentProcesses()
+        self._processes = CurrentProcesses()
         self._gate = CallGate(clock=clock)
         self._probes = TargetProbes(
             configuration=configuration,
@@ -272,13 +272,13 @@
         """Return a target as answers and orders show it before the list does."""
         if self._probes.is_leaving(target):
             return replace(target, draining=True)
-        return self._book.as_left(self._processes.present(target))
+        return self._book.without_left_group(self._processes.current(target))
 
     @property
     def _present(self) -> dict[str, Target]:
         """Return every listed target, as the process that it runs now."""
         targets = self._directory.targets
-        return {t: self._processes.present(listed) for t, listed in targets.items()}
+        return {t: self._processes.current(listed) for t, listed in targets.items()}
 
     def _record_formation(self, step: Join) -> None:
         self._next_epoch = max(self._next_epoch, step.epoch + 1)
@@ -297,15 +297,15 @@
                 members=step.members,
                 ordered_at=self._clock.now(),
             )
-            present = self._present
+            current = self._present
             self._seen_processes[key] = {
-                present[member].process for member in step.members
+                current[member].process for member in step.members
             }
 
     def _record_members(self) -> None:
         """Note the processes that the list shows in each group."""
         self._has_changes = True
-        self._processes.settle(self._directory.targets, now=self._clock.now())
+        self._processes.reconcile(self._directory.targets, now=self._clock.now())
         groups = self._directory.groups
         known = groups.keys() | self._formations.keys()
         self._seen_processes = {
@@ -321,9 +321,9 @@
         """Drop what the list shows to be done, and what is out of date."""
         now = self._clock.now()
         targets, groups = self._directory.targets, self._directory.groups
-        present = self._present
+        current = self._present
         # While the list is away it shows nothing of what was ordered since.
-        self._book.settle(present, now=now, shows_orders=self._directory.is_settled)
+        self._book.reconcile(current, now=now, shows_orders=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
         self._leaving_since = {
@@ -340,19 +340,19 @@
             if key in groups or now - formation.ordered_at < self._stall_seconds
         }
         self._closed &= groups.keys()
-        self._log_restarted(present)
+        self._log_restarted(current)
         self._loads_begun = [at for at in self._loads_begun if now - at < 10.0]
         self._probes.probe_due()
         if self._directory.is_lost:
             self._poll_pending(now)
 
-    def _log_restarted(self, present: dict[str, Target]) -> None:
+    def _log_restarted(self, current: dict[str, Target]) -> None:
         """Log each group that ends by the restart of a member, once."""
         groups = self._directory.groups
         ended = {
             k
             for k, seen in self._seen_processes.items()
-            if has_restarted(seen, present)
+            if has_restarted(seen, current)
         }
         for name, epoch in sorted(ended & groups.keys() - self._restarted_groups):
             log.info("planner: member started again", group=name, epoch=epoch)
@@ -368,7 +368,7 @@
         if isinstance(step, Leave | Close):
             self._watch.retire((step.group, step.epoch))
             self._peers.tell_suspicion((step.group, step.epoch), closing=True)
-        if is_load(step):
+        if loads_weights(step):
             self._loads_begun.append(now)
         self._spawn(self._send_order(step, self._leadership.fence))
 
@@ -410,8 +410,8 @@
         seen = self._seen_processes.get(key, ())
         targets = self._directory.targets
         listed = [targets[p.id] for p in seen if p.id in targets]
-        present = {t.id: self._processes.present(t) for t in listed}
-        return has_restarted(seen, present)
+        current = {t.id: self._processes.current(t) for t in listed}
+        return has_restarted(seen, current)
 
     def _has_joined_elsewhere(self, step: Join) -> bool:
         """Tell whether a target has joined another group here and not left it.
@@ -435,14 +435,14 @@
         if isinstance(report, Unavailable):
             self._probes.investigate(target)
             return None
-        if report.target.place != target.place:
+        if report.target.group_key != target.group_key:
             # Another planner's order came after the list was read: a count that
             # includes it would let an order through that was planned without it,
             # and the target would stand in two groups.
             log.info("planner: target changed since the list", target=target.id)
             return None
         now = self._clock.now()
-        if not self._book.note_report(report.target, report.orders, now=now):
+        if not self._book.record_report(report.target, report.orders, now=now):
             return None
         return report.orders
 
@@ -451,7 +451,7 @@
         listed = self._directory.targets.get(target.id)
         if listed is None:
             return False
-        return self._processes.present(listed).process == target.process
+        return self._processes.current(listed).process == target.process
 
     def _handle_result(self, step: Step, end: OrderEnd, *, expected: int) -> None:
         target = step.target
@@ -473,30 +473,30 @@
         match end:
             case OrderTaken(began=began):
                 if began or isinstance(step, Leave):
-                    self._book.note_begun(step, expected=expected, is_sure=began)
+                    self._book.record_begun(step, expected=expected, is_sure=began)
                 self._record_accepted(step)
             case OrderFenced():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._release_target(step)
                 self._spawn(self._check_lease())
             case OrderUnfit() if isinstance(step, Stage):
                 # It loads already, by an order of an earlier planner.
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._book.end(target)
             case OrderUnfit():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._release_target(step)
             case OrderMisdirected():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._release_target(step)
                 self._probes.mark_replaced(target)
             case OrderLost():
-                self._book.doubt_count(target)
+                self._book.invalidate_count(target)
                 self._release_target(step)
                 self._probes.investigate(target)
 
     def _record_accepted(self, step: Step) -> None:
-        self._book.note_taken(step, self._clock.now())
+        self._book.record_taken(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
                 # The formation is over: kept, it had its members join again, and they
@@ -508,13 +508,13 @@
 
     def _is_report_current(self, target: Target) -> bool:
         """Tell whether a report is the present process's and shows its last order."""
-        is_current = self._book.may_show(target, self._clock.now())
+        is_current = self._book.shows_last_order(target, self._clock.now())
         return is_current and self._is_present(target)
 
     def _release_target(self, step: Step) -> None:
         """Free the target for another order after a moment."""
         if self._is_present(step.target):
-            self._book.give_back(step, self._clock.now())
+            self._book.release_later(step, self._clock.now())
 
     async def _check_lease(self) -> None:
         if self._leadership.renewal_age > LEASE_CHECK_SECONDS:
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -10,15 +10,15 @@
 from mallowpond.node.call_gate import CallGate
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.directory import Directory
+from mallowpond.node.indirect_probe import IndirectProbe
 from mallowpond.node.intake import Intake
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
-from mallowpond.node.second_opinion import SecondOpinion
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.observer_doubt import ObserverDoubt
 from mallowpond.state.order_book import OrderBook
-from mallowpond.state.processes import PresentProcesses
+from mallowpond.state.processes import CurrentProcesses
 
 log = structlog.get_logger()
 
@@ -43,7 +43,7 @@
         directory: Directory,
         targets: Targets,
         peers: PeerNetwork,
-        processes: PresentProcesses,
+        processes: CurrentProcesses,
         book: OrderBook,
         clock: Clock,
         gate: CallGate,
@@ -70,7 +70,7 @@
         self._lapse_probed: dict[Process, float] = {}
         self._unhealthy: dict[Process, int] = {}
         self._doubt = ObserverDoubt()
-        self._others = SecondOpinion(
+        self._others = IndirectProbe(
             peers=peers, look=self._probe_for_peer, spawn=spawn
         )
 
@@ -103,7 +103,7 @@
                 del known[process]
         # What the list still shows by then is written anew, so the word was wrong.
         for process, at in list(self._replaced.items()):
-            if now - at > STILL_WRITTEN_SECONDS:
+            if now - at > STALE_ENTRY_SECONDS:
                 del self._replaced[process]
         for target in list(targets.values()):
             if target.lapsed and target.membership is not None:
@@ -152,13 +152,13 @@
         self._gate.note(answered=not isinstance(report, Unavailable))
         if isinstance(report, Unavailable):
             return report
-        self._processes.hear(
+        self._processes.record_answer(
             asked=target,
             answered=report.target,
             asked_at=asked_at,
             shows_orders=self._is_report_current(report.target),
         )
-        self._book.note_seen(report.target, report.orders)
+        self._book.raise_min_count(report.target, report.orders)
         if report.target.process != target.process:
             log.info(
                 "planner: another process answered",
@@ -244,7 +244,7 @@
             # streams would be turned away for as long as it was vouched for.
             if not await self.probe(target):
                 return
-            if self._processes.present(target).place != target.place:
+            if self._processes.current(target).group_key != target.group_key:
                 return
             self._directory.vouch(target.id)
             self._peers.tell_vouch(target.id)
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -16,7 +16,8 @@
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.configuration_sharing import ConfigurationSharing
 from mallowpond.node.directory import Directory
-from mallowpond.node.dispatcher import Dispatcher, Shape
+from mallowpond.node.dispatcher import Dispatcher, ServedModel
+from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.fanout import Fanout
 from mallowpond.node.ingress import Ingress
 from mallowpond.node.intake import Intake
@@ -24,7 +25,6 @@
 from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_asking import PlaceAsking
 from mallowpond.node.planner import GroupPlanner
 from mallowpond.node.ports import NodePorts
 from mallowpond.node.quarantine import Quarantine
@@ -192,12 +192,12 @@
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
-            choice=self.streams.placing.choice,
+            selector=self.streams.placement.selector,
             clock=clock,
-            shape_of=self._shape_of,
+            find_model=self._find_model,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
         )
-        self.asking = PlaceAsking(
+        self.dispatcher_client = DispatcherClient(
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
@@ -205,10 +205,10 @@
             clock=clock,
             dispatching_host=lambda: self.readers.dispatcher,
         )
-        self.streams.placing.asking = self.asking
+        self.streams.placement.dispatcher_client = self.dispatcher_client
         self.streams.on_end.append(self._on_slot_freed)
-        self.asking.on_unused.append(self._on_slot_freed)
-        self.readers.granted = lambda: self.asking.granted
+        self.dispatcher_client.on_unused_grant.append(self._on_slot_freed)
+        self.readers.granted = lambda: self.dispatcher_client.granted
         self.sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
@@ -216,9 +216,11 @@
             fanout=self.fanout,
             configuration=self.configuration,
         )
-        self.readers.on_news.append(self.streams.placing.wake_all)
+        self.readers.on_news.append(self.streams.placement.wake_all)
         self.configuration.on_newer.append(self._publish_version)
-        self.leadership.on_acquired.append(lambda: self.peers.tell(self._describe()))
+        self.leadership.on_acquired.append(
+            lambda: self.peers.broadcast(self._describe())
+        )
         self.peers.on_heartbeat.append(self._on_heartbeat)
         self.peers.on_vouch.append(self.directory.vouch)
         self.peers.on_work.append(lambda work: self.dispatcher.wake())
@@ -283,13 +285,13 @@
         """Tell the balancer, serve on for a moment, then finish what is in progress."""
         self.ingress.is_stopping = True
         await self._release_lease()
-        self.peers.tell(self._describe())
+        self.peers.broadcast(self._describe())
         log.info("node: draining", in_flight=self.ingress.in_flight)
         grace = self._settings.bounds.grace
         started = self._clock.now()
         lame_duck_until = started + min(LAME_DUCK_SECONDS, 0.5 * grace)
         limit = started + grace - CLOSING_SECONDS
-        self.ingress.ends_at = self.streams.placing.ends_at = limit
+        self.ingress.shutdown_at = self.streams.placement.shutdown_at = limit
         while self._clock.now() < lame_duck_until:
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._release_lease()
@@ -299,7 +301,7 @@
         # one that was overlooked was passed on and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
             if self._clock.now() >= limit - REFUSE_WAITING_SECONDS:
-                self.streams.placing.end_waits()
+                self.streams.placement.end_waits()
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._release_lease()
         self.ingress.server.refuse_more()
@@ -369,10 +371,10 @@
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
             loads=heartbeat_loads(self.directory.loads.own_loads()),
-            granted=self.asking.granted,
+            granted=self.dispatcher_client.granted,
         )
 
-    def _shape_of(self, service: str, model: str) -> Shape | None:
+    def _find_model(self, service: str, model: str) -> ServedModel | None:
         """Return the timing and model of a service, None if it is not declared."""
         known = self.configuration.configuration
         declared = known and known.services.get(service)
@@ -389,18 +391,18 @@
     def _publish_version(self) -> None:
         """Tell a newer version at once; in a large fleet only the readers do."""
         if not self.peers.is_large:
-            self.peers.tell(self._describe())
+            self.peers.broadcast(self._describe())
         elif self.readers.reads:
             self.readers.step()
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
-        self.directory.loads.note_peer(
+        self.directory.loads.record_peer_loads(
             heartbeat.node, loads_of(heartbeat), heartbeat.granted
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
-        self.streams.placing.wake_all()
+        self.streams.placement.wake_all()
         self.dispatcher.wake()
 
     async def _answer_readiness(self, request: HttpRequest, exchange: Exchange) -> None:
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -256,7 +256,7 @@
     await rig.directory.refresh()
     rig.targets.reports = {"a": EngineReport(orders=1, target=free("a"))}
     target = rig.directory.targets["a"]
-    rig.planner._book.note_taken(join, rig.clock.now())
+    rig.planner._book.record_taken(join, rig.clock.now())
     assert await rig.planner._probes.probe(target)
     assert rig.directory.targets["a"].membership == joined
     rig.clock.time += REPORT_LAG_SECONDS + 0.1
@@ -353,8 +353,8 @@
     await rig.steps(2)
     join = rig.of_kind(Join)[0]
     leave = Leave(target=join.target, group=join.group, epoch=join.epoch)
-    rig.planner._book.note_taken(leave, rig.clock.now())
-    rig.planner._book.note_taken(join, rig.clock.now())
+    rig.planner._book.record_taken(leave, rig.clock.now())
+    rig.planner._book.record_taken(join, rig.clock.now())
     shown = placed(join.target.id, join, 0)
     assert rig.planner._with_latest_state(shown).membership == shown.membership
 
@@ -477,7 +477,7 @@
     """
     rig = Rig(free("a"), free("b"))
     ready = await formed(rig)
-    rig.planner._book.doubt_count(ready[0])
+    rig.planner._book.invalidate_count(ready[0])
     rig.targets.reports[ready[0].id] = EngineReport(orders=1, target=ready[0])
     answer, ask = asyncio.Event(), rig.targets.report
 
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -163,11 +163,11 @@
         if not isinstance(step, Open):
             return
         group = self.directory.groups[(step.group, step.epoch)]
-        present = [self.planner._processes.present(m) for m in group.members]
+        current = [self.planner._processes.current(m) for m in group.members]
         ready = [
             member.membership is not None
             and member.membership.phase is GroupPhase.READY
-            for member in present
+            for member in current
         ]
         self._check(ready == [True, True], step, "not whole")
 
@@ -383,7 +383,7 @@
         if engine.phase not in SERVING:
             return False
         members = [self.fleet.engines[m] for m in engine.members]
-        return all(member.place == engine.place for member in members)
+        return all(member.group_key == engine.place for member in members)
 
 
 def setup_module():
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -24,7 +24,7 @@
 )
 from mallowpond.node.tests.test_watch import STALL_SECONDS, FakePeers
 from mallowpond.node.watch import GroupWatch
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import BreakCause, GroupPhase, Membership, Target
 from mallowpond.transport.http_client import End
 
@@ -282,7 +282,7 @@
             for key, (at, refused) in list(self.refused.items()):
                 if refused.id != target.id:
                     continue
-                is_late = now - at > STILL_WRITTEN_SECONDS
+                is_late = now - at > STALE_ENTRY_SECONDS
                 if not is_whole or is_late or target != refused:
                     del self.refused[key]
             if known is not None and known.process != target.process:
@@ -292,7 +292,7 @@
                     self.lost_member.add((place.group, place.epoch))
                 self.ended.pop(target.process, None)
             elif is_whole and now - self.ended.get(target.process, now) > (
-                STILL_WRITTEN_SECONDS
+                STALE_ENTRY_SECONDS
             ):
                 del self.ended[target.process]
 
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -114,7 +114,7 @@
     node = node_over(clock)
     began = clock.now()
     await node.drain()
-    assert began < node.ingress.ends_at < began + SETTINGS.bounds.grace
+    assert began < node.ingress.shutdown_at < began + SETTINGS.bounds.grace
     assert node.ingress.server._refusing
 
 
