--- a/bench/formation.py
+++ b/bench/formation.py
@@ -324,8 +324,8 @@
         for group in self._groups().values():
             if group.phase is GroupPhase.OPEN and self._is_whole(group):
                 far = self.shape.profile.far_factor
-                found[group.model] += 1.0 / far if group.is_far else 1.0
-                found["far"] += group.is_far
+                found[group.model] += 1.0 / far if group.spans_domains else 1.0
+                found["far"] += group.spans_domains
                 found["open"][group.model] += 1
         return found
 
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -103,7 +103,7 @@
     def load_of(self, group: Group, profile: EngineProfile) -> GroupLoad:
         """Return the load of a group, slower where it spans domains."""
         load = self.load(group.key)
-        if not group.is_far:
+        if not group.spans_domains:
             return load
         return replace(load, slowness=load.slowness * profile.far_factor)
 
--- a/mallowpond/node/model_summary.py
+++ b/mallowpond/node/model_summary.py
@@ -72,7 +72,7 @@
             "planner: model",
             model=model.name,
             open=len(open_groups),
-            far=sum(group.is_far for group in open_groups),
+            far=sum(group.spans_domains for group in open_groups),
             others=[
                 f"{g.name}:{g.phase.value if g.phase else 'headless'}"
                 for g in groups
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -153,7 +153,7 @@
         return None if head is None else _membership(head).phase
 
     @cached_property
-    def is_far(self) -> bool:
+    def spans_domains(self) -> bool:
         """Tell whether the members stand in different fabric domains."""
         return len({member.domain for member in self.members}) > 1
 
--- a/mallowpond/state/formation.py
+++ b/mallowpond/state/formation.py
@@ -216,7 +216,11 @@
             return
         for group in self._groups.values():
             model = self._view.profile.model(group.model)
-            if model is None or group.phase is not GroupPhase.OPEN or not group.is_far:
+            if (
+                model is None
+                or group.phase is not GroupPhase.OPEN
+                or not group.spans_domains
+            ):
                 continue
             pool = [t for t in group.members if t.id not in self._view.lost]
             domains = {t.domain for t in pool}
