--- a/mallowpond/gateway/quarantine.py
+++ b/mallowpond/gateway/quarantine.py
@@ -53,7 +53,7 @@
 
     def note_answer(self, request: str, target: str) -> None:
         """Note that a target answered a request whole."""
-        self._ledger.note_life(Process(id=target, born=None))
+        self._ledger.record_alive(Process(id=target, born=None))
         record = self._ledger.note_answer(request, self._clock.now())
         if record is not None:
             self._report(record)
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -186,7 +186,7 @@
         if isinstance(reply, NoReply) and reply.reason is Reason.MAYBE_RUN:
             self._quarantine.note_ending(work.fingerprint, target.process, now)
         elif isinstance(reply, WholeReply):
-            self._quarantine.note_life(target.process)
+            self._quarantine.record_alive(target.process)
         self._judge(work, target, reply)
         return reply
 
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -69,9 +69,9 @@
             notify(request)
         return True
 
-    def note_life(self, process: Process) -> None:
+    def record_alive(self, process: Process) -> None:
         """Note that a target does something."""
-        self._ledger.note_life(process)
+        self._ledger.record_alive(process)
 
     def note_answer(self, request: str) -> None:
         """Note that a request was answered whole."""
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -351,7 +351,7 @@
             predicted = pass_seconds(work.profile, work.model, load)
             self._directory.loads.note_gap(stream.key, gap, predicted)
         if stream.group.head is not None:
-            self._quarantine.note_life(stream.group.head.process)
+            self._quarantine.record_alive(stream.group.head.process)
         stream.last_event_at = now
         stream.events += 1
         own.last_event_at = now
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -105,7 +105,7 @@
             return 0.0
         return max(0.0, self._entries[request].last_at + QUARANTINE_SECONDS - now)
 
-    def note_life(self, process: Process) -> None:
+    def record_alive(self, process: Process) -> None:
         """Note that a target goes on: what broke off there was only a connection."""
         self._ended.pop(process, None)
 
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -214,7 +214,7 @@
     assert ledger.note_ending("bad", ending("a", ran=0.1), 10.0) is not None
     assert ledger.note_ending("beside", ending("a", ran=0.5), 10.01) is not None
     assert ledger.note_ending("later", ending("a", ran=0.002), 10.5) is None
-    ledger.note_life(Process(id="a", born=1))
+    ledger.record_alive(Process(id="a", born=1))
     assert ledger.note_ending("again", ending("a", ran=0.1), 11.0) is not None
 
 
@@ -232,7 +232,7 @@
     """Guard against leaving a target alone because of one broken connection."""
     ledger = ledger_of(record("bad", "a", "b"))
     first, second = (Process(id=name, born=1) for name in "ab")
-    ledger.note_life(first)
+    ledger.record_alive(first)
     assert not ledger.has_ended(first, 0.1)
     assert ledger.has_ended(second, ENDED_SECONDS)
     assert not ledger.has_ended(second, ENDED_SECONDS + 0.1)
