--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -148,8 +148,8 @@
                 loads = host.directory.loads.own_loads()
                 for other in self.hosts:
                     if other is not host:
-                        other.directory.loads.note_peer(
-                            host.name, loads, host.asking.granted
+                        other.directory.loads.record_peer_loads(
+                            host.name, loads, host.dispatcher_client.granted
                         )
             self._wake()
             await asyncio.sleep(HEARTBEAT_SECONDS)
@@ -162,21 +162,21 @@
                 reader = hosts[0] if hosts else None
                 for host in hosts[1 + turn :: TELLING_TURNS]:
                     loads = host.directory.loads.own_loads()
-                    host.directory.loads.note_told(loads)
-                    reader.directory.loads.note_peer(
-                        host.name, loads, host.asking.granted
+                    host.directory.loads.record_published(loads)
+                    reader.directory.loads.record_peer_loads(
+                        host.name, loads, host.dispatcher_client.granted
                     )
                 await asyncio.sleep(DIGEST_SECONDS / TELLING_TURNS)
             if self.hosts:
                 reader = self.hosts[0].directory
                 sums = reader.loads.all_loads(reader.groups)
                 for host in self.hosts[1:]:
-                    host.directory.loads.note_totals(sums)
+                    host.directory.loads.record_totals(sums)
                 self._wake()
 
     def _wake(self) -> None:
         for host in self.hosts:
-            host.streams.placing.wake_all()
+            host.streams.placement.wake_all()
             host.dispatcher.wake()
 
     # -- callers -------------------------------------------------------------
--- a/mallowpond/gateway/quarantine.py
+++ b/mallowpond/gateway/quarantine.py
@@ -22,7 +22,7 @@
 
     def problem(self, request: str) -> Problem | None:
         """Return how a request is refused before it is sent, None if it may be sent."""
-        seconds = self._ledger.seconds_held(request, self._clock.now())
+        seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
         if seconds <= 0.0:
             return None
         return Problem(
@@ -53,7 +53,7 @@
 
     def note_answer(self, request: str, target: str) -> None:
         """Note that a target answered a request whole."""
-        self._ledger.note_life(Process(id=target, born=None))
+        self._ledger.record_alive(Process(id=target, born=None))
         record = self._ledger.note_answer(request, self._clock.now())
         if record is not None:
             self._report(record)
--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -15,9 +15,9 @@
 
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.directory import Directory
+from mallowpond.node.group_selector import GroupSelector, Seek
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_choice import PlaceChoice, Seek
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait
 from mallowpond.state.place_line import MOST_WAITING, Claim, PlaceLine
@@ -28,7 +28,7 @@
 # the very groups that have one.
 TRIED_STREAMS = 4
 
-Shape = tuple[EngineProfile, ModelSpec]
+ServedModel = tuple[EngineProfile, ModelSpec]
 Line = tuple[str, str]
 
 
@@ -49,17 +49,17 @@
         name: str,
         peers: PeerNetwork,
         directory: Directory,
-        choice: PlaceChoice,
+        selector: GroupSelector,
         clock: Clock,
-        shape_of: Callable[[str, str], Shape | None],
+        find_model: Callable[[str, str], ServedModel | None],
         is_dispatcher: Callable[[], bool],
     ) -> None:
         self._name = name
         self._peers = peers
         self._directory = directory
-        self._choice = choice
+        self._choice = selector
         self._clock = clock
-        self._shape_of = shape_of
+        self._find_model = find_model
         self._is_dispatcher = is_dispatcher
         self._lines: dict[Line, PlaceLine[Asker]] = {}
         # What each stream that waits looks for.
@@ -71,7 +71,7 @@
 
     def _hear(self, question: PlaceQuestion) -> None:
         """Answer another host, if this one hears of all work; else it asks in vain."""
-        shape = self._shape_of(question.service, question.model)
+        shape = self._find_model(question.service, question.model)
         if shape is None or not self._is_dispatcher():
             return
         profile, model = shape
@@ -180,7 +180,7 @@
 
     def _tell(self, asker: Asker, answer: PlaceAnswer) -> None:
         if asker.node != self._name:
-            self._peers.tell_nodes(answer, (asker.node,))
+            self._peers.send_to(answer, (asker.node,))
             return
         for notify in self.on_own_answer:
             notify(answer)
--- a/mallowpond/node/place_asking.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -9,9 +9,9 @@
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Asker, Dispatcher
+from mallowpond.node.group_selector import Seek
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_choice import Seek
 from mallowpond.state.fleet import Group, GroupPhase
 from mallowpond.state.place_line import Claim
 
@@ -52,7 +52,7 @@
 PlaceOutcome = Placed | TurnedAway | WaitedInVain
 
 
-class PlaceAsking:
+class DispatcherClient:
     """Ask for the places of this host's streams."""
 
     def __init__(
@@ -78,7 +78,7 @@
         # The last place that the dispatcher gave, of which peers are told.
         self.granted = 0
         # Called when a place was given that no stream takes any more.
-        self.on_unused: list[Callable[[], None]] = []
+        self.on_unused_grant: list[Callable[[], None]] = []
         peers.on_place_answer.append(self._hear)
         dispatcher.on_own_answer.append(self._hear)
 
@@ -151,7 +151,7 @@
             has_begun=claim.has_begun,
             avoided=tuple(sorted(self._with_avoided(seek).avoided)),
         )
-        self._peers.tell_nodes(question, (host,))
+        self._peers.send_to(question, (host,))
         answer = await self._next_answer(asker, ANSWER_SECONDS)
         if answer is None:
             self._silent_until = now + SILENT_SECONDS
@@ -209,5 +209,5 @@
 
     def give_back(self) -> None:
         """Tell that a place was given which no stream takes."""
-        for notify in self.on_unused:
+        for notify in self.on_unused_grant:
             notify()
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -232,7 +232,7 @@
         while True:
             if self._is_among_seniors:
                 heartbeat = replace(self._describe(), interval=SENIOR_SECONDS)
-                self.tell_nodes(heartbeat, self.seniors)
+                self.send_to(heartbeat, self.seniors)
             await self._clock.sleep(SENIOR_SECONDS)
 
     @property
@@ -243,10 +243,10 @@
         """Tell the fleet how this node is, but those that hear it more often."""
         heartbeat = self._describe()
         if not self._is_among_seniors:
-            self.tell(heartbeat)
+            self.broadcast(heartbeat)
             return
         others = self._addresses.keys() - self.seniors
-        self.tell_nodes(heartbeat, others)
+        self.send_to(heartbeat, others)
 
     async def run_rows(self) -> None:
         """Keep this node's row, and read those of others, until cancelled."""
@@ -266,7 +266,7 @@
         self, key: tuple[str, int], *, cleared: bool = False, closing: bool = False
     ) -> None:
         """Tell every peer that a group is silent, sound again, or closing."""
-        self.tell(
+        self.broadcast(
             Suspicion(
                 node=self._name,
                 group=key[0],
@@ -280,7 +280,7 @@
         """Tell every peer that a formation serves no more."""
         if group.head is None:
             return
-        self.tell(
+        self.broadcast(
             GroupBroken(
                 node=self._name,
                 group=group.name,
@@ -292,25 +292,25 @@
 
     def ask_about(self, key: GroupKey, silent: float) -> None:
         """Ask every peer whether a group advances."""
-        self.tell(
+        self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
         )
 
     def ask_liveness(self, node: str, number: int, target: str) -> None:
         """Ask a peer whether a target lives."""
         question = LivenessQuestion(node=self._name, number=number, target=target)
-        self.tell_nodes(question, (node,))
+        self.send_to(question, (node,))
 
     def tell_liveness(self, question: LivenessQuestion, alive: bool) -> None:
         """Answer a peer that asked whether a target lives."""
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
-        self.tell_nodes(answer, (question.node,))
+        self.send_to(answer, (question.node,))
 
     def tell_vouch(self, target: str) -> None:
         """Tell every peer that a target which the list has lost is healthy."""
-        self.tell(Vouch(node=self._name, targets=(target,)))
+        self.broadcast(Vouch(node=self._name, targets=(target,)))
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every known peer."""
         self._send(message, self._addresses.values())
 
@@ -328,7 +328,7 @@
         peer = self._peers.get(node)
         return peer.heartbeat.cores if peer else 0.0
 
-    def tell_nodes(self, message: Message, nodes: Iterable[str]) -> None:
+    def send_to(self, message: Message, nodes: Iterable[str]) -> None:
         """Send a message to some peers."""
         self._send(message, (self._addresses[n] for n in nodes if n in self._addresses))
 
@@ -430,7 +430,7 @@
         if is_new and self._is_among_seniors:
             # A host that has just started must know whom to follow before the next
             # heartbeat of the fleet's pace, seconds later.
-            self.tell_nodes(self._describe(), (heartbeat.node,))
+            self.send_to(self._describe(), (heartbeat.node,))
 
     def _note_met(self, heartbeat: Heartbeat, now: float) -> None:
         self._met += 1
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -28,7 +28,7 @@
 
     def refusal(self, request: str) -> Refusal | None:
         """Return how a request is refused before it is sent, None if it may be sent."""
-        seconds = self._ledger.seconds_held(request, self._clock.now())
+        seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
         if seconds <= 0.0:
             return None
         return Refusal(status=503, reason=Reason.HELD_BACK, retry_after=seconds)
@@ -69,9 +69,9 @@
             notify(request)
         return True
 
-    def note_life(self, process: Process) -> None:
+    def record_alive(self, process: Process) -> None:
         """Note that a target does something."""
-        self._ledger.note_life(process)
+        self._ledger.record_alive(process)
 
     def note_answer(self, request: str) -> None:
         """Note that a request was answered whole."""
@@ -87,7 +87,7 @@
         self._ledger.merge(record, self._clock.now())
         self.review()
         for request in self._held - before:
-            if request == record.request and record.is_enough:
+            if request == record.request and record.has_enough_evidence:
                 # Whoever told it has decided it, and tells everybody.
                 continue
             for notify in self.on_decided:
@@ -95,7 +95,7 @@
 
     def is_held(self, request: str) -> bool:
         """Tell whether a request is held back now."""
-        return self._ledger.seconds_held(request, self._clock.now()) > 0.0
+        return self._ledger.quarantine_seconds_left(request, self._clock.now()) > 0.0
 
     def record(self, request: str) -> CrashRecord | None:
         """Return what is known of a request, None if nothing is."""
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -25,7 +25,7 @@
     heartbeat_loads,
     loads_of,
 )
-from mallowpond.node.peer_work import Figures
+from mallowpond.node.peer_work import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import TargetsRead
 from mallowpond.state.ownership import ranked_by_capacity
@@ -87,7 +87,7 @@
         self._reads = False
         self._turn = 0
         self._work_turn = 0
-        self._told_work: Figures = {}
+        self._told_work: LoadsByGroup = {}
         self._store_was_reached = True
         # The last place that this host was given, which its work holds.
         self.granted: Callable[[], int] = lambda: 0
@@ -203,7 +203,7 @@
             if self._peers.is_large and is_first
             else {}
         )
-        self._fanout.tell(
+        self._fanout.broadcast(
             Digest(
                 node=self._name,
                 version=known.version,
@@ -218,7 +218,7 @@
         if loads == self._told_work and self._work_turn % UNCHANGED_WORK_TURNS:
             return
         self._told_work = loads
-        self._directory.loads.note_told(loads)
+        self._directory.loads.record_published(loads)
         self._send_work(loads, {*self.names, self.dispatcher})
 
     def tell_dispatcher(self) -> None:
@@ -229,14 +229,14 @@
         loads = self._directory.loads.own_loads()
         if self._peers.is_large and host in self.names[:1]:
             self._told_work = loads
-            self._directory.loads.note_told(loads)
+            self._directory.loads.record_published(loads)
         self._send_work(loads, {host})
 
-    def _send_work(self, loads: Figures, hosts: set[str]) -> None:
+    def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
         work = Work(
             node=self._name, loads=heartbeat_loads(loads), granted=self.granted()
         )
-        self._peers.tell_nodes(work, hosts - {self._name})
+        self._peers.send_to(work, hosts - {self._name})
 
     # -- the list of targets -------------------------------------------------
 
@@ -244,7 +244,7 @@
         if not self._reads:
             return
         for change in self._in_parts(read, previous):
-            self._fanout.tell(change)
+            self._fanout.broadcast(change)
 
     def _in_parts(self, read: TargetsRead, previous: int) -> list[ListChange]:
         """Return a change in datagrams, none if it is too large for them."""
@@ -293,7 +293,7 @@
             notify()
 
     def _note_work(self, work: Work) -> None:
-        self._directory.loads.note_peer(work.node, loads_of(work), work.granted)
+        self._directory.loads.record_peer_loads(work.node, loads_of(work), work.granted)
 
     # -- the configuration ---------------------------------------------------
 
@@ -314,7 +314,7 @@
         # twice as many datagrams.
         names = self.names
         asked = [names[number % len(names)]] if names else []
-        self._peers.tell_nodes(question, asked)
+        self._peers.send_to(question, asked)
 
     def _answer(self, question: VersionQuestion) -> None:
         confirmation = self._configuration.confirmation
@@ -326,7 +326,7 @@
             version=confirmation.version,
             age=confirmation.age(self._clock.now()),
         )
-        self._peers.tell_nodes(answer, (question.node,))
+        self._peers.send_to(answer, (question.node,))
 
     def _note_answer(self, answer: VersionAnswer) -> None:
         self._configuration.hear_answer(answer.number, answer.version, answer.age)
--- a/mallowpond/node/stream_placing.py
+++ b/mallowpond/node/stream_placement.py
@@ -2,18 +2,18 @@
 
 from math import inf
 
-from mallowpond.node.outcomes import Reason, Refusal
-from mallowpond.node.place_asking import (
-    PlaceAsking,
+from mallowpond.node.dispatcher_client import (
+    DispatcherClient,
     Placed,
     PlaceOutcome,
     TurnedAway,
     WaitedInVain,
 )
-from mallowpond.node.place_choice import FIRST_EVENT_SHARE, PlaceChoice, Seek
+from mallowpond.node.group_selector import FIRST_EVENT_SHARE, GroupSelector, Seek
+from mallowpond.node.outcomes import Reason, Refusal
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
-from mallowpond.node.waiting import WaitingLine
+from mallowpond.node.waiting import WaitQueue
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait, spread_retry_after
@@ -40,7 +40,7 @@
 NO_GROUP_RETRY_SECONDS = 1.0
 
 
-class StreamPlacing:
+class StreamPlacement:
     """Place streams on the groups of a directory."""
 
     def __init__(self, *, parts: ServingParts) -> None:
@@ -52,9 +52,9 @@
         self._rng = parts.rng
         self._quarantine = parts.quarantine
         self._intake = parts.intake
-        self._lines: dict[str, WaitingLine] = {}
+        self._lines: dict[str, WaitQueue] = {}
         self._shapes: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
-        self.choice = PlaceChoice(
+        self.selector = GroupSelector(
             directory=parts.directory,
             quarantine=parts.quarantine,
             budget=parts.budget,
@@ -62,8 +62,8 @@
             rng=parts.rng,
         )
         # Without it this host goes by news of the others alone.
-        self.asking: PlaceAsking | None = None
-        self.ends_at = inf
+        self.dispatcher_client: DispatcherClient | None = None
+        self.shutdown_at = inf
 
     def note_shape(self, work: StreamWork) -> None:
         """Remember what a stream of its model looks like, for those that wait."""
@@ -81,14 +81,14 @@
 
     def delay(self, service: str, model: str) -> FirstEventDelay:
         """Return what was learnt of the first events of a model."""
-        return self.choice.delay(service, model)
+        return self.selector.delay(service, model)
 
     def end_waits(self) -> None:
         """Let no stream wait for a place any longer."""
         for line in self._lines.values():
             line.end()
-        if self.asking is not None:
-            self.asking.end_waits()
+        if self.dispatcher_client is not None:
+            self.dispatcher_client.end_waits()
 
     async def place(self, work: StreamWork) -> Group | Refusal:
         """Return the group that a stream goes to, or why it goes to none."""
@@ -125,7 +125,7 @@
 
     def choose(self, work: StreamWork) -> Group | None:
         """Return the group with a place for a stream now, None if there is none."""
-        return self.choice.by_news(self._seek(work))
+        return self.selector.by_news(self._seek(work))
 
     def _seek(self, work: StreamWork) -> Seek:
         return Seek(
@@ -165,14 +165,14 @@
 
     def _give_back(self) -> None:
         """Tell that a place which was given is not used."""
-        if self.asking is not None:
-            self.asking.give_back()
+        if self.dispatcher_client is not None:
+            self.dispatcher_client.give_back()
 
     async def _ask(self, work: StreamWork) -> PlaceOutcome | None:
         """Ask the host that counts all places, if there is one."""
         now = self._clock.now()
         patience = min(self._patience(work), work.deadline - now)
-        if self.asking is None or patience <= LEAST_SECONDS:
+        if self.dispatcher_client is None or patience <= LEAST_SECONDS:
             return None
         claim = Claim(
             priority=work.priority,
@@ -183,7 +183,7 @@
         )
         self._metrics.waiting.inc()
         try:
-            return await self.asking.ask(self._seek(work), claim)
+            return await self.dispatcher_client.ask(self._seek(work), claim)
         finally:
             self._metrics.waiting.dec()
             work.waited += self._clock.now() - now
@@ -194,12 +194,12 @@
         if now + LEAST_SECONDS > work.deadline:
             return Refusal(status=504, reason=Reason.TIMEOUT)
         groups = self._directory.serving_groups(work.service, work.model.name)
-        line = self._lines.setdefault(work.model.name, WaitingLine())
+        line = self._lines.setdefault(work.model.name, WaitQueue())
         wait = expected_wait(
             ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
             places=len(groups) * work.profile.slots,
             # Every host gets its part of the places that free.
-            service_seconds=self.choice.hold_seconds(work.profile, work.model)
+            service_seconds=self.selector.hold_seconds(work.profile, work.model)
             * self._hosts(),
         )
         patience = min(self._patience(work), work.deadline - now)
@@ -281,9 +281,9 @@
         Judged only when it was taken, a stream got a place just before its host ended
         and was cut off; its caller can still come back to another host.
         """
-        if self.ends_at == inf or work.has_begun:
+        if self.shutdown_at == inf or work.has_begun:
             return False
-        return self._clock.now() + self.longest_seconds(work) > self.ends_at
+        return self._clock.now() + self.longest_seconds(work) > self.shutdown_at
 
     def _refuse_unplaced(self, work: StreamWork) -> Refusal:
         """Refuse a stream that waited in vain."""
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -319,7 +319,7 @@
     host = await follower(*open_group("g"))
     key = ("g", 1)
     host.directory.loads.work(key).running = 3
-    host.directory.loads.note_told({key: (3, 100.0)})
+    host.directory.loads.record_published({key: (3, 100.0)})
     host.directory.hear_digest(10, {key: (8, 500.0)})
     load = host.directory.loads.load(key)
     assert (load.running, load.reading_tokens) == (8, 400.0)
@@ -392,7 +392,7 @@
     """Build a host of a fleet over several data centres, with what it sends to whom."""
     host = Host(name, data_centre=name[0], cores=0.5 if int(name[1:]) > 2 else 2.0)
     host.sent = []
-    host.peers.tell_nodes = lambda message, nodes: host.sent.append(
+    host.peers.send_to = lambda message, nodes: host.sent.append(
         (message, sorted(nodes))
     )
     for centre in centres:
@@ -413,7 +413,7 @@
     """
     host = large_fleet("a0")
     message = digest(changed=10)
-    host.fanout.tell(message)
+    host.fanout.broadcast(message)
     (near, near_nodes), (far, far_nodes) = host.sent
     assert (near.pass_on, far.pass_on) == (False, True)
     assert near_nodes == sorted(f"a{number}" for number in range(1, 20))
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -90,7 +90,7 @@
             self._fresh_from = now
         self._pause = LONGEST_LOOK_SECONDS
         if self._directory.take_releases():
-            self._streams.placing.wake_all()
+            self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
             if stream.moved is None:
@@ -149,7 +149,7 @@
         since = max(
             self._directory.loads.work(key).last_event_at, oldest, self._fresh_from
         )
-        delay = self._streams.placing.delay(work.service, work.model.name)
+        delay = self._streams.placement.delay(work.service, work.model.name)
         return GroupQuiet(
             silent_seconds=now - since,
             predicted_gap=predicted,
@@ -224,7 +224,7 @@
                 stream.move(Reason.SLOW_TARGET)
 
     def _is_marked(self, key: GroupKey) -> bool:
-        return self._directory.loads.work(key).suspected_until > self._clock.now()
+        return self._directory.loads.work(key).excluded_until > self._clock.now()
 
     def _mark(self, key: GroupKey) -> None:
         # The group reports that it broke only after the stall time, so until then
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -14,13 +14,13 @@
 
 # Targets that must have ended under a request before it is held back. Fewer would hold
 # back what stood on two targets that were lost by themselves.
-ENDINGS_TO_HOLD = 3
+ENDINGS_TO_QUARANTINE = 3
 # Of these, how many must not be explained by a request that is held back already: those
 # that stood beside it came to share its endings, and one more may be chance.
-UNEXPLAINED_TO_HOLD = 2
+UNEXPLAINED_TO_QUARANTINE = 2
 # Time for which a request is held back after the last target that it ended, in seconds:
 # a target is replaced or repaired in minutes, and one more try then costs one target.
-HOLD_SECONDS = 600.0
+QUARANTINE_SECONDS = 600.0
 # Time after which a request's endings are forgotten, in seconds: until then one more
 # ending holds it back again.
 FORGET_SECONDS = 3600.0
@@ -59,10 +59,10 @@
     age: float = 0.0
 
     @property
-    def is_enough(self) -> bool:
+    def has_enough_evidence(self) -> bool:
         """Tell whether this record by itself may hold the request back."""
         evidence = [ending for ending in self.endings if not ending.refuted]
-        return len(evidence) >= ENDINGS_TO_HOLD
+        return len(evidence) >= ENDINGS_TO_QUARANTINE
 
 
 @dataclass(kw_only=True)
@@ -95,15 +95,17 @@
 
     def held(self, now: float) -> frozenset[str]:
         """Return the requests that are held back."""
-        return frozenset(r for r in self._held if self.seconds_held(r, now) > 0.0)
+        return frozenset(
+            r for r in self._held if self.quarantine_seconds_left(r, now) > 0.0
+        )
 
-    def seconds_held(self, request: str, now: float) -> float:
+    def quarantine_seconds_left(self, request: str, now: float) -> float:
         """Return for how long a request is held back from now on, 0 if it is not."""
         if request not in self._held:
             return 0.0
-        return max(0.0, self._entries[request].last_at + HOLD_SECONDS - now)
+        return max(0.0, self._entries[request].last_at + QUARANTINE_SECONDS - now)
 
-    def note_life(self, process: Process) -> None:
+    def record_alive(self, process: Process) -> None:
         """Note that a target goes on: what broke off there was only a connection."""
         self._ended.pop(process, None)
 
@@ -227,7 +229,7 @@
         """Choose again what is held back, if this request's endings bear on it."""
         was_suspect = request in self._suspects
         entry = self._entries.get(request)
-        if entry is not None and len(entry.evidence) >= ENDINGS_TO_HOLD:
+        if entry is not None and len(entry.evidence) >= ENDINGS_TO_QUARANTINE:
             self._suspects.add(request)
         else:
             self._suspects.discard(request)
@@ -247,7 +249,7 @@
         held = []
         for request in sorted(self._suspects, key=self._rank):
             evidence = self._entries[request].evidence
-            if len(evidence - explained) >= UNEXPLAINED_TO_HOLD:
+            if len(evidence - explained) >= UNEXPLAINED_TO_QUARANTINE:
                 held.append(request)
                 explained |= evidence
         self._held = frozenset(held)
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -116,7 +116,7 @@
         return Process(id=self.id, born=self.born)
 
     @cached_property
-    def place(self) -> GroupKey | None:
+    def group_key(self) -> GroupKey | None:
         """Return the formation that it stands in, None if in none."""
         member = self.membership
         return None if member is None else (member.group, member.epoch)
@@ -153,7 +153,7 @@
         return None if head is None else _membership(head).phase
 
     @cached_property
-    def is_far(self) -> bool:
+    def spans_domains(self) -> bool:
         """Tell whether the members stand in different fabric domains."""
         return len({member.domain for member in self.members}) > 1
 
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -101,10 +101,10 @@
         """Note an order that is about to be given."""
         record = self._record(step.target)
         record.pending = Pending(step=step, until=now + TURN_SECONDS)
-        if is_load(step):
+        if loads_weights(step):
             record.load = Load(model=step.model, at=now)
 
-    def give_back(self, step: Step, now: float) -> None:
+    def release_later(self, step: Step, now: float) -> None:
         """Free the process for another order after a moment."""
         record = self._record(step.target)
         record.pending = Pending(step=step, until=now + AGAIN_SECONDS)
@@ -114,7 +114,7 @@
         """Free the process for another order now."""
         self._record(target).pending = None
 
-    def note_taken(self, step: Step, now: float) -> None:
+    def record_taken(self, step: Step, now: float) -> None:
         """Note that a process has taken an order."""
         record = self._record(step.target)
         record.ordered_at = now
@@ -134,7 +134,7 @@
         record = self._records.get(target.process)
         return record.joined.key if record and record.joined else None
 
-    def as_left(self, target: Target) -> Target:
+    def without_left_group(self, target: Target) -> Target:
         """Return a target without the group that it left before the list shows it."""
         record, member = self._records.get(target.process), target.membership
         if record is None or member is None:
@@ -143,7 +143,7 @@
             return target
         return replace(target, membership=None)
 
-    def may_show(self, target: Target, now: float) -> bool:
+    def shows_last_order(self, target: Target, now: float) -> bool:
         """Tell whether a process's report surely shows its last order."""
         record = self._records.get(target.process)
         return record is None or now - record.ordered_at > REPORT_LAG_SECONDS
@@ -155,7 +155,7 @@
         record = self._records.get(target.process)
         return None if record is None else record.count
 
-    def note_report(self, target: Target, orders: int, *, now: float) -> bool:
+    def record_report(self, target: Target, orders: int, *, now: float) -> bool:
         """Take a process's own count; return False when it is out of date.
 
         Within one process the count never falls: a lower one was told late, and an
@@ -163,20 +163,20 @@
         targets tell no start, so does one whose report must show the last order.
         """
         record = self._record(target)
-        may_be_another = target.born is None and self.may_show(target, now)
+        may_be_another = target.born is None and self.shows_last_order(target, now)
         if orders < record.least_count and not may_be_another:
             return False
         record.count = record.least_count = orders
         return True
 
-    def note_seen(self, target: Target, orders: int) -> None:
+    def raise_min_count(self, target: Target, orders: int) -> None:
         """Note a count that a process told beside: later ones may not be lower."""
         record = self._record(target)
         record.least_count = max(record.least_count, orders)
         if record.count is not None and record.count < orders:
             record.count = None
 
-    def note_begun(self, step: Step, *, expected: int, is_sure: bool) -> None:
+    def record_begun(self, step: Step, *, expected: int, is_sure: bool) -> None:
         """Count an order on top of those that it expected before it.
 
         Reports lag, so the count is kept here: with an old one the next join would be
@@ -189,13 +189,13 @@
         if is_sure:
             record.least_count = max(record.least_count, expected + 1)
 
-    def doubt_count(self, target: Target) -> None:
+    def invalidate_count(self, target: Target) -> None:
         """Have the process asked before its next order."""
         self._record(target).count = None
 
     # -- what the list shows -------------------------------------------------
 
-    def settle(
+    def reconcile(
         self, targets: Mapping[str, Target], *, now: float, shows_orders: bool
     ) -> None:
         """Drop what the list shows to be done, and all of processes that ended.
@@ -212,7 +212,7 @@
         return self._records.setdefault(target.process, _Record())
 
 
-def is_load(step: Step) -> bool:
+def loads_weights(step: Step) -> bool:
     """Tell whether an order has weights loaded from their store."""
     return isinstance(step, Stage) or (isinstance(step, Join) and step.loads)
 
