--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -262,7 +262,7 @@
                 await self._clock.sleep(ROWS_SECONDS)
                 waited += ROWS_SECONDS
 
-    def tell_suspicion(
+    def broadcast_suspicion(
         self, key: tuple[str, int], *, cleared: bool = False, closing: bool = False
     ) -> None:
         """Tell every peer that a group is silent, sound again, or closing."""
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -367,7 +367,7 @@
         self._book.begin(step, now)
         if isinstance(step, Leave | Close):
             self._watch.retire((step.group, step.epoch))
-            self._peers.tell_suspicion((step.group, step.epoch), closing=True)
+            self._peers.broadcast_suspicion((step.group, step.epoch), closing=True)
         if loads_weights(step):
             self._loads_begun.append(now)
         self._spawn(self._send_order(step, self._leadership.fence))
@@ -543,7 +543,7 @@
             times=len(self._cleared_at[group.key]),
         )
         self._watch.clear(group.key)
-        self._peers.tell_suspicion(group.key, cleared=True)
+        self._peers.broadcast_suspicion(group.key, cleared=True)
 
     def _poll_pending(self, now: float) -> None:
         """Ask the targets of orders what came of them while the list is lost."""
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -75,7 +75,7 @@
         self.on_liveness_question = []
         self.on_liveness_answer = []
 
-    def tell_suspicion(self, key, *, cleared=False, closing=False):
+    def broadcast_suspicion(self, key, *, cleared=False, closing=False):
         """Tell nobody."""
 
     def tell_vouch(self, target):
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -44,7 +44,7 @@
         """Remember a message."""
         self.told.append((group.key, cause))
 
-    def tell_suspicion(self, key, *, cleared=False, closing=False):
+    def broadcast_suspicion(self, key, *, cleared=False, closing=False):
         """Remember a message."""
         self.told.append(key)
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -174,7 +174,7 @@
         )
         self._mark(key)
         self._move(streams)
-        self._peers.tell_suspicion(key)
+        self._peers.broadcast_suspicion(key)
 
     def _leave(
         self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
