--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -366,7 +366,7 @@
             return
         self._book.begin(step, now)
         if isinstance(step, Leave | Close):
-            self._watch.retire((step.group, step.epoch))
+            self._watch.exclude_closing((step.group, step.epoch))
             self._peers.broadcast_suspicion((step.group, step.epoch), closing=True)
         if loads_weights(step):
             self._loads_begun.append(now)
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -56,7 +56,7 @@
         self.on_suspect = []
         self.cleared = []
 
-    def retire(self, key):
+    def exclude_closing(self, key):
         """Send nothing new to a group."""
 
     def clear(self, key):
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -242,7 +242,7 @@
             self.clear(key)
             return
         if suspicion.closing:
-            self.retire(key)
+            self.exclude_closing(key)
             return
         streams = self._streams_on(key)
         if self._advances(key, streams):
@@ -289,7 +289,7 @@
         for notify in self.on_suspect:
             notify(group.key)
 
-    def retire(self, key: GroupKey) -> None:
+    def exclude_closing(self, key: GroupKey) -> None:
         """Send no new streams to a group that is closed or taken apart.
 
         The list shows it up to a poll later, and each stream sent meanwhile is turned
