--- a/bench/formation.py
+++ b/bench/formation.py
@@ -56,7 +56,11 @@
         ),
     )
     return EngineProfile(
-        slots=13, models=models, loads_per_second=4.5, loads_at_once=6, far_factor=2.5
+        slots=13,
+        models=models,
+        loads_per_second=4.5,
+        loads_at_once=6,
+        cross_domain_factor=2.5,
     )
 
 
@@ -323,7 +327,7 @@
         found = {"large": 0.0, "small": 0.0, "far": 0.0, "open": defaultdict(int)}
         for group in self._groups().values():
             if group.phase is GroupPhase.OPEN and self._is_whole(group):
-                far = self.shape.profile.far_factor
+                far = self.shape.profile.cross_domain_factor
                 found[group.model] += 1.0 / far if group.spans_domains else 1.0
                 found["far"] += group.spans_domains
                 found["open"][group.model] += 1
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -201,7 +201,7 @@
         loads_at_once=int(engine.loads_at_once),
         usual_prompt_tokens=engine.usual.prompt,
         usual_answer_tokens=engine.usual.answer,
-        far_factor=engine.far_x or 1.0,
+        cross_domain_factor=engine.far_x or 1.0,
     )
 
 
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -52,7 +52,7 @@
     loads_at_once: int = 1
     usual_prompt_tokens: float = 0.0
     usual_answer_tokens: float = 0.0
-    far_factor: float = 1.0
+    cross_domain_factor: float = 1.0
 
     def model(self, name: str) -> ModelSpec | None:
         """Return the model called `name`."""
