--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -105,7 +105,7 @@
         load = self.load(group.key)
         if not group.spans_domains:
             return load
-        return replace(load, slowness=load.slowness * profile.far_factor)
+        return replace(load, slowness=load.slowness * profile.cross_domain_factor)
 
     def own_loads(self) -> LoadsByGroup:
         """Return this host's own work by group, for its peers."""
