--- a/mallowpond/gateway/quarantine.py
+++ b/mallowpond/gateway/quarantine.py
@@ -36,11 +36,11 @@
         """Tell whether a request is held back now."""
         return self.problem(request) is not None
 
-    def note_ending(self, request: str, target: str, sent_at: float) -> None:
+    def record_ending(self, request: str, target: str, sent_at: float) -> None:
         """Note that a target broke off while it ran a request."""
         now = self._clock.now()
         ending = Ending(process=Process(id=target, born=None), ran=now - sent_at)
-        record = self._ledger.note_ending(request, ending, now)
+        record = self._ledger.record_ending(request, ending, now)
         if record is None:
             return
         log.info(
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -125,7 +125,7 @@
                 self.quarantine.note_answer(self.fingerprint, life)
                 return Served()
             if reason in ENDED_REASONS:
-                self.quarantine.note_ending(self.fingerprint, life, sent_at)
+                self.quarantine.record_ending(self.fingerprint, life, sent_at)
             if not self._may_retry(number):
                 return self._give_up(reason)
             self.metrics.retries.labels(reason=reason).inc()
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -184,7 +184,7 @@
         finally:
             record.running -= 1
         if isinstance(reply, NoReply) and reply.reason is Reason.MAYBE_RUN:
-            self._quarantine.note_ending(work.fingerprint, target.process, now)
+            self._quarantine.record_ending(work.fingerprint, target.process, now)
         elif isinstance(reply, WholeReply):
             self._quarantine.record_alive(target.process)
         self._judge(work, target, reply)
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -44,7 +44,7 @@
         """Tell whether a target ended just now, as far as this host has heard."""
         return self._ledger.has_ended(process, self._clock.now())
 
-    def note_ending(self, request: str, process: Process, sent_at: float) -> bool:
+    def record_ending(self, request: str, process: Process, sent_at: float) -> bool:
         """Note that a target broke off while it ran a request.
 
         False if it had ended before the send, so that the request met nobody there.
@@ -53,7 +53,7 @@
             return False
         now = self._clock.now()
         ending = Ending(process=process, ran=now - sent_at)
-        record = self._ledger.note_ending(request, ending, now)
+        record = self._ledger.record_ending(request, ending, now)
         if record is None:
             return True
         self._metrics.endings.inc()
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -361,7 +361,7 @@
         """Note that a group's head ended, and leave it alone if it had ended before."""
         assert group.head is not None
         process = group.head.process
-        if not self._quarantine.note_ending(work.fingerprint, process, work.sent_at):
+        if not self._quarantine.record_ending(work.fingerprint, process, work.sent_at):
             self._withhold(work, group)
             self._log_turned_away(work, group, reason)
 
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -105,7 +105,7 @@
     def meet(self, seconds_ran, number):
         """Note that a target ended under the request that ends them all."""
         sent_at = self.fleet.clock.now() - seconds_ran
-        self.quarantine.note_ending("bad", target(number), sent_at)
+        self.quarantine.record_ending("bad", target(number), sent_at)
 
 
 class Fleet:
@@ -267,7 +267,7 @@
         for number in range(3):
             request = f"{host.name}.{number}"
             sent_at = fleet.clock.now() - 0.4
-            host.quarantine.note_ending(request, target(number), sent_at)
+            host.quarantine.record_ending(request, target(number), sent_at)
     fleet.settle()
     heard = sum(len(data) + 28 for _, name, data in fleet.carried if name == "n0")
     # By the aim of 3 KB a second, over the time in which it is told.
@@ -281,7 +281,7 @@
     fleet = Fleet(2)
     for number in range(500):
         sent_at = fleet.clock.now() - 0.4
-        fleet.hosts[0].quarantine.note_ending(f"r{number}", target(1), sent_at)
+        fleet.hosts[0].quarantine.record_ending(f"r{number}", target(1), sent_at)
     fleet.clock.time += 1.0
     fleet.hosts[0].sharing.tell_due()
     (_, _, data) = fleet.carried.pop()
@@ -330,8 +330,8 @@
     quarantine = rig.service._quarantine
     beside, now = rig.work(FakeExchange()), rig.clock.now()
     for number in range(ENDINGS_TO_QUARANTINE):
-        quarantine.note_ending(beside.fingerprint, target(number), now - 0.4)
-        quarantine.note_ending("bad", target(number), now - 0.1)
+        quarantine.record_ending(beside.fingerprint, target(number), now - 0.4)
+        quarantine.record_ending("bad", target(number), now - 0.1)
     assert quarantine.is_held("bad")
     outcome = await rig.service.serve(beside)
     assert outcome == Answered(status=200, target="d0")
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -119,7 +119,7 @@
         ended_at = self._ended.get(process)
         return ended_at is not None and ended_at < sent_at <= ended_at + ENDED_SECONDS
 
-    def note_ending(
+    def record_ending(
         self, request: str, ending: Ending, now: float
     ) -> CrashRecord | None:
         """Take an ending that this host saw, and return all that is known of it.
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -45,7 +45,7 @@
     ledger = CrashLedger()
     for number in range(ENDINGS_TO_QUARANTINE):
         assert not ledger.held(0.0)
-        ledger.note_ending("bad", ending(number), 0.0)
+        ledger.record_ending("bad", ending(number), 0.0)
     assert ledger.held(0.0) == {"bad"}
     assert ledger.quarantine_seconds_left("bad", 1.0) == QUARANTINE_SECONDS - 1.0
 
@@ -59,7 +59,7 @@
     ledger = CrashLedger()
     for born in range(ENDINGS_TO_QUARANTINE):
         again = Ending(process=Process(id="a", born=born), ran=0.1)
-        ledger.note_ending("bad", again, 0.0)
+        ledger.record_ending("bad", again, 0.0)
     assert ledger.held(0.0) == {"bad"}
 
 
@@ -158,11 +158,11 @@
     ledger = CrashLedger()
     ledger.note_answer("popular", 0.0)
     for target in "abcd":
-        ledger.note_ending("popular", ending(target), 1.0)
+        ledger.record_ending("popular", ending(target), 1.0)
     assert not ledger.held(1.0)
     ledger.note_answer("untold", 0.0)
     for target in "efgh":
-        ledger.note_ending("untold", ending(target), ANSWERED_SECONDS + 1.0)
+        ledger.record_ending("untold", ending(target), ANSWERED_SECONDS + 1.0)
     assert ledger.held(ANSWERED_SECONDS + 1.0) == {"untold"}
 
 
@@ -170,10 +170,10 @@
     ledger = ledger_of(record("bad", "a", "b", "c"))
     assert not ledger.held(QUARANTINE_SECONDS)
     assert ledger.quarantine_seconds_left("bad", QUARANTINE_SECONDS + 1.0) == 0.0
-    ledger.note_ending("bad", ending("d"), QUARANTINE_SECONDS + 1.0)
+    ledger.record_ending("bad", ending("d"), QUARANTINE_SECONDS + 1.0)
     assert ledger.held(QUARANTINE_SECONDS + 1.0) == {"bad"}
     later = QUARANTINE_SECONDS + FORGET_SECONDS + 2.0
-    ledger.note_ending("bad", ending("e"), later)
+    ledger.record_ending("bad", ending("e"), later)
     assert not ledger.held(later)
 
 
@@ -211,11 +211,11 @@
     Cause: each send that broke off counted against its request.
     """
     ledger = CrashLedger()
-    assert ledger.note_ending("bad", ending("a", ran=0.1), 10.0) is not None
-    assert ledger.note_ending("beside", ending("a", ran=0.5), 10.01) is not None
-    assert ledger.note_ending("later", ending("a", ran=0.002), 10.5) is None
+    assert ledger.record_ending("bad", ending("a", ran=0.1), 10.0) is not None
+    assert ledger.record_ending("beside", ending("a", ran=0.5), 10.01) is not None
+    assert ledger.record_ending("later", ending("a", ran=0.002), 10.5) is None
     ledger.record_alive(Process(id="a", born=1))
-    assert ledger.note_ending("again", ending("a", ran=0.1), 11.0) is not None
+    assert ledger.record_ending("again", ending("a", ran=0.1), 11.0) is not None
 
 
 def test_an_ending_that_another_host_saw_counts_like_an_own_one():
@@ -223,9 +223,9 @@
     ledger = CrashLedger()
     ledger.merge(record("bad", "a", age=0.2), 10.2)
     assert ledger.has_ended(Process(id="a", born=1), 10.3)
-    assert ledger.note_ending("beside", ending("a", ran=0.002), 10.3) is None
+    assert ledger.record_ending("beside", ending("a", ran=0.002), 10.3) is None
     # Sent before the end, it stood there too.
-    assert ledger.note_ending("before", ending("a", ran=0.4), 10.3) is not None
+    assert ledger.record_ending("before", ending("a", ran=0.4), 10.3) is not None
 
 
 def test_a_target_counts_as_ended_until_it_shows_life_or_may_have_started_again():
@@ -247,11 +247,11 @@
     """
     ledger = CrashLedger()
     untold = Ending(process=Process(id="a", born=None), ran=0.1)
-    assert ledger.note_ending("first", untold, 10.0) is not None
+    assert ledger.record_ending("first", untold, 10.0) is not None
     later = 10.2 + ENDED_SECONDS
-    assert ledger.note_ending("bad", untold, later) is not None
-    assert ledger.note_ending("beside", untold, later + 0.05) is not None
-    assert ledger.note_ending("late", untold, later + 0.5) is None
+    assert ledger.record_ending("bad", untold, later) is not None
+    assert ledger.record_ending("beside", untold, later + 0.05) is not None
+    assert ledger.record_ending("late", untold, later + 0.5) is None
 
 
 def test_a_ledger_full_of_held_requests_takes_no_more_and_does_not_fail(monkeypatch):
@@ -260,5 +260,5 @@
     ledger = CrashLedger()
     for number in range(most):
         ledger.merge(record(f"r{number}", *(f"{number}.{n}" for n in range(3))), 0.0)
-    assert ledger.note_ending("new", ending("x"), 0.0) is None
+    assert ledger.record_ending("new", ending("x"), 0.0) is None
     assert len(ledger.held(0.0)) == most
