--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -276,7 +276,7 @@
             )
         )
 
-    def tell_broken(self, group: Group, cause: BreakCause) -> None:
+    def broadcast_group_broken(self, group: Group, cause: BreakCause) -> None:
         """Tell every peer that a formation serves no more."""
         if group.head is None:
             return
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -40,7 +40,7 @@
         """Remember a question."""
         self.asked.append(key)
 
-    def tell_broken(self, group, cause):
+    def broadcast_group_broken(self, group, cause):
         """Remember a message."""
         self.told.append((group.key, cause))
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -284,7 +284,7 @@
         elif not self._advances(group.key, streams):
             self._move(streams)
         if not is_told:
-            self._peers.tell_broken(group, cause)
+            self._peers.broadcast_group_broken(group, cause)
         self._metrics.suspicions.labels(cause.value).inc()
         for notify in self.on_suspect:
             notify(group.key)
