--- a/bench/formation.py
+++ b/bench/formation.py
@@ -343,11 +343,11 @@
             for key, known in self.formations.items()
             if key in groups or self.now - known.ordered_at < STALL_SECONDS
         }
-        pressure, running = {}, {}
+        utilization, running = {}, {}
         profile, needed = self.shape.profile, self.shape.needed
         for model in profile.models:
             full = min(1.08, 0.9 * needed[model.name] / max(0.1, capacity[model.name]))
-            pressure[model.name] = full
+            utilization[model.name] = full
             running[model.name] = model.size * full * 13 * capacity["open"][model.name]
         total = sum(running.values())
         demand = {
@@ -361,7 +361,7 @@
             now=self.now,
             next_epoch=self.epoch,
             demand=demand,
-            pressure=pressure if self.now > 0 else {},
+            utilization=utilization if self.now > 0 else {},
             lost=frozenset(
                 e.name
                 for e in self.engines.values()
--- a/mallowpond/node/model_summary.py
+++ b/mallowpond/node/model_summary.py
@@ -43,7 +43,7 @@
     }
 
 
-def pressure(directory: Directory, profile: EngineProfile) -> dict[str, float]:
+def utilization(directory: Directory, profile: EngineProfile) -> dict[str, float]:
     """Return how full each model's groups are, with what waits here."""
     fullness = {}
     for model in profile.models:
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -17,7 +17,7 @@
 from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
 from mallowpond.node.metrics import NodeMetrics
-from mallowpond.node.model_summary import demand, log_summary, pressure
+from mallowpond.node.model_summary import demand, log_summary, utilization
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import (
     OrderEnd,
@@ -246,7 +246,7 @@
             ),
             now=now,
             demand=demand(self._directory, profile),
-            pressure=pressure(self._directory, profile),
+            utilization=utilization(self._directory, profile),
             next_epoch=self._next_epoch,
             lost=self._probes.lost,
             busy=self._book.busy,
--- a/mallowpond/node/tests/test_model_summary.py
+++ b/mallowpond/node/tests/test_model_summary.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from mallowpond.node.directory import Directory
-from mallowpond.node.model_summary import demand, pressure
+from mallowpond.node.model_summary import demand, utilization
 from mallowpond.node.tests.fakes import FakeClock, FakeSource, listing, open_group
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 
@@ -32,8 +32,8 @@
     ran on no group, which was read as a model that needs none.
     """
     directory = await directory_of(*open_group("g"))
-    assert pressure(directory, PROFILE)["large"] == 1.0
-    assert pressure(directory, PROFILE)["m"] == 0.0
+    assert utilization(directory, PROFILE)["large"] == 1.0
+    assert utilization(directory, PROFILE)["m"] == 0.0
 
 
 async def test_a_model_that_serves_nobody_keeps_its_declared_share():
--- a/mallowpond/state/formation.py
+++ b/mallowpond/state/formation.py
@@ -198,7 +198,7 @@
         """
         if self._view.before_traffic:
             return False
-        if self._view.pressure.get(model.name, 0.0) < FAR_PRESSURE:
+        if self._view.utilization.get(model.name, 0.0) < FAR_PRESSURE:
             return False
         parts = [
             [t for t in free if t.id not in self._loading and not needs_load(t, model)]
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -91,7 +91,7 @@
     now: float
     next_epoch: int
     demand: dict[str, float] = field(default_factory=dict)
-    pressure: dict[str, float] = field(default_factory=dict)
+    utilization: dict[str, float] = field(default_factory=dict)
     lost: frozenset[str] = frozenset()
     busy: frozenset[str] = frozenset()
     formations: dict[tuple[str, int], Formation] = field(default_factory=dict)
--- a/mallowpond/state/tests/test_formation.py
+++ b/mallowpond/state/tests/test_formation.py
@@ -358,13 +358,13 @@
 def test_a_group_across_domains_is_formed_only_under_pressure():
     parts = [target(f"t{i}", f"d{i}", staged="small") for i in range(3)]
     assert of_kind(plan(parts), Join) == []
-    joins = of_kind(plan(parts, pressure={"small": 0.9}), Join)
+    joins = of_kind(plan(parts, utilization={"small": 0.9}), Join)
     assert len(joins) == 3
 
 
 def test_no_target_gets_two_groups_in_one_plan():
     fleet = [target(f"t{i}", f"d{i % 3}", staged="small") for i in range(27)]
-    joins = of_kind(plan(fleet, pressure={"small": 0.9}), Join)
+    joins = of_kind(plan(fleet, utilization={"small": 0.9}), Join)
     assert len({join.target.id for join in joins}) == len(joins)
 
 
