--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -27,7 +27,7 @@
 )
 from mallowpond.state.lease import LapseWatch
 from mallowpond.state.proposal import next_epoch
-from mallowpond.state.rows import BeatRow, CellRow, MemberRow, MemberState
+from mallowpond.state.rows import CellRow, HeartbeatRow, MemberRow, MemberState
 
 GONE_AFTER_LEASES = 3.0
 
@@ -168,7 +168,7 @@
                 self._watch.postpone(dark)
                 self._gone_watch.postpone(dark)
         self._last_read_at = now
-        beats = self._cell_view.below(BEATS, BeatRow)
+        beats = self._cell_view.below(BEATS, HeartbeatRow)
         for name, member in self.members().items():
             key = (name, member.incarnation)
             beat = beats[name].value.n if name in beats else 0
@@ -232,12 +232,12 @@
         """Return the next beat, with the member row only where that changed."""
         prefix = cell_prefix(self._identity.cell)
         name = self._identity.name
-        beat = self._cell_view.get(BEATS + name, BeatRow)
+        beat = self._cell_view.get(BEATS + name, HeartbeatRow)
         self._counter += 1
         puts = [
             TypedPut(
                 key=prefix + BEATS + name,
-                value=BeatRow(n=self._counter),
+                value=HeartbeatRow(n=self._counter),
                 expect=beat.version if beat else 0,
             )
         ]
--- a/mallowpond/state/rows.py
+++ b/mallowpond/state/rows.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BeatRow:
+class HeartbeatRow:
     """Renew a member; kept apart and short, since all members read it all the time."""
 
     n: int
