--- a/mallowpond/gateway/quarantine.py
+++ b/mallowpond/gateway/quarantine.py
@@ -51,10 +51,10 @@
         )
         self._report(record)
 
-    def note_answer(self, request: str, target: str) -> None:
+    def record_answer(self, request: str, target: str) -> None:
         """Note that a target answered a request whole."""
         self._ledger.record_alive(Process(id=target, born=None))
-        record = self._ledger.note_answer(request, self._clock.now())
+        record = self._ledger.record_answer(request, self._clock.now())
         if record is not None:
             self._report(record)
 
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -122,7 +122,7 @@
             sent_at, life = self.clock.now(), self.pool.life_of(place)
             reason = await self._attempt(place)
             if reason is None:
-                self.quarantine.note_answer(self.fingerprint, life)
+                self.quarantine.record_answer(self.fingerprint, life)
                 return Served()
             if reason in ENDED_REASONS:
                 self.quarantine.record_ending(self.fingerprint, life, sent_at)
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -109,7 +109,7 @@
             reply = await self._send(work, target)
             match reply:
                 case WholeReply(status=status) if status < 500:
-                    self._quarantine.note_answer(work.fingerprint)
+                    self._quarantine.record_answer(work.fingerprint)
                     await _respond(work, reply)
                     return Answered(status=status, target=target.id)
                 case WholeReply():
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -73,9 +73,9 @@
         """Note that a target does something."""
         self._ledger.record_alive(process)
 
-    def note_answer(self, request: str) -> None:
+    def record_answer(self, request: str) -> None:
         """Note that a request was answered whole."""
-        if self._ledger.note_answer(request, self._clock.now()) is None:
+        if self._ledger.record_answer(request, self._clock.now()) is None:
             return
         self.review()
         for notify in self.on_seen:
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -251,7 +251,7 @@
         fleet.hosts[0].meet(0.1, number)
     fleet.settle()
     assert fleet.who_holds() == fleet.names
-    fleet.hosts[3].quarantine.note_answer("bad")
+    fleet.hosts[3].quarantine.record_answer("bad")
     fleet.settle()
     assert fleet.who_holds() == []
 
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -145,7 +145,7 @@
         if len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
 
-    def note_answer(self, request: str, now: float) -> CrashRecord | None:
+    def record_answer(self, request: str, now: float) -> CrashRecord | None:
         """Note a whole answer; return what it refutes, None if there was nothing.
 
         A request that ends each target which runs it is never answered.
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -130,11 +130,11 @@
 
 def test_a_whole_answer_clears_a_request():
     ledger = ledger_of(record("fine", "a", "b"))
-    told = ledger.note_answer("fine", 1.0)
+    told = ledger.record_answer("fine", 1.0)
     assert all(known.refuted for known in told.endings)
     ledger.merge(record("fine", "c"), 1.0 + ANSWERED_SECONDS + 1.0)
     assert not ledger.held(70.0)
-    assert ledger.note_answer("never seen", 1.0) is None
+    assert ledger.record_answer("never seen", 1.0) is None
 
 
 def test_what_a_host_refutes_is_refuted_where_it_is_heard_late():
@@ -144,7 +144,7 @@
     Cause: the later news counted for more.
     """
     first = ledger_of(record("fine", "a", "b", "c"))
-    refuted = first.note_answer("fine", 1.0)
+    refuted = first.record_answer("fine", 1.0)
     second = ledger_of(refuted, record("fine", "a", "b", "c"))
     assert not second.held(1.0)
 
@@ -156,11 +156,11 @@
     Cause: three ended targets counted although it had just been answered.
     """
     ledger = CrashLedger()
-    ledger.note_answer("popular", 0.0)
+    ledger.record_answer("popular", 0.0)
     for target in "abcd":
         ledger.record_ending("popular", ending(target), 1.0)
     assert not ledger.held(1.0)
-    ledger.note_answer("untold", 0.0)
+    ledger.record_answer("untold", 0.0)
     for target in "efgh":
         ledger.record_ending("untold", ending(target), ANSWERED_SECONDS + 1.0)
     assert ledger.held(ANSWERED_SECONDS + 1.0) == {"untold"}
@@ -187,7 +187,7 @@
     for number in range(MAX_REQUESTS + 50):
         ledger.merge(record(f"r{number}", f"t{number}"), 1.0)
     for number in range(MAX_ANSWERED + 50):
-        ledger.note_answer(f"a{number}", 1.0)
+        ledger.record_answer(f"a{number}", 1.0)
     records = list(ledger.records(1.0))
     assert len(records) == MAX_REQUESTS
     assert records[0].request == "bad"
