--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -290,7 +290,7 @@
             )
         )
 
-    def ask_about(self, key: GroupKey, silent: float) -> None:
+    def ask_group_progress(self, key: GroupKey, silent: float) -> None:
         """Ask every peer whether a group advances."""
         self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
