--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from mallowpond.state.fleet import EngineProfile, ModelSpec
-from mallowpond.state.site_configuration import Backend, Repeat, Route
+from mallowpond.state.site_configuration import Backend, RepeatPolicy, Route
 
 SERVICE = "engines"
 MODEL = "m"
@@ -51,7 +51,7 @@
     name="r",
     host="h",
     prefix="/",
-    repeat=Repeat.STREAM,
+    repeat=RepeatPolicy.STREAM,
     backends=(Backend(service=SERVICE, weight=1),),
     timeout_seconds=6.0,
     objective_seconds=0.303,
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -12,7 +12,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.limits import spread_retry_after
-from mallowpond.state.site_configuration import Repeat, Route
+from mallowpond.state.site_configuration import RepeatPolicy, Route
 from mallowpond.transport.http_client import CallFailed
 from mallowpond.transport.http_server import Exchange
 
@@ -246,7 +246,7 @@
             del self._records[process]
 
     def _is_repeatable(self, work: CallWork) -> bool:
-        return work.route.repeat is Repeat.IDEMPOTENT
+        return work.route.repeat is RepeatPolicy.IDEMPOTENT
 
     def _attempts(self, work: CallWork) -> int:
         return max(1, work.route.max_attempts)
--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -18,7 +18,7 @@
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 from mallowpond.state.limits import spread_retry_after
 from mallowpond.state.site_configuration import (
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
     choose_backend,
@@ -176,7 +176,7 @@
             workspace, priority = holder.workspace, holder.priority
         service = choose_backend(route, self._rng.random())
         deadline = started_at + _timeout_seconds(request, route)
-        if route.repeat is Repeat.STREAM:
+        if route.repeat is RepeatPolicy.STREAM:
             shape = _shape(configuration, service, request)
             if shape is not None:
                 work = StreamWork(
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -31,7 +31,7 @@
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.state.site_configuration import (
     Backend,
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
 )
@@ -279,7 +279,7 @@
     name="r",
     host="h",
     prefix="/",
-    repeat=Repeat.STREAM,
+    repeat=RepeatPolicy.STREAM,
     backends=(Backend(service="engines", weight=1),),
     timeout_seconds=5.0,
     objective_seconds=0.2,
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -26,20 +26,20 @@
 from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, CrashRecord, Ending
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.retry_window import RetryWindow
-from mallowpond.state.site_configuration import Backend, Repeat, Route
+from mallowpond.state.site_configuration import Backend, RepeatPolicy, Route
 from mallowpond.transport.http_client import Chunk, End
 
 ONCE = Route(
     name="r",
     host="h",
     prefix="/",
-    repeat=Repeat.ONCE,
+    repeat=RepeatPolicy.ONCE,
     backends=(Backend(service="plain", weight=1),),
     timeout_seconds=1.0,
     objective_seconds=0.2,
     max_attempts=2,
 )
-IDEMPOTENT = replace(ONCE, repeat=Repeat.IDEMPOTENT)
+IDEMPOTENT = replace(ONCE, repeat=RepeatPolicy.IDEMPOTENT)
 
 
 def plain(name, **more):
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -32,16 +32,16 @@
     Backend,
     CallerLimits,
     KeyHolder,
-    Repeat,
+    RepeatPolicy,
     Route,
     Service,
     SiteConfiguration,
 )
 
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "non_idempotent": Repeat.ONCE,
-    "stream": Repeat.STREAM,
+    "idempotent": RepeatPolicy.IDEMPOTENT,
+    "non_idempotent": RepeatPolicy.ONCE,
+    "stream": RepeatPolicy.STREAM,
 }
 MILLISECONDS = 0.001
 # Fields of an entry that may be a number or a text, with the kind of number.
@@ -166,7 +166,7 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.prefix,
-        repeat=REPEATS.get(route.kind, Repeat.ONCE),
+        repeat=REPEATS.get(route.kind, RepeatPolicy.ONCE),
         backends=tuple(Backend(service=b.service, weight=b.weight) for b in backends),
         timeout_seconds=route.timeout_ms * MILLISECONDS,
         objective_seconds=route.slo_ms * MILLISECONDS,
--- a/mallowpond/platform/tests/test_documents.py
+++ b/mallowpond/platform/tests/test_documents.py
@@ -7,7 +7,7 @@
 from mallowpond.platform import documents
 from mallowpond.state.decoding import Fault, Unreadable
 from mallowpond.state.fleet import GroupPhase, Process
-from mallowpond.state.site_configuration import Repeat
+from mallowpond.state.site_configuration import RepeatPolicy
 
 DOCUMENT = {
     "version": 7,
@@ -67,7 +67,7 @@
     site = documents.configuration(DOCUMENT)
     stream, other = site.routes
     assert site.version == 7
-    assert (stream.repeat, stream.resumable) == (Repeat.STREAM, True)
+    assert (stream.repeat, stream.resumable) == (RepeatPolicy.STREAM, True)
     assert (stream.timeout_seconds, stream.objective_seconds) == (8.0, 0.3)
     assert stream.gap_seconds == 0.25
     assert [b.weight for b in stream.backends] == [90, 10]
@@ -85,7 +85,7 @@
     Sequence: a new kind of route comes into force before this program knows it.
     Cause: an unknown kind was taken for one that may be repeated.
     """
-    assert documents.configuration(DOCUMENT).routes[1].repeat is Repeat.ONCE
+    assert documents.configuration(DOCUMENT).routes[1].repeat is RepeatPolicy.ONCE
 
 
 def test_an_empty_configuration_is_one():
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -21,7 +21,7 @@
     Backend,
     CallerLimits,
     KeyHolder,
-    Repeat,
+    RepeatPolicy,
     Route,
     Service,
     SiteConfiguration,
@@ -31,12 +31,12 @@
     name="r",
     host="h.example",
     prefix="/p/",
-    repeat=Repeat.ONCE,
+    repeat=RepeatPolicy.ONCE,
     backends=(Backend(service="s", weight=1),),
     timeout_seconds=1.0,
     objective_seconds=0.2,
 )
-STREAM = replace(ROUTE, name="t", prefix="/t/", repeat=Repeat.STREAM)
+STREAM = replace(ROUTE, name="t", prefix="/t/", repeat=RepeatPolicy.STREAM)
 MODELS = EngineProfile(slots=4, models=(ModelSpec(name="m", size=2),))
 SITE = SiteConfiguration(
     version=1,
--- a/mallowpond/state/site_configuration.py
+++ b/mallowpond/state/site_configuration.py
@@ -6,7 +6,7 @@
 from mallowpond.state.fleet import EngineProfile
 
 
-class Repeat(str, Enum):
+class RepeatPolicy(str, Enum):
     """Say what may be done with a request that has perhaps run."""
 
     IDEMPOTENT = "idempotent"
@@ -29,7 +29,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     backends: tuple[Backend, ...]
     timeout_seconds: float
     objective_seconds: float
--- a/mallowpond/state/tests/test_site_configuration.py
+++ b/mallowpond/state/tests/test_site_configuration.py
@@ -2,7 +2,7 @@
 
 from mallowpond.state.site_configuration import (
     Backend,
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
     choose_backend,
@@ -15,7 +15,7 @@
         name=prefix,
         host=host,
         prefix=prefix,
-        repeat=Repeat.ONCE,
+        repeat=RepeatPolicy.ONCE,
         timeout_seconds=1.0,
         objective_seconds=0.2,
         **{"backends": (Backend(service="s", weight=1),), **more},
