--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -30,7 +30,7 @@
     CellView,
     HeadRead,
     NotAssured,
-    Vouch,
+    PeerAnswer,
     assess,
 )
 from mallowpond.state.codec import to_plain
@@ -96,7 +96,7 @@
         self._head_read: HeadRead | None = None
         self._held: ProposalRow | None = None
         self._first_seen: dict[str, float] = {}
-        self._vouches: dict[str, Vouch] = {}
+        self._vouches: dict[str, PeerAnswer] = {}
 
     @property
     def applied(self) -> Applied:
@@ -141,7 +141,7 @@
             return NotAssured(reason=f"version {verdict.version} is not applied yet")
         return verdict
 
-    def note_vouch(self, vouch: Vouch) -> None:
+    def note_vouch(self, vouch: PeerAnswer) -> None:
         """Keep a peer's latest answer."""
         self._vouches[vouch.member] = vouch
 
--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Vouch:
+class PeerAnswer:
     """Hold a peer's last answer; `asked_at` is this node's time before asking."""
 
     member: str
@@ -71,7 +71,7 @@
     cell: CellView,
     own: HeadRead | None,
     holds_newer: bool,
-    vouches: tuple[Vouch, ...],
+    vouches: tuple[PeerAnswer, ...],
 ) -> Assured | NotAssured:
     """Return the longest assurance that any of the three sources gives."""
     if own is None:
@@ -89,7 +89,7 @@
 
 
 def _assured_by_reads(
-    own: HeadRead, vouches: tuple[Vouch, ...], limit_seconds: float
+    own: HeadRead, vouches: tuple[PeerAnswer, ...], limit_seconds: float
 ) -> Assured:
     best = Assured(
         version=own.version,
@@ -114,7 +114,7 @@
     cell: CellView,
     own: HeadRead,
     holds_newer: bool,
-    vouches: tuple[Vouch, ...],
+    vouches: tuple[PeerAnswer, ...],
 ) -> Assured:
     nothing = Assured(version=own.version, source=Source.CELL_MAJORITY, until=now)
     if holds_newer or me not in cell.members:
@@ -135,13 +135,13 @@
 
 
 def _forbids(
-    vouch: Vouch, cell: CellView, own: HeadRead, now: float, limit_seconds: float
+    vouch: PeerAnswer, cell: CellView, own: HeadRead, now: float, limit_seconds: float
 ) -> bool:
     knows_later = vouch.head_version > own.version or vouch.epoch > cell.epoch
     return knows_later or _has_read(vouch, now, limit_seconds)
 
 
-def _has_read(vouch: Vouch, now: float, limit_seconds: float) -> bool:
+def _has_read(vouch: PeerAnswer, now: float, limit_seconds: float) -> bool:
     # A member that still reads the table proves that it is not dark: the others
     # should take its word (the second source) and not outvote it.
     if vouch.read_age is None:
@@ -149,7 +149,7 @@
     return now - vouch.asked_at + vouch.read_age < limit_seconds
 
 
-def _agrees(vouch: Vouch, cell: CellView, own: HeadRead) -> bool:
+def _agrees(vouch: PeerAnswer, cell: CellView, own: HeadRead) -> bool:
     same = vouch.head_version == own.version and vouch.epoch == cell.epoch
     has_read_once = vouch.read_age is not None
     return (
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -9,8 +9,8 @@
     CellView,
     HeadRead,
     NotAssured,
+    PeerAnswer,
     Source,
-    Vouch,
     assess,
 )
 
@@ -20,7 +20,7 @@
 
 
 def vouch(member, **changes):
-    base = Vouch(
+    base = PeerAnswer(
         member=member,
         asked_at=DARK - 0.5,
         epoch=5,
