--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -301,7 +301,7 @@
         question = LivenessQuestion(node=self._name, number=number, target=target)
         self.send_to(question, (node,))
 
-    def tell_liveness(self, question: LivenessQuestion, alive: bool) -> None:
+    def answer_liveness(self, question: LivenessQuestion, alive: bool) -> None:
         """Answer a peer that asked whether a target lives."""
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
         self.send_to(answer, (question.node,))
