--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -31,7 +31,7 @@
 from mallowpond.state.site_configuration import (
     Backend,
     CallerLimits,
-    KeyHolder,
+    KeyOwner,
     RepeatPolicy,
     Route,
     Service,
@@ -216,10 +216,10 @@
     )
 
 
-def _keys(tenants: tuple[_Tenant, ...]) -> dict[str, KeyHolder]:
+def _keys(tenants: tuple[_Tenant, ...]) -> dict[str, KeyOwner]:
     keys = {}
     for tenant in tenants:
-        holder = KeyHolder(workspace=tenant.name, priority=tenant.priority)
+        holder = KeyOwner(workspace=tenant.name, priority=tenant.priority)
         keys |= {key: holder for key in tenant.api_keys}
     return keys
 
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -20,7 +20,7 @@
 from mallowpond.state.site_configuration import (
     Backend,
     CallerLimits,
-    KeyHolder,
+    KeyOwner,
     RepeatPolicy,
     Route,
     Service,
@@ -42,7 +42,7 @@
     version=1,
     routes=(ROUTE, STREAM),
     services={"s": Service(name="s", max_connections=9, profile=MODELS)},
-    keys={"good": KeyHolder(workspace="w")},
+    keys={"good": KeyOwner(workspace="w")},
     uses_keys=True,
     limits=CallerLimits(header_bytes=2000, body_bytes=100, header_seconds=0.3),
 )
--- a/mallowpond/state/site_configuration.py
+++ b/mallowpond/state/site_configuration.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KeyHolder:
+class KeyOwner:
     """Name the workspace that a key belongs to."""
 
     workspace: str
@@ -75,7 +75,7 @@
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
-    keys: dict[str, KeyHolder] = field(default_factory=dict)
+    keys: dict[str, KeyOwner] = field(default_factory=dict)
     uses_keys: bool = False
     limits: CallerLimits = field(default_factory=CallerLimits)
 
