--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -194,7 +194,7 @@
         self._peers = PeerPoller(
             me=settings.name,
             clock=ports.clock,
-            on_vouch=self.configuration.note_vouch,
+            on_vouch=self.configuration.record_peer_answer,
             on_cell=self.membership.note_cell,
         )
         self.tables = Tables(
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -141,7 +141,7 @@
             return NotAssured(reason=f"version {verdict.version} is not applied yet")
         return verdict
 
-    def note_vouch(self, vouch: PeerAnswer) -> None:
+    def record_peer_answer(self, vouch: PeerAnswer) -> None:
         """Keep a peer's latest answer."""
         self._vouches[vouch.member] = vouch
 
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -208,7 +208,7 @@
         self.clock.time += delay
         if cell is not None:
             self.membership.note_cell(cell)
-        self.configuration.note_vouch(vouch)
+        self.configuration.record_peer_answer(vouch)
 
     def vouch(self, asked_at: float) -> PeerAnswer:
         """Answer a peer as the link service does."""
