--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -306,7 +306,7 @@
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
         self.send_to(answer, (question.node,))
 
-    def tell_vouch(self, target: str) -> None:
+    def broadcast_target_healthy(self, target: str) -> None:
         """Tell every peer that a target which the list has lost is healthy."""
         self.broadcast(Vouch(node=self._name, targets=(target,)))
 
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -247,7 +247,7 @@
             if self._processes.current(target).group_key != target.group_key:
                 return
             self._directory.vouch(target.id)
-            self._peers.tell_vouch(target.id)
+            self._peers.broadcast_target_healthy(target.id)
             return
         times = self._unhealthy.get(target.process, 0) + 1
         self._unhealthy[target.process] = times
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -78,7 +78,7 @@
     def broadcast_suspicion(self, key, *, cleared=False, closing=False):
         """Tell nobody."""
 
-    def tell_vouch(self, target):
+    def broadcast_target_healthy(self, target):
         """Remember the target."""
         self.vouched.append(target)
 
