--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -194,7 +194,7 @@
     return groups
 
 
-def without_start(
+def ids_without_start_time(
     listed: Mapping[str, Target], known: Mapping[str, Target]
 ) -> frozenset[str]:
     """Return the listed targets whose entries lack the start that others tell.
