--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -135,7 +135,7 @@
             cell=CellView(epoch=self._membership.epoch, members=members),
             own=self._head_read,
             holds_newer=self._held is not None,
-            vouches=tuple(self._vouches.values()),
+            peer_answers=tuple(self._vouches.values()),
         )
         if isinstance(verdict, Assured) and verdict.version != self._applied.version:
             return NotAssured(reason=f"version {verdict.version} is not applied yet")
--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -71,17 +71,17 @@
     cell: CellView,
     own: HeadRead | None,
     holds_newer: bool,
-    vouches: tuple[PeerAnswer, ...],
+    peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured | NotAssured:
     """Return the longest assurance that any of the three sources gives."""
     if own is None:
         # A restarted member may have prepared a change that it has forgotten.
         return NotAssured(reason="the head was not read since the start")
-    reads = _assured_by_reads(own, vouches, limit_seconds)
+    reads = _assured_by_reads(own, peer_answers, limit_seconds)
     if now < reads.until:
         return reads
     vouched = _assured_by_majority(
-        me, now, limit_seconds, cell, own, holds_newer, vouches
+        me, now, limit_seconds, cell, own, holds_newer, peer_answers
     )
     if now < vouched.until:
         return vouched
@@ -89,14 +89,14 @@
 
 
 def _assured_by_reads(
-    own: HeadRead, vouches: tuple[PeerAnswer, ...], limit_seconds: float
+    own: HeadRead, peer_answers: tuple[PeerAnswer, ...], limit_seconds: float
 ) -> Assured:
     best = Assured(
         version=own.version,
         source=Source.OWN_READ,
         until=own.asked_at + limit_seconds,
     )
-    for vouch in vouches:
+    for vouch in peer_answers:
         if vouch.read_age is None:
             continue
         until = vouch.asked_at - vouch.read_age + limit_seconds
@@ -114,12 +114,12 @@
     cell: CellView,
     own: HeadRead,
     holds_newer: bool,
-    vouches: tuple[PeerAnswer, ...],
+    peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured:
     nothing = Assured(version=own.version, source=Source.CELL_MAJORITY, until=now)
     if holds_newer or me not in cell.members:
         return nothing
-    fresh = [v for v in vouches if now - v.asked_at < limit_seconds]
+    fresh = [v for v in peer_answers if now - v.asked_at < limit_seconds]
     if any(_forbids(v, cell, own, now, limit_seconds) for v in fresh):
         return nothing
     agreeing = [v for v in fresh if _agrees(v, cell, own)]
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -31,7 +31,7 @@
     return replace(base, **changes)
 
 
-def judge(vouches=(), own=HeadRead(version=7, asked_at=40.0), holds_newer=False):
+def judge(peer_answers=(), own=HeadRead(version=7, asked_at=40.0), holds_newer=False):
     return assess(
         me="a",
         now=DARK,
@@ -39,7 +39,7 @@
         cell=CELL,
         own=own,
         holds_newer=holds_newer,
-        vouches=tuple(vouches),
+        peer_answers=tuple(peer_answers),
     )
 
 
@@ -74,8 +74,8 @@
         ),
     ],
 )
-def test_nothing_vouches(vouches):
-    assert isinstance(judge(vouches), NotAssured)
+def test_nothing_vouches(peer_answers):
+    assert isinstance(judge(peer_answers), NotAssured)
 
 
 def test_holder_of_newer_proposal_does_not_lean_on_majority():
