--- a/mallowpond/node/indirect_probe.py
+++ b/mallowpond/node/indirect_probe.py
@@ -65,7 +65,7 @@
     async def _look_and_tell(self, question: LivenessQuestion) -> None:
         alive = await self._look(question.target)
         if alive is not None:
-            self._peers.tell_liveness(question, alive)
+            self._peers.answer_liveness(question, alive)
 
     def _note(self, answer: LivenessAnswer) -> None:
         waiting = self._asked.get(answer.number)
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -96,7 +96,7 @@
             end = await self._send(work, group)
             match end:
                 case WholeAnswer(status=status):
-                    self._quarantine.note_answer(work.fingerprint)
+                    self._quarantine.record_answer(work.fingerprint)
                     self._log_served(work)
                     return Answered(status=status, target=work.sent_to[-1].id)
                 case FailedAnswer():
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -36,7 +36,7 @@
         self.on_advance = []
         self.on_group_broken = []
 
-    def ask_about(self, key, silent):
+    def ask_group_progress(self, key, silent):
         """Remember a question."""
         self.asked.append(key)
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -117,7 +117,7 @@
                 self._move_from_slow(streams)
             case Verdict.ASK:
                 self._doubts[key] = Doubt(asked_at=now)
-                self._peers.ask_about(key, quiet.silent_seconds)
+                self._peers.ask_group_progress(key, quiet.silent_seconds)
             case Verdict.SUSPECT:
                 del self._doubts[key]
                 self._suspect(key, streams, quiet)
