--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -20,7 +20,7 @@
     Process,
     Target,
     assemble_groups,
-    without_start,
+    ids_without_start_time,
 )
 
 log = structlog.get_logger()
@@ -415,7 +415,7 @@
     def _apply(self, read: TargetsRead) -> None:
         found = dict(self._targets)
         listed = {target.id: target for target in read.targets}
-        untold = without_start(listed, found | listed if read.whole else found)
+        untold = ids_without_start_time(listed, found | listed if read.whole else found)
         for identifier in untold:
             log.warning("targets: start not told", target=identifier)
             del listed[identifier]
