--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -137,7 +137,7 @@
         self.on_heartbeat: list[Callable[[Heartbeat], None]] = []
         self.on_suspicion: list[Callable[[Suspicion], None]] = []
         self.on_group_broken: list[Callable[[GroupBroken], None]] = []
-        self.on_vouch: list[Callable[[str], None]] = []
+        self.on_target_healthy: list[Callable[[str], None]] = []
         self.on_question: list[Callable[[SilenceQuestion], bool]] = []
         self.on_advance: list[Callable[[GroupKey], None]] = []
         self.on_digest: list[Callable[[Digest], None]] = []
@@ -363,7 +363,7 @@
                 _notify(self.on_group_broken, message)
             case Vouch(targets=targets):
                 for target in targets:
-                    for vouch in self.on_vouch:
+                    for vouch in self.on_target_healthy:
                         vouch(target)
             case SilenceQuestion(node=asker, group=group, epoch=epoch):
                 address = self._addresses.get(asker)
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -114,7 +114,7 @@
     heard, suspected, vouched = [], [], []
     peers.on_heartbeat.append(heard.append)
     peers.on_suspicion.append(suspected.append)
-    peers.on_vouch.append(vouched.append)
+    peers.on_target_healthy.append(vouched.append)
     suspicion = Suspicion(node="b", group="g", epoch=3, closing=True)
     for message in (beat(), suspicion, Vouch(node="b", targets=("t",))):
         peers.datagram_received(encode(message), SENDER)
