--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -12,7 +12,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.limits import spread_retry_after
-from mallowpond.state.site_configuration import Repeat, Route
+from mallowpond.state.site_configuration import RepeatPolicy, Route
 from mallowpond.transport.http_client import CallFailed
 from mallowpond.transport.http_server import Exchange
 
@@ -109,7 +109,7 @@
             reply = await self._send(work, target)
             match reply:
                 case WholeReply(status=status) if status < 500:
-                    self._quarantine.note_answer(work.fingerprint)
+                    self._quarantine.record_answer(work.fingerprint)
                     await _respond(work, reply)
                     return Answered(status=status, target=target.id)
                 case WholeReply():
@@ -246,7 +246,7 @@
             del self._records[process]
 
     def _is_repeatable(self, work: CallWork) -> bool:
-        return work.route.repeat is Repeat.IDEMPOTENT
+        return work.route.repeat is RepeatPolicy.IDEMPOTENT
 
     def _attempts(self, work: CallWork) -> int:
         return max(1, work.route.max_attempts)
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -137,7 +137,7 @@
         self.on_heartbeat: list[Callable[[Heartbeat], None]] = []
         self.on_suspicion: list[Callable[[Suspicion], None]] = []
         self.on_group_broken: list[Callable[[GroupBroken], None]] = []
-        self.on_vouch: list[Callable[[str], None]] = []
+        self.on_target_healthy: list[Callable[[str], None]] = []
         self.on_question: list[Callable[[SilenceQuestion], bool]] = []
         self.on_advance: list[Callable[[GroupKey], None]] = []
         self.on_digest: list[Callable[[Digest], None]] = []
@@ -290,7 +290,7 @@
             )
         )
 
-    def ask_about(self, key: GroupKey, silent: float) -> None:
+    def ask_group_progress(self, key: GroupKey, silent: float) -> None:
         """Ask every peer whether a group advances."""
         self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
@@ -301,12 +301,12 @@
         question = LivenessQuestion(node=self._name, number=number, target=target)
         self.send_to(question, (node,))
 
-    def tell_liveness(self, question: LivenessQuestion, alive: bool) -> None:
+    def answer_liveness(self, question: LivenessQuestion, alive: bool) -> None:
         """Answer a peer that asked whether a target lives."""
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
         self.send_to(answer, (question.node,))
 
-    def tell_vouch(self, target: str) -> None:
+    def broadcast_target_healthy(self, target: str) -> None:
         """Tell every peer that a target which the list has lost is healthy."""
         self.broadcast(Vouch(node=self._name, targets=(target,)))
 
@@ -363,7 +363,7 @@
                 _notify(self.on_group_broken, message)
             case Vouch(targets=targets):
                 for target in targets:
-                    for vouch in self.on_vouch:
+                    for vouch in self.on_target_healthy:
                         vouch(target)
             case SilenceQuestion(node=asker, group=group, epoch=epoch):
                 address = self._addresses.get(asker)
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -31,17 +31,17 @@
 from mallowpond.state.site_configuration import (
     Backend,
     CallerLimits,
-    KeyHolder,
-    Repeat,
+    KeyOwner,
+    RepeatPolicy,
     Route,
     Service,
     SiteConfiguration,
 )
 
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "non_idempotent": Repeat.ONCE,
-    "stream": Repeat.STREAM,
+    "idempotent": RepeatPolicy.IDEMPOTENT,
+    "non_idempotent": RepeatPolicy.ONCE,
+    "stream": RepeatPolicy.STREAM,
 }
 MILLISECONDS = 0.001
 # Fields of an entry that may be a number or a text, with the kind of number.
@@ -166,7 +166,7 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.prefix,
-        repeat=REPEATS.get(route.kind, Repeat.ONCE),
+        repeat=REPEATS.get(route.kind, RepeatPolicy.ONCE),
         backends=tuple(Backend(service=b.service, weight=b.weight) for b in backends),
         timeout_seconds=route.timeout_ms * MILLISECONDS,
         objective_seconds=route.slo_ms * MILLISECONDS,
@@ -216,10 +216,10 @@
     )
 
 
-def _keys(tenants: tuple[_Tenant, ...]) -> dict[str, KeyHolder]:
+def _keys(tenants: tuple[_Tenant, ...]) -> dict[str, KeyOwner]:
     keys = {}
     for tenant in tenants:
-        holder = KeyHolder(workspace=tenant.name, priority=tenant.priority)
+        holder = KeyOwner(workspace=tenant.name, priority=tenant.priority)
         keys |= {key: holder for key in tenant.api_keys}
     return keys
 
--- a/mallowpond/state/site_configuration.py
+++ b/mallowpond/state/site_configuration.py
@@ -6,7 +6,7 @@
 from mallowpond.state.fleet import EngineProfile
 
 
-class Repeat(str, Enum):
+class RepeatPolicy(str, Enum):
     """Say what may be done with a request that has perhaps run."""
 
     IDEMPOTENT = "idempotent"
@@ -29,7 +29,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     backends: tuple[Backend, ...]
     timeout_seconds: float
     objective_seconds: float
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KeyHolder:
+class KeyOwner:
     """Name the workspace that a key belongs to."""
 
     workspace: str
@@ -75,7 +75,7 @@
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
-    keys: dict[str, KeyHolder] = field(default_factory=dict)
+    keys: dict[str, KeyOwner] = field(default_factory=dict)
     uses_keys: bool = False
     limits: CallerLimits = field(default_factory=CallerLimits)
 
