--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -30,7 +30,7 @@
 ANSWER_SECONDS = 0.5
 
 
-class Fate(Enum):
+class Delivery(Enum):
     """Say what becomes of an order and of the engine that it is sent to."""
 
     TAKEN = "taken"
@@ -256,21 +256,21 @@
         """Send an order, to which what was drawn for it happens."""
         for check in self.on_order:
             check(step, expected)
-        fate = self.fleet.fates.pop(0) if self.fleet.fates else Fate.TAKEN
+        fate = self.fleet.fates.pop(0) if self.fleet.fates else Delivery.TAKEN
         fleet, name, end = self.fleet, step.target.id, None
-        if fate is Fate.NOT_SENT:
+        if fate is Delivery.NOT_SENT:
             return OrderLost(reason="refused")
-        if fate is Fate.LATE:
+        if fate is Delivery.LATE:
             fleet.late.append(LateOrder(step=step, fence=fence, expected=expected))
             return OrderLost(reason="timeout")
-        if fate in (Fate.RESTART_BEFORE, Fate.RESTART_TWICE):
+        if fate in (Delivery.RESTART_BEFORE, Delivery.RESTART_TWICE):
             fleet.restart(name)
         end = fleet.arrive(step, fence=fence, expected=expected)
-        if fate in (Fate.RESTART_AFTER, Fate.RESTART_TWICE):
+        if fate in (Delivery.RESTART_AFTER, Delivery.RESTART_TWICE):
             fleet.restart(name)
-        if fate is Fate.ANSWER_LOST:
+        if fate is Delivery.ANSWER_LOST:
             return OrderLost(reason="timeout")
-        if fate is Fate.ANSWER_LATE:
+        if fate is Delivery.ANSWER_LATE:
             sent_at = self.clock.now()
             await self._wait()
             if self.clock.now() - sent_at > ANSWER_SECONDS:
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -21,7 +21,7 @@
 from mallowpond.node.planner import GroupPlanner
 from mallowpond.node.tests.engine_model import (
     SERVING,
-    Fate,
+    Delivery,
     Fleet,
     ModelSource,
     ModelTargets,
@@ -212,7 +212,7 @@
         self.loop.run_until_complete(wait())
 
     @rule(
-        fates=st.lists(st.sampled_from(Fate), max_size=4),
+        fates=st.lists(st.sampled_from(Delivery), max_size=4),
         place=st.integers(0, 1),
         wait=st.sampled_from([0.1, 0.1, 0.8, 2.0]),
         steps=st.integers(1, 3),
@@ -283,7 +283,7 @@
             for name in NAMES:
                 self.restart(name, 1, True)
             self.read_list(planner)
-        self.plan([Fate.LATE] * len(NAMES), planner)
+        self.plan([Delivery.LATE] * len(NAMES), planner)
         for order in self.fleet.late:
             self.restart(order.step.target.id, 1, True)
         for _ in range(rounds):
