--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -42,7 +42,7 @@
     stride=6,
     step_seconds=0.0078,
     request_seconds=0.0000947,
-    read_tokens_per_second=45_900.0,
+    prefill_tokens_per_second=45_900.0,
     usual_prompt_tokens=674.0,
     usual_answer_tokens=168.0,
 )
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -44,7 +44,7 @@
     models=(MODEL,),
     stride=7,
     step_seconds=0.006,
-    read_tokens_per_second=50_000,
+    prefill_tokens_per_second=50_000,
     usual_answer_tokens=100,
 )
 MISDIRECTED = 421
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -196,7 +196,7 @@
         step_seconds=engine.step_ms * MILLISECONDS,
         request_seconds=engine.per_seq_ms * MILLISECONDS,
         context_seconds_per_k=engine.context_per_k * MILLISECONDS,
-        read_tokens_per_second=engine.read_per_s or 1.0,
+        prefill_tokens_per_second=engine.read_per_s or 1.0,
         loads_per_second=engine.loads_per_s,
         loads_at_once=int(engine.loads_at_once),
         usual_prompt_tokens=engine.usual.prompt,
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -47,7 +47,7 @@
     step_seconds: float = 0.0
     request_seconds: float = 0.0
     context_seconds_per_k: float = 0.0
-    read_tokens_per_second: float = 1.0
+    prefill_tokens_per_second: float = 1.0
     loads_per_second: float = 0.0
     loads_at_once: int = 1
     usual_prompt_tokens: float = 0.0
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -62,7 +62,7 @@
     profile: EngineProfile, model: ModelSpec, tokens: float, slowness: float = 1.0
 ) -> float:
     """Return the time that a group needs to read `tokens` of prompts."""
-    return tokens / profile.read_tokens_per_second * model.pace * slowness
+    return tokens / profile.prefill_tokens_per_second * model.pace * slowness
 
 
 def first_event_seconds(
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -30,7 +30,7 @@
     step_seconds=0.006,
     request_seconds=0.0001,
     context_seconds_per_k=0.00002,
-    read_tokens_per_second=50_000,
+    prefill_tokens_per_second=50_000,
     usual_prompt_tokens=1000,
     usual_answer_tokens=180,
 )
