--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -96,7 +96,7 @@
         self._head_read: HeadRead | None = None
         self._held: ProposalRow | None = None
         self._first_seen: dict[str, float] = {}
-        self._vouches: dict[str, PeerAnswer] = {}
+        self._peer_answers: dict[str, PeerAnswer] = {}
 
     @property
     def applied(self) -> Applied:
@@ -135,7 +135,7 @@
             cell=CellView(epoch=self._membership.epoch, members=members),
             own=self._head_read,
             holds_newer=self._held is not None,
-            peer_answers=tuple(self._vouches.values()),
+            peer_answers=tuple(self._peer_answers.values()),
         )
         if isinstance(verdict, Assured) and verdict.version != self._applied.version:
             return NotAssured(reason=f"version {verdict.version} is not applied yet")
@@ -143,7 +143,7 @@
 
     def record_peer_answer(self, vouch: PeerAnswer) -> None:
         """Keep a peer's latest answer."""
-        self._vouches[vouch.member] = vouch
+        self._peer_answers[vouch.member] = vouch
 
     def after_read(self, asked_at: float) -> None:
         """Take in what a read of the shared rows showed; `asked_at` is before it."""
