--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -233,7 +233,7 @@
         vouched_at = self._vouched_at.get(group.head.process, float("-inf"))
         return now - vouched_at < VOUCHED_SECONDS
 
-    def vouch(self, identifier: str) -> None:
+    def record_healthy(self, identifier: str) -> None:
         """Note that a target the list has lost was found healthy, and not leaving."""
         now = self._clock.now()
         recent = {
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -246,7 +246,7 @@
                 return
             if self._processes.current(target).group_key != target.group_key:
                 return
-            self._directory.vouch(target.id)
+            self._directory.record_healthy(target.id)
             self._peers.broadcast_target_healthy(target.id)
             return
         times = self._unhealthy.get(target.process, 0) + 1
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -222,7 +222,7 @@
             lambda: self.peers.broadcast(self._describe())
         )
         self.peers.on_heartbeat.append(self._on_heartbeat)
-        self.peers.on_target_healthy.append(self.directory.vouch)
+        self.peers.on_target_healthy.append(self.directory.record_healthy)
         self.peers.on_work.append(lambda work: self.dispatcher.wake())
         self.directory.on_change.append(self.dispatcher.wake)
         self._readiness = HttpServer(handler=self._answer_readiness)
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -70,7 +70,7 @@
     source.listed.append(listing(revision=2, removed=("g0",), whole=False))
     await directory.refresh()
     assert serving(directory) == set()
-    directory.vouch("g0")
+    directory.record_healthy("g0")
     assert serving(directory) == {"g"}
     clock.time += VOUCHED_SECONDS
     assert serving(directory) == set()
@@ -140,7 +140,7 @@
     bad = replace(listing(other, revision=9, whole=whole), unreadable=("g0",))
     source.listed.append(bad)
     await directory.refresh()
-    directory.vouch("g0")
+    directory.record_healthy("g0")
     assert serving(directory) == set()
     assert set(directory.targets) == {"g1"}
 
@@ -370,7 +370,7 @@
     directory, source, clock = await directory_of(listing(*group))
     gone = TargetsRead(revision=2, targets=(), removed=("g0",))
     directory.hear_change(gone, previous=1)
-    directory.vouch("g0")
+    directory.record_healthy("g0")
     assert serving(directory) == {"g"}
     anew = [restarted(t, membership=replace(t.membership, epoch=2)) for t in group]
     directory.hear_change(change(3, *anew), previous=2)
