--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -113,7 +113,7 @@
     revision: int = 1
     late: list = field(default_factory=list)
     unanswered: list = field(default_factory=list)
-    fates: list = field(default_factory=list)
+    deliveries: list = field(default_factory=list)
     slow_reports: int = 0
     broken_rules: list = field(default_factory=list)
     ever_ready: dict = field(default_factory=lambda: defaultdict(set))
@@ -256,7 +256,7 @@
         """Send an order, to which what was drawn for it happens."""
         for check in self.on_order:
             check(step, expected)
-        fate = self.fleet.fates.pop(0) if self.fleet.fates else Delivery.TAKEN
+        fate = self.fleet.deliveries.pop(0) if self.fleet.deliveries else Delivery.TAKEN
         fleet, name, end = self.fleet, step.target.id, None
         if fate is Delivery.NOT_SENT:
             return OrderLost(reason="refused")
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -212,18 +212,18 @@
         self.loop.run_until_complete(wait())
 
     @rule(
-        fates=st.lists(st.sampled_from(Delivery), max_size=4),
+        deliveries=st.lists(st.sampled_from(Delivery), max_size=4),
         place=st.integers(0, 1),
         wait=st.sampled_from([0.1, 0.1, 0.8, 2.0]),
         steps=st.integers(1, 3),
         slow=st.sampled_from([0, 0, 1, 2]),
     )
-    def plan(self, fates, place, wait=0.1, steps=1, slow=0):
+    def plan(self, deliveries, place, wait=0.1, steps=1, slow=0):
         seat = self.seats[place]
-        self.fleet.fates, self.fleet.slow_reports = list(fates), slow
+        self.fleet.deliveries, self.fleet.slow_reports = list(deliveries), slow
         for _ in range(steps):
             self.run(seat.planner.step())
-        self.fleet.fates, self.fleet.slow_reports = [], 0
+        self.fleet.deliveries, self.fleet.slow_reports = [], 0
         self.clock.time += wait
 
     def read_list(self, place):
