--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -254,7 +254,7 @@
     def _count(self, work: StreamWork, at: float) -> None:
         first = (work.first_event_at or 0.0) - at
         is_late = first > ROUTE.objective_seconds
-        is_gap = work.longest_gap > ROUTE.gap_seconds
+        is_gap = work.longest_gap > ROUTE.gap_objective_seconds
         self._note(at, "late" if is_late else "gaps" if is_gap else "in_time")
 
     def _note(self, at: float, what: str) -> None:
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -57,7 +57,7 @@
     objective_seconds=0.303,
     max_attempts=2,
     resumable=True,
-    gap_seconds=0.2,
+    gap_objective_seconds=0.2,
 )
 
 
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -235,7 +235,7 @@
         whole = max(
             PATIENCE_SECONDS,
             PATIENCE_OBJECTIVES * work.route.objective_seconds,
-            PATIENCE_GAPS * work.route.gap_seconds,
+            PATIENCE_GAPS * work.route.gap_objective_seconds,
         )
         heard_at = work.last_event_at or work.started_at
         return max(0.0, WAIT_SHARE * whole - (self._clock.now() - heard_at))
--- a/mallowpond/node/stream_work.py
+++ b/mallowpond/node/stream_work.py
@@ -88,7 +88,7 @@
         route = self.work.route
         if self.last_event_at is None and self.work.first_event_at is None:
             return route.objective_seconds
-        return route.gap_seconds or route.objective_seconds
+        return route.gap_objective_seconds or route.objective_seconds
 
     def move(self, reason: Reason) -> None:
         """Stop the send; the stream goes on at another group."""
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -151,7 +151,7 @@
             first_event=round(first, 3),
             objective=work.route.objective_seconds,
             longest_gap=round(work.longest_gap, 3),
-            allowed_gap=work.route.gap_seconds,
+            allowed_gap=work.route.gap_objective_seconds,
             waited=round(work.waited, 3),
             sends=work.sends,
         )
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -285,7 +285,7 @@
     objective_seconds=0.2,
     max_attempts=2,
     resumable=True,
-    gap_seconds=0.2,
+    gap_objective_seconds=0.2,
 )
 
 
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -174,7 +174,7 @@
         max_attempts=route.max_attempts,
         needs_key=not route.no_auth,
         resumable=route.can_resume,
-        gap_seconds=route.gap_target_ms * MILLISECONDS,
+        gap_objective_seconds=route.gap_target_ms * MILLISECONDS,
     )
 
 
--- a/mallowpond/platform/tests/test_documents.py
+++ b/mallowpond/platform/tests/test_documents.py
@@ -69,7 +69,7 @@
     assert site.version == 7
     assert (stream.repeat, stream.resumable) == (RepeatPolicy.STREAM, True)
     assert (stream.timeout_seconds, stream.objective_seconds) == (8.0, 0.3)
-    assert stream.gap_seconds == 0.25
+    assert stream.gap_objective_seconds == 0.25
     assert [b.weight for b in stream.backends] == [90, 10]
     assert site.keys["k2"].workspace == "w"
     assert site.limits.idle_seconds == 15.0
--- a/mallowpond/state/site_configuration.py
+++ b/mallowpond/state/site_configuration.py
@@ -37,7 +37,7 @@
     max_attempts: int = 1
     needs_key: bool = True
     resumable: bool = False
-    gap_seconds: float = 0.0
+    gap_objective_seconds: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
