--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -129,7 +129,7 @@
         cell = self._membership.known_cell
         members = cell.members if cell else ()
         verdict = assess(
-            me=self._membership.identity.name,
+            member=self._membership.identity.name,
             now=self._clock.now(),
             limit_seconds=self._assurance_seconds,
             cell=CellView(epoch=self._membership.epoch, members=members),
--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -65,7 +65,7 @@
 
 def assess(
     *,
-    me: str,
+    member: str,
     now: float,
     limit_seconds: float,
     cell: CellView,
@@ -81,7 +81,7 @@
     if now < reads.until:
         return reads
     vouched = _assured_by_majority(
-        me, now, limit_seconds, cell, own, holds_newer, peer_answers
+        member, now, limit_seconds, cell, own, holds_newer, peer_answers
     )
     if now < vouched.until:
         return vouched
@@ -108,7 +108,7 @@
 
 
 def _assured_by_majority(
-    me: str,
+    member: str,
     now: float,
     limit_seconds: float,
     cell: CellView,
@@ -117,7 +117,7 @@
     peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured:
     nothing = Assured(version=own.version, source=Source.CELL_MAJORITY, until=now)
-    if holds_newer or me not in cell.members:
+    if holds_newer or member not in cell.members:
         return nothing
     fresh = [v for v in peer_answers if now - v.asked_at < limit_seconds]
     if any(_forbids(v, cell, own, now, limit_seconds) for v in fresh):
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -33,7 +33,7 @@
 
 def judge(peer_answers=(), own=HeadRead(version=7, asked_at=40.0), holds_newer=False):
     return assess(
-        me="a",
+        member="a",
         now=DARK,
         limit_seconds=LIMIT,
         cell=CELL,
