--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -138,7 +138,7 @@
         self.on_suspicion: list[Callable[[Suspicion], None]] = []
         self.on_group_broken: list[Callable[[GroupBroken], None]] = []
         self.on_target_healthy: list[Callable[[str], None]] = []
-        self.on_question: list[Callable[[SilenceQuestion], bool]] = []
+        self.on_silence_question: list[Callable[[SilenceQuestion], bool]] = []
         self.on_advance: list[Callable[[GroupKey], None]] = []
         self.on_digest: list[Callable[[Digest], None]] = []
         self.on_list_change: list[Callable[[ListChange], None]] = []
@@ -367,7 +367,7 @@
                         vouch(target)
             case SilenceQuestion(node=asker, group=group, epoch=epoch):
                 address = self._addresses.get(asker)
-                if address and any(ask(message) for ask in self.on_question):
+                if address and any(ask(message) for ask in self.on_silence_question):
                     answer = Advance(node=self._name, group=group, epoch=epoch)
                     self._send(answer, (address,))
             case Advance(group=group, epoch=epoch):
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -32,7 +32,7 @@
         self.told = []
         self.asked = []
         self.on_suspicion = []
-        self.on_question = []
+        self.on_silence_question = []
         self.on_advance = []
         self.on_group_broken = []
 
@@ -172,7 +172,7 @@
 
 async def test_a_host_tells_of_an_event_that_it_saw_since():
     rig, watch, peers, task, _ = await watched("a", "b")
-    (asked,) = peers.on_question
+    (asked,) = peers.on_silence_question
     rig.clock.time += 0.1
     assert asked(SilenceQuestion(node="n", group="a", epoch=1, silent=0.3))
     assert not asked(SilenceQuestion(node="n", group="a", epoch=1, silent=0.1))
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -70,7 +70,7 @@
         directory.on_broken.append(self._leave_broken)
         peers.on_suspicion.append(self._hear)
         peers.on_group_broken.append(self._hear_broken)
-        peers.on_question.append(self._sees_advance)
+        peers.on_silence_question.append(self._sees_advance)
         peers.on_advance.append(self._note_advance)
 
     async def run(self) -> None:
