--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -261,7 +261,9 @@
         if fate is Delivery.NOT_SENT:
             return OrderLost(reason="refused")
         if fate is Delivery.LATE:
-            fleet.late.append(LateOrder(step=step, fence=fence, expected=expected))
+            fleet.late_orders.append(
+                LateOrder(step=step, fence=fence, expected=expected)
+            )
             return OrderLost(reason="timeout")
         if fate in (Delivery.RESTART_BEFORE, Delivery.RESTART_TWICE):
             fleet.restart(name)
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -284,11 +284,11 @@
                 self.restart(name, 1, True)
             self.read_list(planner)
         self.plan([Delivery.LATE] * len(NAMES), planner)
-        for order in self.fleet.late:
+        for order in self.fleet.late_orders:
             self.restart(order.step.target.id, 1, True)
         for _ in range(rounds):
             self.all_goes_well(0.1)
-        while self.fleet.late:
+        while self.fleet.late_orders:
             self.carry_out_late(0)
 
     @rule(
@@ -305,10 +305,10 @@
             case "stall":
                 self.fleet.stall()
 
-    @precondition(lambda self: self.fleet.late)
+    @precondition(lambda self: self.fleet.late_orders)
     @rule(number=st.integers(0, 9))
     def carry_out_late(self, number):
-        order = self.fleet.late.pop(number % len(self.fleet.late))
+        order = self.fleet.late_orders.pop(number % len(self.fleet.late_orders))
         self.fleet.arrive(order.step, fence=order.fence, expected=order.expected)
 
     @precondition(lambda self: self.fleet.unanswered)
@@ -365,7 +365,7 @@
             self.loop.close()
 
     def _settle(self):
-        while self.fleet.late:
+        while self.fleet.late_orders:
             self.carry_out_late(0)
         while self.fleet.unanswered:
             self.answer_late(0)
