--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -43,7 +43,7 @@
     step_seconds=0.0078,
     request_seconds=0.0000947,
     prefill_tokens_per_second=45_900.0,
-    usual_prompt_tokens=674.0,
+    typical_prompt_tokens=674.0,
     usual_answer_tokens=168.0,
 )
 FIRST_EVENT_SECONDS = 0.11
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -316,7 +316,7 @@
                 profile,
                 spec,
                 loads,
-                prompt_tokens=profile.usual_prompt_tokens,
+                prompt_tokens=profile.typical_prompt_tokens,
                 limit_seconds=FIRST_EVENT_SHARE * objective,
             )
             return chosen is not None
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -199,7 +199,7 @@
         prefill_tokens_per_second=engine.read_per_s or 1.0,
         loads_per_second=engine.loads_per_s,
         loads_at_once=int(engine.loads_at_once),
-        usual_prompt_tokens=engine.usual.prompt,
+        typical_prompt_tokens=engine.usual.prompt,
         usual_answer_tokens=engine.usual.answer,
         cross_domain_factor=engine.far_x or 1.0,
     )
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -50,7 +50,7 @@
     prefill_tokens_per_second: float = 1.0
     loads_per_second: float = 0.0
     loads_at_once: int = 1
-    usual_prompt_tokens: float = 0.0
+    typical_prompt_tokens: float = 0.0
     usual_answer_tokens: float = 0.0
     cross_domain_factor: float = 1.0
 
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -51,7 +51,7 @@
 
 def pass_seconds(profile: EngineProfile, model: ModelSpec, load: GroupLoad) -> float:
     """Return the time of one pass, which is the usual gap between events."""
-    context = profile.usual_prompt_tokens or DEFAULT_CONTEXT_TOKENS
+    context = profile.typical_prompt_tokens or DEFAULT_CONTEXT_TOKENS
     step = profile.step_seconds
     step += profile.request_seconds * load.running
     step += profile.context_seconds_per_k * context * load.running / 1000.0
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -31,7 +31,7 @@
     request_seconds=0.0001,
     context_seconds_per_k=0.00002,
     prefill_tokens_per_second=50_000,
-    usual_prompt_tokens=1000,
+    typical_prompt_tokens=1000,
     usual_answer_tokens=180,
 )
 MODEL = ModelSpec(name="m", size=4)
