--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -133,7 +133,7 @@
             now=self._clock.now(),
             limit_seconds=self._assurance_seconds,
             cell=CellView(epoch=self._membership.epoch, members=members),
-            own=self._head_read,
+            own_read=self._head_read,
             holds_newer=self._held is not None,
             peer_answers=tuple(self._peer_answers.values()),
         )
--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -69,19 +69,19 @@
     now: float,
     limit_seconds: float,
     cell: CellView,
-    own: HeadRead | None,
+    own_read: HeadRead | None,
     holds_newer: bool,
     peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured | NotAssured:
     """Return the longest assurance that any of the three sources gives."""
-    if own is None:
+    if own_read is None:
         # A restarted member may have prepared a change that it has forgotten.
         return NotAssured(reason="the head was not read since the start")
-    reads = _assured_by_reads(own, peer_answers, limit_seconds)
+    reads = _assured_by_reads(own_read, peer_answers, limit_seconds)
     if now < reads.until:
         return reads
     vouched = _assured_by_majority(
-        member, now, limit_seconds, cell, own, holds_newer, peer_answers
+        member, now, limit_seconds, cell, own_read, holds_newer, peer_answers
     )
     if now < vouched.until:
         return vouched
@@ -89,12 +89,12 @@
 
 
 def _assured_by_reads(
-    own: HeadRead, peer_answers: tuple[PeerAnswer, ...], limit_seconds: float
+    own_read: HeadRead, peer_answers: tuple[PeerAnswer, ...], limit_seconds: float
 ) -> Assured:
     best = Assured(
-        version=own.version,
+        version=own_read.version,
         source=Source.OWN_READ,
-        until=own.asked_at + limit_seconds,
+        until=own_read.asked_at + limit_seconds,
     )
     for vouch in peer_answers:
         if vouch.read_age is None:
@@ -112,17 +112,17 @@
     now: float,
     limit_seconds: float,
     cell: CellView,
-    own: HeadRead,
+    own_read: HeadRead,
     holds_newer: bool,
     peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured:
-    nothing = Assured(version=own.version, source=Source.CELL_MAJORITY, until=now)
+    nothing = Assured(version=own_read.version, source=Source.CELL_MAJORITY, until=now)
     if holds_newer or member not in cell.members:
         return nothing
     fresh = [v for v in peer_answers if now - v.asked_at < limit_seconds]
-    if any(_forbids(v, cell, own, now, limit_seconds) for v in fresh):
+    if any(_forbids(v, cell, own_read, now, limit_seconds) for v in fresh):
         return nothing
-    agreeing = [v for v in fresh if _agrees(v, cell, own)]
+    agreeing = [v for v in fresh if _agrees(v, cell, own_read)]
     needed = len(cell.members) // 2 + 1
     if 1 + len(agreeing) < needed:
         return nothing
@@ -130,14 +130,20 @@
     latest_first = sorted((v.asked_at for v in agreeing), reverse=True)
     oldest = min([now, *latest_first[: needed - 1]])
     return Assured(
-        version=own.version, source=Source.CELL_MAJORITY, until=oldest + limit_seconds
+        version=own_read.version,
+        source=Source.CELL_MAJORITY,
+        until=oldest + limit_seconds,
     )
 
 
 def _forbids(
-    vouch: PeerAnswer, cell: CellView, own: HeadRead, now: float, limit_seconds: float
+    vouch: PeerAnswer,
+    cell: CellView,
+    own_read: HeadRead,
+    now: float,
+    limit_seconds: float,
 ) -> bool:
-    knows_later = vouch.head_version > own.version or vouch.epoch > cell.epoch
+    knows_later = vouch.head_version > own_read.version or vouch.epoch > cell.epoch
     return knows_later or _has_read(vouch, now, limit_seconds)
 
 
@@ -149,8 +155,8 @@
     return now - vouch.asked_at + vouch.read_age < limit_seconds
 
 
-def _agrees(vouch: PeerAnswer, cell: CellView, own: HeadRead) -> bool:
-    same = vouch.head_version == own.version and vouch.epoch == cell.epoch
+def _agrees(vouch: PeerAnswer, cell: CellView, own_read: HeadRead) -> bool:
+    same = vouch.head_version == own_read.version and vouch.epoch == cell.epoch
     has_read_once = vouch.read_age is not None
     return (
         same
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -31,20 +31,22 @@
     return replace(base, **changes)
 
 
-def judge(peer_answers=(), own=HeadRead(version=7, asked_at=40.0), holds_newer=False):
+def judge(
+    peer_answers=(), own_read=HeadRead(version=7, asked_at=40.0), holds_newer=False
+):
     return assess(
         member="a",
         now=DARK,
         limit_seconds=LIMIT,
         cell=CELL,
-        own=own,
+        own_read=own_read,
         holds_newer=holds_newer,
         peer_answers=tuple(peer_answers),
     )
 
 
 def test_own_recent_read_assures():
-    verdict = judge(own=HeadRead(version=7, asked_at=98.0))
+    verdict = judge(own_read=HeadRead(version=7, asked_at=98.0))
     assert verdict == Assured(version=7, source=Source.OWN_READ, until=102.0)
 
 
@@ -90,4 +92,4 @@
     Cause: it has forgotten what it prepared, so its own voice may not count.
     """
     everyone = [vouch(m) for m in "bcde"]
-    assert isinstance(judge(everyone, own=None), NotAssured)
+    assert isinstance(judge(everyone, own_read=None), NotAssured)
