--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -319,7 +319,7 @@
 
     async def _wait(self):
         waiting = asyncio.get_running_loop().create_future()
-        self.fleet.unanswered.append(waiting)
+        self.fleet.pending_answers.append(waiting)
         await waiting
 
     async def is_healthy(self, target, path):
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -272,7 +272,7 @@
         self.plan([], place, slow=slow)
         self.restart(name, 1, registers)
         self.read_list(place)
-        while self.fleet.unanswered:
+        while self.fleet.pending_answers:
             self.answer_late(0)
 
     @rule(rounds=st.integers(0, 4), all_anew=st.booleans())
@@ -311,10 +311,10 @@
         order = self.fleet.late_orders.pop(number % len(self.fleet.late_orders))
         self.fleet.arrive(order.step, fence=order.fence, expected=order.expected)
 
-    @precondition(lambda self: self.fleet.unanswered)
+    @precondition(lambda self: self.fleet.pending_answers)
     @rule(number=st.integers(0, 9))
     def answer_late(self, number):
-        waiting = self.fleet.unanswered
+        waiting = self.fleet.pending_answers
         waiting.pop(number % len(waiting)).set_result(None)
         self.run(asyncio.sleep(0))
 
@@ -367,7 +367,7 @@
     def _settle(self):
         while self.fleet.late_orders:
             self.carry_out_late(0)
-        while self.fleet.unanswered:
+        while self.fleet.pending_answers:
             self.answer_late(0)
         seat = self.seats[self.fence % 2]
         self.seats[1 - self.fence % 2].leadership.fence = 0
