--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -44,7 +44,7 @@
     request_seconds=0.0000947,
     prefill_tokens_per_second=45_900.0,
     typical_prompt_tokens=674.0,
-    usual_answer_tokens=168.0,
+    typical_answer_tokens=168.0,
 )
 FIRST_EVENT_SECONDS = 0.11
 ROUTE = Route(
--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -95,7 +95,7 @@
     def hold_seconds(self, profile: EngineProfile, model: ModelSpec) -> float:
         """Return for how long a stream mostly holds its place."""
         load = GroupLoad(running=profile.slots)
-        passes = profile.usual_answer_tokens / max(1, profile.stride)
+        passes = profile.typical_answer_tokens / max(1, profile.stride)
         return max(LEAST_HOLD_SECONDS, passes * pass_seconds(profile, model, load))
 
     def _groups(self, seek: Seek) -> list[Group]:
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -270,7 +270,7 @@
         load = GroupLoad(
             running=work.profile.slots, slowness=min(load.slowness for load in loads)
         )
-        tokens = work.request.answer_tokens or work.profile.usual_answer_tokens
+        tokens = work.request.answer_tokens or work.profile.typical_answer_tokens
         passes = tokens / max(1, work.profile.stride)
         one_pass = pass_seconds(work.profile, work.model, load)
         return work.route.objective_seconds + passes * one_pass
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -45,7 +45,7 @@
     stride=7,
     step_seconds=0.006,
     prefill_tokens_per_second=50_000,
-    usual_answer_tokens=100,
+    typical_answer_tokens=100,
 )
 MISDIRECTED = 421
 BROKEN = CallFailed(phase=FailurePhase.BODY, reason="closed early")
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -200,7 +200,7 @@
         loads_per_second=engine.loads_per_s,
         loads_at_once=int(engine.loads_at_once),
         typical_prompt_tokens=engine.usual.prompt,
-        usual_answer_tokens=engine.usual.answer,
+        typical_answer_tokens=engine.usual.answer,
         cross_domain_factor=engine.far_x or 1.0,
     )
 
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -51,7 +51,7 @@
     loads_per_second: float = 0.0
     loads_at_once: int = 1
     typical_prompt_tokens: float = 0.0
-    usual_answer_tokens: float = 0.0
+    typical_answer_tokens: float = 0.0
     cross_domain_factor: float = 1.0
 
     def model(self, name: str) -> ModelSpec | None:
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -78,7 +78,7 @@
         profile, model, load.reading_tokens + prompt_tokens, load.slowness
     )
     beyond = max(0, load.running + 1 - profile.slots)
-    passes = profile.usual_answer_tokens / max(1, profile.stride)
+    passes = profile.typical_answer_tokens / max(1, profile.stride)
     ending = beyond * passes * one_pass / max(1, profile.slots)
     return FIRST_EVENT_PASSES * one_pass + reading + ending
 
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -32,7 +32,7 @@
     context_seconds_per_k=0.00002,
     prefill_tokens_per_second=50_000,
     typical_prompt_tokens=1000,
-    usual_answer_tokens=180,
+    typical_answer_tokens=180,
 )
 MODEL = ModelSpec(name="m", size=4)
 
