--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -18,7 +18,7 @@
 from mallowpond.state.placement import pass_seconds, silent_seconds
 from mallowpond.state.silence import (
     Doubt,
-    GroupQuiet,
+    GroupSilence,
     Verdict,
     has_advanced,
     judge_silence,
@@ -108,7 +108,7 @@
         self._due_at = now + self._pause
 
     def _judge(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         now = self._clock.now()
         match judge_silence(quiet, self._doubts.get(key), now):
@@ -140,7 +140,7 @@
 
     def _quiet(
         self, key: GroupKey, streams: list[ActiveStream], now: float
-    ) -> GroupQuiet:
+    ) -> GroupSilence:
         work = streams[0].work
         load = self._directory.loads.load_of(streams[0].group, work.profile)
         # Tokens that other hosts' prompts still hold are part of the load.
@@ -150,7 +150,7 @@
             self._directory.loads.work(key).last_event_at, oldest, self._fresh_from
         )
         delay = self._streams.placement.delay(work.service, work.model.name)
-        return GroupQuiet(
+        return GroupSilence(
             silent_seconds=now - since,
             predicted_gap=predicted,
             allowed_gap=min(stream.allowed_gap for stream in streams),
@@ -161,7 +161,7 @@
         )
 
     def _suspect(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         self._metrics.suspicions.labels("own").inc()
         log.info(
@@ -177,7 +177,7 @@
         self._peers.broadcast_suspicion(key)
 
     def _leave(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         """Move the streams of a group that advances for other hosts."""
         self._metrics.suspicions.labels("unreached").inc()
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class GroupQuiet:
+class GroupSilence:
     """Describe the streams that one entry host has on one group.
 
     `has_running` tells whether one of them has had an event there: it would have had
@@ -55,7 +55,7 @@
     has_running: bool = False
 
 
-def silence_limit(quiet: GroupQuiet) -> float:
+def silence_limit(quiet: GroupSilence) -> float:
     """Return the silence after which a group is suspected, in seconds.
 
     Streams that all wait for their first event look like those of a dead group for as
@@ -85,7 +85,7 @@
     advanced_at: float | None = None
 
 
-def judge_silence(quiet: GroupQuiet, doubt: Doubt | None, now: float) -> Verdict:
+def judge_silence(quiet: GroupSilence, doubt: Doubt | None, now: float) -> Verdict:
     """Decide about a group by its silence here and what the other hosts answered."""
     limit = silence_limit(quiet)
     if quiet.silent_seconds <= ASK_SHARE * limit:
@@ -105,7 +105,7 @@
     return Verdict.SUSPECT
 
 
-def seconds_until_due(quiet: GroupQuiet) -> float:
+def seconds_until_due(quiet: GroupSilence) -> float:
     """Return how long a group stays sound if it shows no event from now on."""
     return ASK_SHARE * silence_limit(quiet) - quiet.silent_seconds
 
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -12,7 +12,7 @@
 )
 from mallowpond.state.silence import (
     Doubt,
-    GroupQuiet,
+    GroupSilence,
     Verdict,
     judge_silence,
     silence_limit,
@@ -65,7 +65,7 @@
 
 def waiting(delay, silent, has_running=False):
     """Describe streams on one group that have waited so long."""
-    return GroupQuiet(
+    return GroupSilence(
         silent_seconds=silent,
         predicted_gap=0.03,
         allowed_gap=OBJECTIVE,
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -18,7 +18,7 @@
     ANSWER_SECONDS,
     ASK_SHARE,
     Doubt,
-    GroupQuiet,
+    GroupSilence,
     Verdict,
     judge_silence,
     silence_limit,
@@ -126,7 +126,7 @@
 def quiet(silent, load, allowed=0.2):
     """Describe a group that has been silent for some seconds."""
     predicted = silent_seconds(PROFILE, MODEL, load)
-    return GroupQuiet(
+    return GroupSilence(
         silent_seconds=silent,
         predicted_gap=predicted,
         allowed_gap=allowed,
@@ -158,7 +158,7 @@
 
 def gap_of(predicted):
     """Describe streams whose gap is predicted, with 0.2 s allowed."""
-    return GroupQuiet(silent_seconds=0.0, predicted_gap=predicted, allowed_gap=0.2)
+    return GroupSilence(silent_seconds=0.0, predicted_gap=predicted, allowed_gap=0.2)
 
 
 def test_the_limit_never_falls_below_what_the_timing_explains():
@@ -175,7 +175,7 @@
     limit = silence_limit(gap_of(0.05))
 
     def verdict(silent, doubt):
-        quiet = GroupQuiet(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
+        quiet = GroupSilence(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
         return judge_silence(quiet, doubt, 100.0 + silent)
 
     asked_at = 100.0 + ASK_SHARE * limit + 0.001
@@ -197,7 +197,7 @@
     limit = silence_limit(gap_of(0.05))
 
     def verdict(factor, has_running):
-        quiet = GroupQuiet(
+        quiet = GroupSilence(
             silent_seconds=factor * limit,
             predicted_gap=0.05,
             allowed_gap=0.2,
