--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -115,7 +115,7 @@
     unanswered: list = field(default_factory=list)
     deliveries: list = field(default_factory=list)
     slow_reports: int = 0
-    broken_rules: list = field(default_factory=list)
+    violations: list = field(default_factory=list)
     ever_ready: dict = field(default_factory=lambda: defaultdict(set))
     _starts: int = 0
 
@@ -210,13 +210,13 @@
             return
         head = self.engines[engine.members[0]]
         if head.place == engine.place and head.phase in SERVING:
-            self.broken_rules.append(f"{engine} joins {step} beside {head}")
+            self.violations.append(f"{engine} joins {step} beside {head}")
 
     def _open(self, engine):
         place = engine.place
         ready = {process.id for process in self.ever_ready[place]}
         if engine.id != engine.members[0] or ready != set(engine.members):
-            self.broken_rules.append(f"{engine} opens with {ready} ever ready")
+            self.violations.append(f"{engine} opens with {ready} ever ready")
         engine.phase = GroupPhase.OPEN
         return OrderTaken(began=True)
 
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -83,7 +83,7 @@
             traffic_seen=TrafficSeen(seen=True),
             intake=intake_of(self.directory, clock),
         )
-        self.planner.failed = fleet.broken_rules
+        self.planner.failed = fleet.violations
         self.targets.listed = self._listed
         self.targets.on_order += [
             self._check_count,
@@ -112,7 +112,7 @@
 
     def _check(self, is_kept, step, rule):
         if not is_kept:
-            self.fleet.broken_rules.append(f"{rule}: {step}")
+            self.fleet.violations.append(f"{rule}: {step}")
 
     def _check_count(self, step, expected):
         """An order goes by the newest count that its own process told."""
@@ -349,7 +349,7 @@
     @invariant()
     def no_rule_is_broken(self):
         if hasattr(self, "fleet"):
-            assert self.fleet.broken_rules == []
+            assert self.fleet.violations == []
 
     def teardown(self):
         """Engines that are left in peace serve in the end."""
