--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -17,8 +17,8 @@
 from mallowpond.state.fleet import BreakCause, Group, GroupKey
 from mallowpond.state.placement import pass_seconds, silent_seconds
 from mallowpond.state.silence import (
-    Doubt,
     GroupSilence,
+    PeerQuery,
     Verdict,
     has_advanced,
     judge_silence,
@@ -65,7 +65,7 @@
         self._due_at = clock.now()
         self._pause = LOOK_SECONDS
         self._fresh_from = clock.now()
-        self._doubts: dict[GroupKey, Doubt] = {}
+        self._doubts: dict[GroupKey, PeerQuery] = {}
         self.on_suspect: list[Callable[[GroupKey], None]] = []
         directory.on_broken.append(self._leave_broken)
         peers.on_suspicion.append(self._hear)
@@ -116,7 +116,7 @@
                 self._doubts.pop(key, None)
                 self._move_from_slow(streams)
             case Verdict.ASK:
-                self._doubts[key] = Doubt(asked_at=now)
+                self._doubts[key] = PeerQuery(asked_at=now)
                 self._peers.ask_group_progress(key, quiet.silent_seconds)
             case Verdict.SUSPECT:
                 del self._doubts[key]
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -78,14 +78,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Doubt:
+class PeerQuery:
     """Remember when the other hosts were asked, and the last event that one saw."""
 
     asked_at: float
     advanced_at: float | None = None
 
 
-def judge_silence(quiet: GroupSilence, doubt: Doubt | None, now: float) -> Verdict:
+def judge_silence(quiet: GroupSilence, doubt: PeerQuery | None, now: float) -> Verdict:
     """Decide about a group by its silence here and what the other hosts answered."""
     limit = silence_limit(quiet)
     if quiet.silent_seconds <= ASK_SHARE * limit:
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -17,8 +17,8 @@
 from mallowpond.state.silence import (
     ANSWER_SECONDS,
     ASK_SHARE,
-    Doubt,
     GroupSilence,
+    PeerQuery,
     Verdict,
     judge_silence,
     silence_limit,
@@ -135,7 +135,7 @@
 
 def is_suspect(quiet):
     """Tell whether a group is suspected once the other hosts have not answered."""
-    return judge_silence(quiet, Doubt(asked_at=0.0), 100.0) is Verdict.SUSPECT
+    return judge_silence(quiet, PeerQuery(asked_at=0.0), 100.0) is Verdict.SUSPECT
 
 
 def test_a_silent_idle_group_is_suspected_before_its_streams_are_late():
@@ -182,8 +182,8 @@
     assert ASK_SHARE * limit + ANSWER_SECONDS < limit
     assert verdict(ASK_SHARE * limit - 0.001, None) is Verdict.SOUND
     assert verdict(ASK_SHARE * limit + 0.001, None) is Verdict.ASK
-    assert verdict(limit - 0.001, Doubt(asked_at=asked_at)) is Verdict.WAIT
-    assert verdict(limit + 0.001, Doubt(asked_at=asked_at)) is Verdict.SUSPECT
+    assert verdict(limit - 0.001, PeerQuery(asked_at=asked_at)) is Verdict.WAIT
+    assert verdict(limit + 0.001, PeerQuery(asked_at=asked_at)) is Verdict.SUSPECT
 
 
 def test_a_stream_that_only_waits_its_turn_is_not_moved():
@@ -203,7 +203,7 @@
             allowed_gap=0.2,
             has_running=has_running,
         )
-        return judge_silence(quiet, Doubt(asked_at=9.9, advanced_at=9.95), 10.0)
+        return judge_silence(quiet, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0)
 
     assert verdict(1.1, has_running=True) is Verdict.LEAVE
     assert verdict(3.9, has_running=False) is Verdict.WAIT
