--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -267,7 +267,7 @@
             return OrderLost(reason="timeout")
         if fate in (Delivery.RESTART_BEFORE, Delivery.RESTART_TWICE):
             fleet.restart(name)
-        end = fleet.arrive(step, fence=fence, expected=expected)
+        end = fleet.receive(step, fence=fence, expected=expected)
         if fate in (Delivery.RESTART_AFTER, Delivery.RESTART_TWICE):
             fleet.restart(name)
         if fate is Delivery.ANSWER_LOST:
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -309,7 +309,7 @@
     @rule(number=st.integers(0, 9))
     def carry_out_late(self, number):
         order = self.fleet.late_orders.pop(number % len(self.fleet.late_orders))
-        self.fleet.arrive(order.step, fence=order.fence, expected=order.expected)
+        self.fleet.receive(order.step, fence=order.fence, expected=order.expected)
 
     @precondition(lambda self: self.fleet.pending_answers)
     @rule(number=st.integers(0, 9))
