--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -19,7 +19,7 @@
 from mallowpond.state.silence import (
     GroupSilence,
     PeerQuery,
-    Verdict,
+    SilenceVerdict,
     has_advanced,
     judge_silence,
     seconds_until_due,
@@ -112,16 +112,16 @@
     ) -> None:
         now = self._clock.now()
         match judge_silence(quiet, self._doubts.get(key), now):
-            case Verdict.SOUND:
+            case SilenceVerdict.SOUND:
                 self._doubts.pop(key, None)
                 self._move_from_slow(streams)
-            case Verdict.ASK:
+            case SilenceVerdict.ASK:
                 self._doubts[key] = PeerQuery(asked_at=now)
                 self._peers.ask_group_progress(key, quiet.silent_seconds)
-            case Verdict.SUSPECT:
+            case SilenceVerdict.SUSPECT:
                 del self._doubts[key]
                 self._suspect(key, streams, quiet)
-            case Verdict.LEAVE:
+            case SilenceVerdict.LEAVE:
                 del self._doubts[key]
                 self._leave(key, streams, quiet)
 
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -67,7 +67,7 @@
     return max(expected + SILENCE_SLACK_SECONDS, TRIGGER_SHARE * quiet.allowed_gap)
 
 
-class Verdict(Enum):
+class SilenceVerdict(Enum):
     """Say what to do about a group that stands silent here."""
 
     SOUND = "sound"
@@ -85,24 +85,26 @@
     advanced_at: float | None = None
 
 
-def judge_silence(quiet: GroupSilence, doubt: PeerQuery | None, now: float) -> Verdict:
+def judge_silence(
+    quiet: GroupSilence, doubt: PeerQuery | None, now: float
+) -> SilenceVerdict:
     """Decide about a group by its silence here and what the other hosts answered."""
     limit = silence_limit(quiet)
     if quiet.silent_seconds <= ASK_SHARE * limit:
-        return Verdict.SOUND
+        return SilenceVerdict.SOUND
     if doubt is None:
-        return Verdict.ASK
+        return SilenceVerdict.ASK
     if doubt.advanced_at is not None:
         # A running stream has an event with each pass, so only this host's way to the
         # group can be cut: waiting on would cost the stream its gap target.
         factor = 1.0 if quiet.has_running else OWN_SILENCE_FACTOR
         if quiet.silent_seconds > factor * limit:
-            return Verdict.LEAVE
+            return SilenceVerdict.LEAVE
         is_old = now - doubt.advanced_at > ADVANCE_SECONDS
-        return Verdict.ASK if is_old else Verdict.WAIT
+        return SilenceVerdict.ASK if is_old else SilenceVerdict.WAIT
     if now - doubt.asked_at < ANSWER_SECONDS or quiet.silent_seconds <= limit:
-        return Verdict.WAIT
-    return Verdict.SUSPECT
+        return SilenceVerdict.WAIT
+    return SilenceVerdict.SUSPECT
 
 
 def seconds_until_due(quiet: GroupSilence) -> float:
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -13,7 +13,7 @@
 from mallowpond.state.silence import (
     GroupSilence,
     PeerQuery,
-    Verdict,
+    SilenceVerdict,
     judge_silence,
     silence_limit,
 )
@@ -89,7 +89,7 @@
         first = PREDICTED + seconds + rng.uniform(-0.01, 0.01)
         quiet = waiting(delay, first)
         verdict = judge_silence(quiet, PeerQuery(asked_at=0.0), 10.0)
-        assert verdict is not Verdict.SUSPECT
+        assert verdict is not SilenceVerdict.SUSPECT
 
 
 def test_a_dead_group_is_suspected_soon_also_if_all_its_streams_wait():
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -19,7 +19,7 @@
     ASK_SHARE,
     GroupSilence,
     PeerQuery,
-    Verdict,
+    SilenceVerdict,
     judge_silence,
     silence_limit,
 )
@@ -135,7 +135,9 @@
 
 def is_suspect(quiet):
     """Tell whether a group is suspected once the other hosts have not answered."""
-    return judge_silence(quiet, PeerQuery(asked_at=0.0), 100.0) is Verdict.SUSPECT
+    return (
+        judge_silence(quiet, PeerQuery(asked_at=0.0), 100.0) is SilenceVerdict.SUSPECT
+    )
 
 
 def test_a_silent_idle_group_is_suspected_before_its_streams_are_late():
@@ -180,10 +182,12 @@
 
     asked_at = 100.0 + ASK_SHARE * limit + 0.001
     assert ASK_SHARE * limit + ANSWER_SECONDS < limit
-    assert verdict(ASK_SHARE * limit - 0.001, None) is Verdict.SOUND
-    assert verdict(ASK_SHARE * limit + 0.001, None) is Verdict.ASK
-    assert verdict(limit - 0.001, PeerQuery(asked_at=asked_at)) is Verdict.WAIT
-    assert verdict(limit + 0.001, PeerQuery(asked_at=asked_at)) is Verdict.SUSPECT
+    assert verdict(ASK_SHARE * limit - 0.001, None) is SilenceVerdict.SOUND
+    assert verdict(ASK_SHARE * limit + 0.001, None) is SilenceVerdict.ASK
+    assert verdict(limit - 0.001, PeerQuery(asked_at=asked_at)) is SilenceVerdict.WAIT
+    assert (
+        verdict(limit + 0.001, PeerQuery(asked_at=asked_at)) is SilenceVerdict.SUSPECT
+    )
 
 
 def test_a_stream_that_only_waits_its_turn_is_not_moved():
@@ -205,9 +209,9 @@
         )
         return judge_silence(quiet, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0)
 
-    assert verdict(1.1, has_running=True) is Verdict.LEAVE
-    assert verdict(3.9, has_running=False) is Verdict.WAIT
-    assert verdict(4.1, has_running=False) is Verdict.LEAVE
+    assert verdict(1.1, has_running=True) is SilenceVerdict.LEAVE
+    assert verdict(3.9, has_running=False) is SilenceVerdict.WAIT
+    assert verdict(4.1, has_running=False) is SilenceVerdict.LEAVE
 
 
 def test_only_as_many_groups_are_looked_at_as_the_choice_is_between():
