--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -298,7 +298,7 @@
     def trouble_engines(self, trouble, name):
         match trouble:
             case "lapse":
-                self.fleet.lapse(name)
+                self.fleet.expire(name)
             case "drain":
                 self.fleet.engines[name].draining = True
                 self.fleet.publish(name)
