--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -20,8 +20,8 @@
     GroupSilence,
     PeerQuery,
     SilenceVerdict,
+    classify_silence,
     has_advanced,
-    judge_silence,
     seconds_until_due,
 )
 
@@ -111,7 +111,7 @@
         self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         now = self._clock.now()
-        match judge_silence(quiet, self._doubts.get(key), now):
+        match classify_silence(quiet, self._doubts.get(key), now):
             case SilenceVerdict.SOUND:
                 self._doubts.pop(key, None)
                 self._move_from_slow(streams)
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -85,7 +85,7 @@
     advanced_at: float | None = None
 
 
-def judge_silence(
+def classify_silence(
     quiet: GroupSilence, doubt: PeerQuery | None, now: float
 ) -> SilenceVerdict:
     """Decide about a group by its silence here and what the other hosts answered."""
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -14,7 +14,7 @@
     GroupSilence,
     PeerQuery,
     SilenceVerdict,
-    judge_silence,
+    classify_silence,
     silence_limit,
 )
 
@@ -88,7 +88,7 @@
     for _ in range(1000):
         first = PREDICTED + seconds + rng.uniform(-0.01, 0.01)
         quiet = waiting(delay, first)
-        verdict = judge_silence(quiet, PeerQuery(asked_at=0.0), 10.0)
+        verdict = classify_silence(quiet, PeerQuery(asked_at=0.0), 10.0)
         assert verdict is not SilenceVerdict.SUSPECT
 
 
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -20,7 +20,7 @@
     GroupSilence,
     PeerQuery,
     SilenceVerdict,
-    judge_silence,
+    classify_silence,
     silence_limit,
 )
 
@@ -136,7 +136,8 @@
 def is_suspect(quiet):
     """Tell whether a group is suspected once the other hosts have not answered."""
     return (
-        judge_silence(quiet, PeerQuery(asked_at=0.0), 100.0) is SilenceVerdict.SUSPECT
+        classify_silence(quiet, PeerQuery(asked_at=0.0), 100.0)
+        is SilenceVerdict.SUSPECT
     )
 
 
@@ -178,7 +179,7 @@
 
     def verdict(silent, doubt):
         quiet = GroupSilence(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
-        return judge_silence(quiet, doubt, 100.0 + silent)
+        return classify_silence(quiet, doubt, 100.0 + silent)
 
     asked_at = 100.0 + ASK_SHARE * limit + 0.001
     assert ASK_SHARE * limit + ANSWER_SECONDS < limit
@@ -207,7 +208,7 @@
             allowed_gap=0.2,
             has_running=has_running,
         )
-        return judge_silence(quiet, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0)
+        return classify_silence(quiet, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0)
 
     assert verdict(1.1, has_running=True) is SilenceVerdict.LEAVE
     assert verdict(3.9, has_running=False) is SilenceVerdict.WAIT
