--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -148,14 +148,14 @@
             if engine.phase in (GroupPhase.JOINING, GroupPhase.CLOSING):
                 engine.phase = GroupPhase.READY
             if engine.phase is GroupPhase.READY:
-                self.ever_ready[engine.place].add(engine.process)
+                self.ever_ready[engine.formation].add(engine.process)
 
     def stall(self):
         """Break the groups whose head waits for a member that stands there no more."""
         for engine in self.engines.values():
             if engine.phase in SERVING:
                 others = [self.engines[m] for m in engine.members]
-                if any(other.place != engine.place for other in others):
+                if any(other.place != engine.formation for other in others):
                     engine.phase = GroupPhase.BROKEN
 
     def arrive(self, step, *, fence, expected):
@@ -196,9 +196,9 @@
         place = (step.group, step.epoch, step.members)
         if step.epoch < engine.epoch:
             return OrderFenced()
-        if engine.place == place:
+        if engine.formation == place:
             return OrderTaken(began=False)
-        if engine.place is not None and engine.place[:2] == place[:2]:
+        if engine.formation is not None and engine.formation[:2] == place[:2]:
             return OrderFenced()
         self._check_not_serving(engine, step)
         engine.group, engine.epoch, engine.members = place
@@ -206,14 +206,14 @@
         return OrderTaken(began=True)
 
     def _check_not_serving(self, engine, step):
-        if engine.place is None:
+        if engine.formation is None:
             return
         head = self.engines[engine.members[0]]
-        if head.place == engine.place and head.phase in SERVING:
+        if head.place == engine.formation and head.phase in SERVING:
             self.violations.append(f"{engine} joins {step} beside {head}")
 
     def _open(self, engine):
-        place = engine.place
+        place = engine.formation
         ready = {process.id for process in self.ever_ready[place]}
         if engine.id != engine.members[0] or ready != set(engine.members):
             self.violations.append(f"{engine} opens with {ready} ever ready")
