--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -209,7 +209,7 @@
         if engine.formation is None:
             return
         head = self.engines[engine.members[0]]
-        if head.place == engine.formation and head.phase in SERVING:
+        if head.formation == engine.formation and head.phase in SERVING:
             self.violations.append(f"{engine} joins {step} beside {head}")
 
     def _open(self, engine):
