--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -155,7 +155,7 @@
         for engine in self.engines.values():
             if engine.phase in SERVING:
                 others = [self.engines[m] for m in engine.members]
-                if any(other.place != engine.formation for other in others):
+                if any(other.formation != engine.formation for other in others):
                     engine.phase = GroupPhase.BROKEN
 
     def arrive(self, step, *, fence, expected):
