--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -116,7 +116,7 @@
 
     def _check_count(self, step, expected):
         """An order goes by the newest count that its own process told."""
-        told = self.targets.told[step.target.process]
+        told = self.targets.reported_counts[step.target.process]
         self._check(expected in told, step, f"count {expected} of another process")
         newest = max(self.targets.told_since[step.target.process], default=expected)
         self._check(expected >= newest, step, f"count {expected}, known {newest}")
