--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -102,8 +102,8 @@
 
     def _note_members(self):
         listed = {target.process for target in self.directory.targets.values()}
-        for process in self.targets.told_since.keys() - listed:
-            del self.targets.told_since[process]
+        for process in self.targets.counts_since_listing.keys() - listed:
+            del self.targets.counts_since_listing[process]
         groups = self.directory.groups
         for key in self.seen.keys() - groups.keys():
             del self.seen[key]
@@ -118,7 +118,9 @@
         """An order goes by the newest count that its own process told."""
         told = self.targets.reported_counts[step.target.process]
         self._check(expected in told, step, f"count {expected} of another process")
-        newest = max(self.targets.told_since[step.target.process], default=expected)
+        newest = max(
+            self.targets.counts_since_listing[step.target.process], default=expected
+        )
         self._check(expected >= newest, step, f"count {expected}, known {newest}")
 
     def _check_process(self, step, expected):
@@ -174,7 +176,7 @@
     def take_lease(self, fence):
         """Become the planner."""
         self.leadership.fence = fence
-        self.targets.told_since.clear()
+        self.targets.counts_since_listing.clear()
         for notify in self.leadership.on_acquired:
             notify()
 
