--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -154,7 +154,7 @@
             head, process = group.head, step.target.process
             if head is None or head.membership.phase not in SERVING:
                 continue
-            if (head.process, key) in self.targets.left:
+            if (head.process, key) in self.targets.left_formations:
                 continue
             earlier = {p for p in self.seen[key] if p.id == process.id and p != process}
             is_over = self.targets.ended(head.process) or not earlier
