--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -333,7 +333,7 @@
     @rule(place=st.integers(0, 1))
     def cut_from_list(self, place):
         source = self.seats[place].source
-        source.cut = not source.cut
+        source.is_cut_off = not source.is_cut_off
 
     @rule()
     def take_over(self):
@@ -373,7 +373,7 @@
             self.answer_late(0)
         seat = self.seats[self.fence % 2]
         self.seats[1 - self.fence % 2].leadership.fence = 0
-        seat.source.cut = False
+        seat.source.is_cut_off = False
         for engine in self.fleet.engines.values():
             engine.draining = False
         for _ in range(SETTLING_STEPS):
