--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -65,7 +65,7 @@
         return Process(id=self.id, born=self.born)
 
     @property
-    def place(self):
+    def formation(self):
         """Return the formation in which the engine stands."""
         return (self.group, self.epoch, self.members) if self.phase else None
 
@@ -111,8 +111,8 @@
     engines: dict = field(default_factory=dict)
     listed: dict = field(default_factory=dict)
     revision: int = 1
-    late: list = field(default_factory=list)
-    unanswered: list = field(default_factory=list)
+    late_orders: list = field(default_factory=list)
+    pending_answers: list = field(default_factory=list)
     deliveries: list = field(default_factory=list)
     slow_reports: int = 0
     violations: list = field(default_factory=list)
@@ -137,7 +137,7 @@
         self.revision += 1
         self.listed[name] = self.engines[name].target()
 
-    def lapse(self, name):
+    def expire(self, name):
         """Let the list lose an engine's entry."""
         if self.listed.pop(name, None) is not None:
             self.revision += 1
@@ -158,7 +158,7 @@
                 if any(other.formation != engine.formation for other in others):
                     engine.phase = GroupPhase.BROKEN
 
-    def arrive(self, step, *, fence, expected):
+    def receive(self, step, *, fence, expected):
         """Carry out an order at whatever process runs under the id."""
         engine = self.engines[step.target.id]
         if expected != engine.count:
@@ -193,15 +193,15 @@
         return OrderUnfit()
 
     def _join(self, engine, step):
-        place = (step.group, step.epoch, step.members)
+        formation = (step.group, step.epoch, step.members)
         if step.epoch < engine.epoch:
             return OrderFenced()
-        if engine.formation == place:
+        if engine.formation == formation:
             return OrderTaken(began=False)
-        if engine.formation is not None and engine.formation[:2] == place[:2]:
+        if engine.formation is not None and engine.formation[:2] == formation[:2]:
             return OrderFenced()
         self._check_not_serving(engine, step)
-        engine.group, engine.epoch, engine.members = place
+        engine.group, engine.epoch, engine.members = formation
         engine.phase, engine.model = GroupPhase.JOINING, step.model
         return OrderTaken(began=True)
 
@@ -213,8 +213,8 @@
             self.violations.append(f"{engine} joins {step} beside {head}")
 
     def _open(self, engine):
-        place = engine.formation
-        ready = {process.id for process in self.ever_ready[place]}
+        formation = engine.formation
+        ready = {process.id for process in self.ever_ready[formation]}
         if engine.id != engine.members[0] or ready != set(engine.members):
             self.violations.append(f"{engine} opens with {ready} ever ready")
         engine.phase = GroupPhase.OPEN
@@ -225,11 +225,11 @@
     """Read the fleet's list; cut off, it answers nothing."""
 
     def __init__(self, fleet):
-        self.fleet, self.cut = fleet, False
+        self.fleet, self.is_cut_off = fleet, False
 
     async def targets(self, since):
         """Return all that is listed."""
-        if self.cut:
+        if self.is_cut_off:
             return Unavailable(reason="cut off")
         return TargetsRead(
             revision=self.fleet.revision,
@@ -243,14 +243,14 @@
 
     def __init__(self, fleet, clock):
         self.fleet, self.clock = fleet, clock
-        self.told = defaultdict(set)
-        self.told_since = defaultdict(set)
+        self.reported_counts = defaultdict(set)
+        self.counts_since_listing = defaultdict(set)
         self.lagging = {}
         self.asked = 0
         self.answered = {}
         self.listed = lambda name: None
         self.on_order = []
-        self.left = set()
+        self.left_formations = set()
 
     async def order(self, step, *, fence, expected):
         """Send an order, to which what was drawn for it happens."""
@@ -280,7 +280,9 @@
         if end == OrderTaken(began=True):
             self._note_count(step.target.process, expected + 1)
             if isinstance(step, Leave):
-                self.left.add((step.target.process, (step.group, step.epoch)))
+                self.left_formations.add(
+                    (step.target.process, (step.group, step.epoch))
+                )
         return end
 
     async def report(self, target):
@@ -302,8 +304,8 @@
         return replace(before)
 
     def _note_count(self, process, count):
-        self.told[process].add(count)
-        self.told_since[process].add(count)
+        self.reported_counts[process].add(count)
+        self.counts_since_listing[process].add(count)
 
     def _note_answer(self, asked, meant, answered):
         """Note which process the answer to the newest question ends."""
