--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -20,7 +20,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait
-from mallowpond.state.place_line import MOST_WAITING, Claim, PlaceLine
+from mallowpond.state.place_line import MAX_WAITING, PlacementQueue, QueueEntry
 
 # Longest time that a stream waits in the line, in seconds, whatever its asker says.
 MOST_PATIENCE_SECONDS = 60.0
@@ -61,7 +61,7 @@
         self._clock = clock
         self._find_model = find_model
         self._is_dispatcher = is_dispatcher
-        self._lines: dict[Line, PlaceLine[Asker]] = {}
+        self._lines: dict[Line, PlacementQueue[Asker]] = {}
         # What each stream that waits looks for.
         self._seeks: dict[Asker, Seek] = {}
         self._granted: Counter[str] = Counter()
@@ -84,39 +84,41 @@
             objective=question.objective,
             avoided=frozenset(question.avoided),
         )
-        claim = Claim(
+        claim = QueueEntry(
             priority=question.priority,
-            on_time_until=now + question.on_time,
-            since=now,
-            until=now + min(question.patience, MOST_PATIENCE_SECONDS),
+            objective_deadline=now + question.on_time,
+            queued_at=now,
+            deadline=now + min(question.patience, MOST_PATIENCE_SECONDS),
             has_begun=question.has_begun,
         )
         asker = Asker(node=question.node, number=question.number)
         self._tell(asker, self.ask(asker, seek, claim))
 
-    def ask(self, asker: Asker, seek: Seek, claim: Claim) -> PlaceAnswer:
+    def ask(self, asker: Asker, seek: Seek, claim: QueueEntry) -> PlaceAnswer:
         """Give a place, let a stream wait for one, or say that none comes in time."""
-        line = self._lines.setdefault((seek.service, seek.model.name), PlaceLine())
+        line = self._lines.setdefault((seek.service, seek.model.name), PlacementQueue())
         if asker not in line:
             group = self._place_now(line, seek, claim)
             if group is not None:
                 return self._grant(asker, seek, group)
             wait = self._expected_wait(line, seek, claim)
-            if wait > claim.patience or len(line) >= MOST_WAITING:
+            if wait > claim.patience or len(line) >= MAX_WAITING:
                 return self._answer(asker, PlaceVerdict.REFUSED, wait=wait)
-        line.join(asker, claim)
+        line.add(asker, claim)
         self._seeks[asker] = seek
         return self._answer(asker, PlaceVerdict.WAITING)
 
     def _place_now(
-        self, line: PlaceLine[Asker], seek: Seek, claim: Claim
+        self, line: PlacementQueue[Asker], seek: Seek, claim: QueueEntry
     ) -> Group | None:
         """Return a group for a new stream unless another one goes before it."""
-        if line.goes_before(claim, self._clock.now()):
+        if line.has_entry_ahead_of(claim, self._clock.now()):
             return None
         return self._choice.exact(seek)
 
-    def _expected_wait(self, line: PlaceLine[Asker], seek: Seek, claim: Claim) -> float:
+    def _expected_wait(
+        self, line: PlacementQueue[Asker], seek: Seek, claim: QueueEntry
+    ) -> float:
         groups = self._directory.serving_groups(seek.service, seek.model.name)
         if not groups:
             # One may open at any moment, as groups are formed for what waits.
@@ -135,8 +137,8 @@
             while len(line) and self._give_one(line):
                 pass
 
-    def _give_one(self, line: PlaceLine[Asker]) -> bool:
-        for asker in line.over(self._clock.now()):
+    def _give_one(self, line: PlacementQueue[Asker]) -> bool:
+        for asker in line.expired(self._clock.now()):
             self._drop(line, asker)
         waiting = line.in_order(self._clock.now())
         for asker in list(islice(waiting, TRIED_STREAMS)):
@@ -153,22 +155,22 @@
         for line in self._lines.values():
             self._drop(line, asker)
 
-    def _drop(self, line: PlaceLine[Asker], asker: Asker) -> None:
-        line.leave(asker)
+    def _drop(self, line: PlacementQueue[Asker], asker: Asker) -> None:
+        line.discard(asker)
         self._seeks.pop(asker, None)
 
     def _grant(self, asker: Asker, seek: Seek, group: Group) -> PlaceAnswer:
         self._granted[asker.node] += 1
-        granted = self._granted[asker.node]
+        grant_number = self._granted[asker.node]
         self._directory.loads.note_grant(
-            asker.node, granted, group.key, seek.prompt_tokens
+            asker.node, grant_number, group.key, seek.prompt_tokens
         )
         return self._answer(
             asker,
             PlaceVerdict.GRANTED,
             group=group.name,
             epoch=group.epoch,
-            granted=granted,
+            grant_number=grant_number,
         )
 
     def _answer(
--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -11,13 +11,13 @@
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.placement import (
     DRAWN_GROUPS,
-    UNSEEN_STREAMS,
+    UNREPORTED_STREAMS,
     Candidate,
     GroupLoad,
     choose_group,
-    draw_places,
+    draw_candidates,
     pass_seconds,
-    unseen_streams,
+    unreported_streams,
 )
 from mallowpond.state.retry_window import RetryWindow
 
@@ -74,14 +74,14 @@
 
     def by_news(self, seek: Seek) -> Group | None:
         """Choose by news of the others' work that is some tenths of a second old."""
-        unseen = unseen_streams(
-            own_per_second=self._budget(seek.service).firsts_per_second,
+        unseen = unreported_streams(
+            own_per_second=self._budget(seek.service).first_sends_per_second,
             hosts=self._hosts(),
             age_seconds=self._directory.loads.load_age,
-            groups=self._directory.count_open(seek.service),
+            groups=self._directory.count_open_groups(seek.service),
         )
         groups = self._groups(seek)
-        if unseen < UNSEEN_STREAMS:
+        if unseen < UNREPORTED_STREAMS:
             candidates = list(self._candidates(seek, groups))
         else:
             candidates = self._drawn(seek, groups, DRAWN_GROUPS)
@@ -122,7 +122,7 @@
         shuffled = self._rng.sample(groups, len(groups))
         # Those whose head has ended come last.
         shuffled.sort(key=self._has_ended)
-        return draw_places(
+        return draw_candidates(
             seek.profile,
             seek.model,
             self._candidates(seek, shuffled),
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -23,9 +23,9 @@
 )
 from mallowpond.state.fleet import BreakCause, Group
 from mallowpond.state.placement import (
-    delay_of,
     first_event_seconds,
     pass_seconds,
+    scaled_delay,
 )
 from mallowpond.state.target_notice import TargetNotice
 from mallowpond.transport.http_client import (
@@ -87,7 +87,7 @@
         work.started_at = self._clock.now()
         work.last_event = work.request.last_event
         self.placement.note_shape(work)
-        self._budget(work.service).note_first(work.started_at)
+        self._budget(work.service).record_first_send(work.started_at)
         failed: FailedAnswer | None = None
         while True:
             group = await self.placement.place(work)
@@ -104,7 +104,7 @@
                     reason = Reason.TARGET_FAILED
                 case NotRun(reason=reason) | Interrupted(reason=reason):
                     if reason is Reason.MISDIRECTED:
-                        self._directory.break_group(group, BreakCause.REFUSED)
+                        self._directory.mark_broken(group, BreakCause.REFUSED)
             if reason in ENDED_REASONS:
                 self._note_broken(work, group, reason)
             refusal = self._may_send_again(work, end, reason)
@@ -208,8 +208,8 @@
             reading=work.prompt_tokens,
         )
         own.running += 1
-        own.reading_tokens += stream.reading
-        self._intake.note_sent(group.head)
+        own.prefill_tokens += stream.reading
+        self._intake.record_sent(group.head)
         work.sent_to.append(group.head.process)
         work.sent_at = now
         work.sends += 1
@@ -220,10 +220,10 @@
             group=group.name,
             target=group.head.id,
             running=load.running,
-            reading=round(load.reading_tokens),
+            reading=round(load.prefill_tokens),
             slowness=round(load.slowness, 2),
             predicted=round(stream.predicted, 3),
-            delay=round(delay_of(load, usual_delay), 3),
+            delay=round(scaled_delay(load, usual_delay), 3),
             left=round(work.deadline - now, 3),
             resume=work.last_event,
         )
@@ -244,7 +244,7 @@
             stream.task.cancel()
             await asyncio.gather(stream.task, return_exceptions=True)
             own.running -= 1
-            own.reading_tokens -= stream.reading
+            own.prefill_tokens -= stream.reading
             work.progress.drop_rest()
             self.placement.wake(work.model.name)
             for notify in self.on_end:
@@ -341,7 +341,7 @@
                 predicted=stream.predicted,
                 slowness=stream.slowness,
             )
-            own.reading_tokens -= stream.reading
+            own.prefill_tokens -= stream.reading
             stream.reading = 0.0
             self.placement.wake(work.model.name)
         else:
@@ -383,7 +383,7 @@
             # Streams that were under way together are turned away once, not in a row.
             pause = max(pause, min(2 * own.pause_seconds, MOST_PAUSE_SECONDS))
             own.pause_seconds = pause
-        self._directory.withhold(group.key, now + pause)
+        self._directory.suspend_group(group.key, now + pause)
 
     def _log_turned_away(self, work: StreamWork, group: Group, reason: Reason) -> None:
         log.info(
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -13,8 +13,8 @@
     PlaceQuestion,
     PlaceVerdict,
     Work,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
 )
 from mallowpond.node.outcomes import Answered, Reason
 from mallowpond.node.peer_work import GRANT_SECONDS, PEER_LOAD_SECONDS
@@ -89,10 +89,12 @@
         loads = self.rig_a.directory.loads.own_loads()
         work = Work(
             node="a",
-            loads=heartbeat_loads(loads),
-            granted=self.dispatcher_client.granted,
+            loads=encode_loads(loads),
+            grant_number=self.dispatcher_client.grant_number,
+        )
+        self.rig_b.directory.loads.record_peer_loads(
+            "a", decode_loads(work), work.grant_number
         )
-        self.rig_b.directory.loads.record_peer_loads("a", loads_of(work), work.granted)
         self.dispatcher.wake()
 
 
@@ -167,7 +169,7 @@
     site.wire_a.is_cut = False
     await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     assert len(site.wire_a.sent) == 2
-    assert site.dispatcher_client.granted == 1
+    assert site.dispatcher_client.grant_number == 1
 
 
 async def test_a_place_that_nobody_takes_is_free_again():
@@ -186,7 +188,7 @@
     site.dispatcher.wake()
     given = site.wire_b.sent[-1]
     assert given.verdict is PlaceVerdict.GRANTED
-    assert site.dispatcher_client.granted == given.granted
+    assert site.dispatcher_client.grant_number == given.grant_number
     assert site.rig_b.directory.loads.load(GROUP).running == 0
 
 
@@ -228,7 +230,7 @@
 async def test_a_group_that_only_the_asker_avoids_is_not_named():
     """Guard against sending a stream back to the group that it was moved from."""
     site = await site_of("a", "b")
-    site.rig_a.directory.withhold(GROUP, site.rig_a.clock.now() + 9.0)
+    site.rig_a.directory.suspend_group(GROUP, site.rig_a.clock.now() + 9.0)
     site.rig_a.targets.script("b0", *(answer(1) for _ in range(4)))
     for _ in range(4):
         outcome = await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
@@ -274,10 +276,10 @@
     assert loads.load(GROUP).running == 2
     loads.record_peer_loads("a", {GROUP: (1, 50.0)}, 1)
     assert loads.load(GROUP).running == 2
-    assert loads.load(GROUP).reading_tokens == 150.0
+    assert loads.load(GROUP).prefill_tokens == 150.0
     loads.record_peer_loads("a", {GROUP: (2, 0.0)}, 2)
     assert loads.load(GROUP).running == 2
-    assert loads.load(GROUP).reading_tokens == 0.0
+    assert loads.load(GROUP).prefill_tokens == 0.0
 
 
 @pytest.mark.parametrize("tells", [True, False])
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -201,7 +201,7 @@
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert rig.directory.loads.work(("a", 1)).running == 0
-    assert rig.directory.loads.work(("a", 1)).reading_tokens == 0
+    assert rig.directory.loads.work(("a", 1)).prefill_tokens == 0
     assert not rig.service.active
 
 
@@ -344,7 +344,7 @@
         for name in (f"{group}0", f"{group}1")
     ]
     revision = rig.directory.changed + 1
-    rig.directory.hear_change(
+    rig.directory.apply_change(
         TargetsRead(revision=revision, targets=tuple(anew)), previous=revision - 1
     )
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -89,7 +89,7 @@
         if now - self._due_at > STALLED_SECONDS:
             self._fresh_from = now
         self._pause = LONGEST_LOOK_SECONDS
-        if self._directory.take_releases():
+        if self._directory.consume_resumed():
             self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
@@ -231,7 +231,7 @@
         # it would be sent new streams again.
         work = self._directory.loads.work(key)
         work.suspicions += 1
-        self._directory.withhold(key, self._clock.now() + self._stall_seconds)
+        self._directory.suspend_group(key, self._clock.now() + self._stall_seconds)
         for notify in self.on_suspect:
             notify(key)
 
@@ -268,9 +268,11 @@
         if group is None or group.head is None:
             return
         if group.head.process == message.head:
-            self._directory.break_group(group, message.cause, is_told=True)
+            self._directory.mark_broken(group, message.cause, is_known_to_peers=True)
 
-    def _leave_broken(self, group: Group, cause: BreakCause, is_told: bool) -> None:
+    def _leave_broken(
+        self, group: Group, cause: BreakCause, is_known_to_peers: bool
+    ) -> None:
         """Move the streams of a formation that serves no more, and tell the peers.
 
         A head that closes turns streams away while those that run there end well, so
@@ -283,7 +285,7 @@
                 stream.move(Reason.RESTARTED)
         elif not self._advances(group.key, streams):
             self._move(streams)
-        if not is_told:
+        if not is_known_to_peers:
             self._peers.broadcast_group_broken(group, cause)
         self._metrics.suspicions.labels(cause.value).inc()
         for notify in self.on_suspect:
@@ -298,8 +300,8 @@
         self._exclude(key, self._stall_seconds)
 
     def _exclude(self, key: GroupKey, seconds: float) -> None:
-        self._directory.withhold(key, self._clock.now() + seconds)
+        self._directory.suspend_group(key, self._clock.now() + seconds)
 
     def clear(self, key: GroupKey) -> None:
         """Trust a group again whose members were all found alive."""
-        self._directory.release(key)
+        self._directory.resume_group(key)
