--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -1,4 +1,4 @@
-"""Choose the one node that plans: a lease row whose number fences orders."""
+"""Elect the node that plans groups, by a lease row with a fencing number."""
 
 import random
 from collections.abc import Callable
@@ -30,26 +30,33 @@
 
 LEASE_KEY = "leases/planner"
 LEASE_NAME = "planner"
-# Pause between two looks at who should plan, in seconds.
+# Interval between two checks of which node should plan, in seconds.
 CHECK_SECONDS = 0.2
-# Pause between two renewals, in seconds, and the time after which a lease that was
-# not renewed has lapsed: three renewals and the longest usual answer.
+# Interval between two renewals, in seconds, and the time after which a lease that was
+# not renewed expires: three renewals and the longest usual response time.
 RENEW_SECONDS = 1.5
 LEASE_SECONDS = 5.0
-# Time without a renewal after which a lease is taken from a host that was not heard of,
-# in seconds: one renewal and a few looks. A host that has just started has not heard
-# all others; going by heartbeats alone, at a fleet's start the lease changed hands five
-# times in a second and ended with a host of half of a core.
+# Time without a renewal after which a lease is taken from a host of which no heartbeat
+# was received, in seconds: one renewal and a few checks. A host that has just started
+# lacks the heartbeats of some others. When heartbeats alone decided, the lease changed
+# its holder five times in a second at a fleet's start and ended with a host that had
+# half a core.
 UNRENEWED_SECONDS = RENEW_SECONDS + 0.5
-# Age up to which a renewal shows that the lease is held, in seconds: less than the
-# second of silence after which another node takes it.
+# Maximum age of a renewal that proves that the lease is held, in seconds: less than the
+# second without heartbeats after which another node takes over.
 CONFIRMED_SECONDS = 0.8
-# Time after its start within which a node waits to hear of a planner, in seconds.
+# Time after its start in which a node only waits for a planner's heartbeat, in seconds.
 DISCOVERY_SECONDS = 0.6
 
 
 class Leadership:
-    """Hold the planner's lease while this node should plan."""
+    """Acquires, renews and gives up the planner's lease for this node.
+
+    A node acquires the lease when none of its live peers plans and it ranks first by
+    capacity. Each new holder writes a higher fencing number. Engines that check fencing
+    refuse the orders of earlier holders; without such checks the lease has to expire
+    before another node acquires it.
+    """
 
     def __init__(
         self,
@@ -61,7 +68,7 @@
         clock: Clock,
         rng: random.Random,
         checks_fencing: bool,
-        may_plan: Callable[[], bool],
+        can_plan: Callable[[], bool],
         cores: float = 0.0,
         notes: UnreadableNotes | None = None,
     ) -> None:
@@ -74,7 +81,7 @@
         self._clock = clock
         self._rng = rng
         self._checks_fencing = checks_fencing
-        self._may_plan = may_plan
+        self._can_plan = can_plan
         self._fence = 0
         self._version = 0
         self._renewed_at = float("-inf")
@@ -84,7 +91,7 @@
 
     @property
     def fence(self) -> int:
-        """Return the fencing number to give orders with, 0 while not the planner."""
+        """Return the fencing number for orders, or 0 while this node does not plan."""
         if self._fence == 0:
             return 0
         age = self._clock.now() - self._renewed_at
@@ -94,21 +101,21 @@
 
     @property
     def renewal_age(self) -> float:
-        """Return the seconds since the lease was surely held."""
+        """Return the seconds since the last renewal that succeeded was sent."""
         return self._clock.now() - self._renewed_at
 
     async def run(self) -> None:
-        """Take, renew and give up until cancelled."""
+        """Acquire, renew and give up the lease until cancelled."""
         while True:
             await self.step()
             await self._clock.sleep(CHECK_SECONDS)
 
     async def step(self) -> None:
-        """Look once at who should plan."""
+        """Check once which node should plan, and renew or acquire the lease if due."""
         now = self._clock.now()
         if self._fence:
             if self._is_superseded():
-                self.step_down("a peer plans with a higher number")
+                self.step_down("a peer plans with a higher fencing number")
             elif now - self._renewed_at >= RENEW_SECONDS:
                 await self.renew()
             return
@@ -116,27 +123,27 @@
             await self._acquire()
 
     def step_down(self, reason: str) -> None:
-        """Stop planning; the row stays as it is."""
+        """Stop planning without changing the lease row."""
         if self._fence:
             log.warning("planner: stepped down", fence=self._fence, reason=reason)
         self._fence = 0
 
     async def release(self) -> None:
-        """Stop planning and let another node take over at once."""
+        """Stop planning, so that another node can take over without delay."""
         if self._fence:
-            self.step_down("this node stops")
+            self.step_down("this node is stopping")
 
     def _is_superseded(self) -> bool:
         return any(p.heartbeat.planning > self._fence for p in self._peers.live)
 
     def _should_acquire(self, now: float) -> bool:
-        if not self._may_plan() or now - self._started_at < DISCOVERY_SECONDS:
+        if not self._can_plan() or now - self._started_at < DISCOVERY_SECONDS:
             return False
-        able = [p.heartbeat for p in self._peers.live]
-        able = [h for h in able if h.store and not h.stopping]
-        if any(heartbeat.planning for heartbeat in able):
+        candidates = [p.heartbeat for p in self._peers.live]
+        candidates = [h for h in candidates if h.store and not h.stopping]
+        if any(heartbeat.planning for heartbeat in candidates):
             return False
-        cores = {self._name: self._cores, **{h.node: h.cores for h in able}}
+        cores = {self._name: self._cores, **{h.node: h.cores for h in candidates}}
         return ranked_by_capacity(LEASE_NAME, cores)[0] == self._name
 
     async def _acquire(self) -> None:
@@ -157,7 +164,7 @@
                 notify()
 
     def _log_acquired(self, fence: int) -> None:
-        """Log what this node took the lease for: the last planner as it was heard."""
+        """Log the lease's new holder and the last heartbeat of the previous planner."""
         last = self._peers.last_planner
         log.info(
             "planner: lease taken",
@@ -169,11 +176,12 @@
         )
 
     def _can_take_over(self, version: int, lease: LeaseRow | Unreadable) -> bool:
-        """Tell whether the holder can do no harm any more.
+        """Return whether the lease can be taken from its holder safely.
 
-        Engines that check fencing refuse an old holder; elsewhere its lease has to
-        lapse, seen by a row that does not change. A lease that cannot be read may be
-        held by anyone, and lapses in the same way wherever it is.
+        Engines that check fencing refuse the orders of an earlier holder. Without such
+        checks its lease has to expire first: the row's version must stay the same for
+        the whole time limit. An unreadable lease may be held by any node, so it has to
+        expire in both cases.
         """
         limit = LEASE_SECONDS + RENEW_SECONDS
         if self._checks_fencing and isinstance(lease, LeaseRow):
@@ -194,19 +202,22 @@
         return self._peers.is_gone(lease.holder, lease.incarnation)
 
     async def confirm(self) -> bool:
-        """Renew the lease; tell whether it is surely held."""
+        """Renew the lease and return whether this node is known to hold it."""
         await self.renew()
         return self._fence > 0 and self.renewal_age < CONFIRMED_SECONDS
 
     async def renew(self) -> None:
-        """Renew the lease, and learn by it whether another node took it."""
+        """Renew the lease, and step down if another node has taken it.
+
+        Without fencing checks, this node also steps down when its lease has expired.
+        """
         if not await self._write(self._fence, self._version):
             age = self._clock.now() - self._renewed_at
             if age > LEASE_SECONDS and not self._checks_fencing:
                 self.step_down("the lease could not be renewed")
 
     async def _write(self, fence: int, expect: int) -> bool:
-        asked_at = self._clock.now()
+        sent_at = self._clock.now()
         lease = LeaseRow(holder=self._name, incarnation=self._incarnation, fence=fence)
         put = TypedPut(key=LEASE_KEY, value=lease, expect=expect)
         change = transaction(new_id(self._rng), put)
@@ -214,7 +225,7 @@
         match outcome:
             case Committed(version=version):
                 self._version = version
-                self._renewed_at = asked_at
+                self._renewed_at = sent_at
                 return True
             case Conflict():
                 self.step_down("another node holds the lease")
@@ -228,16 +239,16 @@
         return Unreadable(fault=Fault.BYTES)
     lease = decode(row.value, LeaseRow)
     if isinstance(lease, LeaseRow) and lease.fence > row.version:
-        # Each number was the next one, written by a change of its own, and each change
-        # raises the version: no holder wrote this.
+        # Each holder writes the next number in a transaction of its own, which also
+        # raises the version, so no holder can have written a higher number than that.
         return Unreadable(fault=Fault.RANGE, field="fence")
     return lease
 
 
 def _next_fence(version: int, lease: LeaseRow | Unreadable) -> int:
-    """Return a number that is higher than all before it.
+    """Return a fencing number that is higher than all earlier ones.
 
-    Where the last one cannot be read, the version of its row stands for it: a number
+    If the last number is unreadable, the row's version is used in its place: a number
     is never higher than the version at which it was written.
     """
     return version + 1 if isinstance(lease, Unreadable) else lease.fence + 1
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -155,7 +155,7 @@
             rng=self._rng,
             checks_fencing=settings.bounds.checks_fencing,
             cores=settings.cores,
-            may_plan=self._may_plan,
+            can_plan=self._can_plan,
             notes=notes,
         )
         self.planner = GroupPlanner(
@@ -342,7 +342,7 @@
             # Serving callers goes before being watched.
             log.warning("node: no metrics address", error=str(error))
 
-    def _may_plan(self) -> bool:
+    def _can_plan(self) -> bool:
         return self.configuration.store_answers and not self.ingress.is_stopping
 
     def _budget(self, service: str) -> RetryWindow:
--- a/mallowpond/node/tests/test_leadership.py
+++ b/mallowpond/node/tests/test_leadership.py
@@ -58,7 +58,7 @@
         clock=clock,
         rng=random.Random(1),
         checks_fencing=checks_fencing,
-        may_plan=lambda: True,
+        can_plan=lambda: True,
     )
     clock.time += DISCOVERY_SECONDS
     return leadership
@@ -74,7 +74,7 @@
         clock=clock,
         rng=random.Random(1),
         checks_fencing=True,
-        may_plan=lambda: True,
+        can_plan=lambda: True,
     )
     await leadership.step()
     assert leadership.fence == 0
