--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -18,7 +18,7 @@
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 from mallowpond.state.limits import spread_retry_after
 from mallowpond.state.site_configuration import (
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
     choose_backend,
@@ -155,20 +155,20 @@
             FIRST_CONFIGURATION_SECONDS,
             FIRST_CONFIGURATION_SHARE * _requested_seconds(request),
         )
-        await self._configuration.wait_for_first(limit)
+        await self._configuration.wait_for_first_version(limit)
         configuration = self._configuration.configuration
         if configuration is None:
             return self._retry_later(Reason.NO_CONFIGURATION)
         self._apply_limits(configuration)
         route = configuration.find_route(request.host, request.path)
         if route is None:
-            if not self._configuration.is_sure:
+            if not self._configuration.is_confirmed:
                 # A newer version may have the route.
                 return self._retry_later(Reason.UNSURE)
             return Refusal(status=404, reason=Reason.NO_ROUTE)
         workspace, priority = None, route.priority
         if configuration.uses_keys and route.needs_key:
-            if not self._configuration.is_sure:
+            if not self._configuration.is_confirmed:
                 return self._retry_later(Reason.UNSURE)
             holder = configuration.keys.get(request.key or "")
             if holder is None:
@@ -176,7 +176,7 @@
             workspace, priority = holder.workspace, holder.priority
         service = choose_backend(route, self._rng.random())
         deadline = started_at + _timeout_seconds(request, route)
-        if route.repeat is Repeat.STREAM:
+        if route.repeat is RepeatPolicy.STREAM:
             shape = _shape(configuration, service, request)
             if shape is not None:
                 work = StreamWork(
--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -22,7 +22,7 @@
 )
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.unreadable import UnreadableNotes
-from mallowpond.state.decoding import Fault, Unreadable, decode
+from mallowpond.state.decoding import DecodeFault, Unreadable, decode
 from mallowpond.state.ownership import ranked_by_capacity
 from mallowpond.state.rows import LeaseRow
 
@@ -199,7 +199,7 @@
     def _is_holder_gone(self, lease: LeaseRow) -> bool:
         if lease.holder == self._name:
             return True
-        return self._peers.is_gone(lease.holder, lease.incarnation)
+        return self._peers.has_stopped_planning(lease.holder, lease.incarnation)
 
     async def confirm(self) -> bool:
         """Renew the lease and return whether this node is known to hold it."""
@@ -236,12 +236,12 @@
 
 def _decode_lease(row: Row | UnreadableRow) -> LeaseRow | Unreadable:
     if isinstance(row, UnreadableRow):
-        return Unreadable(fault=Fault.BYTES)
+        return Unreadable(fault=DecodeFault.BYTES)
     lease = decode(row.value, LeaseRow)
     if isinstance(lease, LeaseRow) and lease.fence > row.version:
         # Each holder writes the next number in a transaction of its own, which also
         # raises the version, so no holder can have written a higher number than that.
-        return Unreadable(fault=Fault.RANGE, field="fence")
+        return Unreadable(fault=DecodeFault.RANGE, field="fence")
     return lease
 
 
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -17,7 +17,7 @@
 from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
 from mallowpond.node.metrics import NodeMetrics
-from mallowpond.node.model_summary import demand, log_summary, pressure
+from mallowpond.node.model_summary import demand, log_summary, utilization
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import (
     OrderEnd,
@@ -242,19 +242,19 @@
             profile=profile,
             targets=tuple(
                 self._with_latest_state(target)
-                for target in self._directory.all_of_service(service)
+                for target in self._directory.all_targets(service)
             ),
             now=now,
             demand=demand(self._directory, profile),
-            pressure=pressure(self._directory, profile),
+            utilization=utilization(self._directory, profile),
             next_epoch=self._next_epoch,
             lost=self._probes.lost,
             busy=self._book.busy,
             formations=self._formations,
             first_seen=self._first_seen,
-            unheld=self._processes.unheld,
+            disclaimed=self._processes.disclaimed,
             seen={key: frozenset(seen) for key, seen in self._seen_processes.items()},
-            distrusted=frozenset(
+            repeatedly_suspected=frozenset(
                 key
                 for key, times in self._cleared_at.items()
                 if sum(now - at < CLEARED_SECONDS for at in times) >= CLEARED_SUSPICIONS
@@ -263,7 +263,7 @@
             leaving_since={p.id: at for p, at in self._leaving_since.items()},
             loads_begun=tuple(self._loads_begun),
             loading=self._book.loading,
-            before_traffic=not self._traffic_seen.seen,
+            is_before_traffic=not self._traffic_seen.seen,
             is_settled=self._directory.is_settled,
             newest_target_at=self._directory.newest_target_at,
         )
@@ -366,8 +366,8 @@
             return
         self._book.begin(step, now)
         if isinstance(step, Leave | Close):
-            self._watch.retire((step.group, step.epoch))
-            self._peers.tell_suspicion((step.group, step.epoch), closing=True)
+            self._watch.exclude_closing((step.group, step.epoch))
+            self._peers.broadcast_suspicion((step.group, step.epoch), closing=True)
         if loads_weights(step):
             self._loads_begun.append(now)
         self._spawn(self._send_order(step, self._leadership.fence))
@@ -534,7 +534,7 @@
         answers = await asyncio.gather(*(self._probes.probe(m) for m in members))
         if not all(answers) or len(members) < len(group.members):
             return
-        if group.key in self._processes.unheld:
+        if group.key in self._processes.disclaimed:
             return
         self._cleared_at.setdefault(group.key, []).append(self._clock.now())
         log.info(
@@ -543,7 +543,7 @@
             times=len(self._cleared_at[group.key]),
         )
         self._watch.clear(group.key)
-        self._peers.tell_suspicion(group.key, cleared=True)
+        self._peers.broadcast_suspicion(group.key, cleared=True)
 
     def _poll_pending(self, now: float) -> None:
         """Ask the targets of orders what came of them while the list is lost."""
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -176,7 +176,7 @@
                 reason = report.reason
                 continue
             if self._is_report_current(report.target):
-                self._directory.learn(report.target)
+                self._directory.apply_report(report.target)
             if self._lost.pop(target.process, None) is not None:
                 log.info("planner: target regained", target=target.id)
             return report.target.process == target.process
@@ -217,7 +217,7 @@
 
     def _check_lapsed(self, target: Target, now: float) -> None:
         if target.process in self._lost:
-            self._directory.forget(target.id)
+            self._directory.drop_lapsed(target.id)
         elif (
             now - self._lapse_probed.get(target.process, 0.0)
             > LAPSED_PROBE_INTERVAL_SECONDS
@@ -246,8 +246,8 @@
                 return
             if self._processes.current(target).group_key != target.group_key:
                 return
-            self._directory.vouch(target.id)
-            self._peers.tell_vouch(target.id)
+            self._directory.record_healthy(target.id)
+            self._peers.broadcast_target_healthy(target.id)
             return
         times = self._unhealthy.get(target.process, 0) + 1
         self._unhealthy[target.process] = times
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -22,7 +22,7 @@
 from mallowpond.node.ingress import Ingress
 from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
-from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
+from mallowpond.node.messages import Heartbeat, decode_loads, encode_loads
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.planner import GroupPlanner
@@ -91,7 +91,7 @@
             address=f"{settings.address}:{settings.peer_port}",
             table=ports.table,
             clock=clock,
-            describe=self._describe,
+            make_heartbeat=self._describe,
             notes=notes,
         )
         quarantine = Quarantine(clock=clock, metrics=self.metrics)
@@ -217,12 +217,12 @@
             configuration=self.configuration,
         )
         self.readers.on_news.append(self.streams.placement.wake_all)
-        self.configuration.on_newer.append(self._publish_version)
+        self.configuration.on_new_version.append(self._publish_version)
         self.leadership.on_acquired.append(
             lambda: self.peers.broadcast(self._describe())
         )
         self.peers.on_heartbeat.append(self._on_heartbeat)
-        self.peers.on_vouch.append(self.directory.vouch)
+        self.peers.on_target_healthy.append(self.directory.record_healthy)
         self.peers.on_work.append(lambda work: self.dispatcher.wake())
         self.directory.on_change.append(self.dispatcher.wake)
         self._readiness = HttpServer(handler=self._answer_readiness)
@@ -231,7 +231,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new callers should come to this node."""
-        return self.configuration.is_sure and not self.ingress.is_stopping
+        return self.configuration.is_confirmed and not self.ingress.is_stopping
 
     async def start(self) -> None:
         """Listen, and follow the platform."""
@@ -247,8 +247,8 @@
         await self._listen(self.ingress.server, self._settings.callers, self._listener)
         for work in (
             self.peers.run_heartbeats(),
-            self.peers.run_senior_heartbeats(),
-            self.peers.run_rows(),
+            self.peers.run_candidate_heartbeats(),
+            self.peers.run_node_rows(),
             self.watch.run(),
             self.leadership.run(),
             self.readers.run(),
@@ -313,7 +313,7 @@
         While the store is away none can, and groups that lose a member would stay
         down until it is back.
         """
-        if self.configuration.store_answers:
+        if self.configuration.is_store_reachable:
             await self.leadership.release()
 
     async def close(self) -> None:
@@ -343,7 +343,7 @@
             log.warning("node: no metrics address", error=str(error))
 
     def _can_plan(self) -> bool:
-        return self.configuration.store_answers and not self.ingress.is_stopping
+        return self.configuration.is_store_reachable and not self.ingress.is_stopping
 
     def _budget(self, service: str) -> RetryWindow:
         bounds = self._settings.bounds
@@ -362,15 +362,15 @@
             incarnation=self._incarnation,
             address=f"{self._settings.address}:{self._settings.peer_port}",
             version=known.version if known else 0,
-            sure=self.configuration.is_sure,
-            store=self.configuration.store_answers,
+            sure=self.configuration.is_confirmed,
+            store=self.configuration.is_store_reachable,
             stopping=self.ingress.is_stopping,
             planning=self.leadership.fence,
             traffic=self._traffic.seen,
             interval=self.peers.interval,
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
-            loads=heartbeat_loads(self.directory.loads.own_loads()),
+            loads=encode_loads(self.directory.loads.own_loads()),
             granted=self.dispatcher_client.granted,
         )
 
@@ -390,7 +390,7 @@
 
     def _publish_version(self) -> None:
         """Tell a newer version at once; in a large fleet only the readers do."""
-        if not self.peers.is_large:
+        if not self.peers.is_large_fleet:
             self.peers.broadcast(self._describe())
         elif self.readers.reads:
             self.readers.step()
@@ -398,7 +398,7 @@
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
         self.directory.loads.record_peer_loads(
-            heartbeat.node, loads_of(heartbeat), heartbeat.granted
+            heartbeat.node, decode_loads(heartbeat), heartbeat.granted
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -56,7 +56,7 @@
         self.on_suspect = []
         self.cleared = []
 
-    def retire(self, key):
+    def exclude_closing(self, key):
         """Send nothing new to a group."""
 
     def clear(self, key):
@@ -75,10 +75,10 @@
         self.on_liveness_question = []
         self.on_liveness_answer = []
 
-    def tell_suspicion(self, key, *, cleared=False, closing=False):
+    def broadcast_suspicion(self, key, *, cleared=False, closing=False):
         """Tell nobody."""
 
-    def tell_vouch(self, target):
+    def broadcast_target_healthy(self, target):
         """Remember the target."""
         self.vouched.append(target)
 
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -21,7 +21,7 @@
 from mallowpond.node.planner import GroupPlanner
 from mallowpond.node.tests.engine_model import (
     SERVING,
-    Fate,
+    Delivery,
     Fleet,
     ModelSource,
     ModelTargets,
@@ -83,7 +83,7 @@
             traffic_seen=TrafficSeen(seen=True),
             intake=intake_of(self.directory, clock),
         )
-        self.planner.failed = fleet.broken_rules
+        self.planner.failed = fleet.violations
         self.targets.listed = self._listed
         self.targets.on_order += [
             self._check_count,
@@ -102,8 +102,8 @@
 
     def _note_members(self):
         listed = {target.process for target in self.directory.targets.values()}
-        for process in self.targets.told_since.keys() - listed:
-            del self.targets.told_since[process]
+        for process in self.targets.counts_since_listing.keys() - listed:
+            del self.targets.counts_since_listing[process]
         groups = self.directory.groups
         for key in self.seen.keys() - groups.keys():
             del self.seen[key]
@@ -112,13 +112,15 @@
 
     def _check(self, is_kept, step, rule):
         if not is_kept:
-            self.fleet.broken_rules.append(f"{rule}: {step}")
+            self.fleet.violations.append(f"{rule}: {step}")
 
     def _check_count(self, step, expected):
         """An order goes by the newest count that its own process told."""
-        told = self.targets.told[step.target.process]
+        told = self.targets.reported_counts[step.target.process]
         self._check(expected in told, step, f"count {expected} of another process")
-        newest = max(self.targets.told_since[step.target.process], default=expected)
+        newest = max(
+            self.targets.counts_since_listing[step.target.process], default=expected
+        )
         self._check(expected >= newest, step, f"count {expected}, known {newest}")
 
     def _check_process(self, step, expected):
@@ -152,7 +154,7 @@
             head, process = group.head, step.target.process
             if head is None or head.membership.phase not in SERVING:
                 continue
-            if (head.process, key) in self.targets.left:
+            if (head.process, key) in self.targets.left_formations:
                 continue
             earlier = {p for p in self.seen[key] if p.id == process.id and p != process}
             is_over = self.targets.ended(head.process) or not earlier
@@ -174,7 +176,7 @@
     def take_lease(self, fence):
         """Become the planner."""
         self.leadership.fence = fence
-        self.targets.told_since.clear()
+        self.targets.counts_since_listing.clear()
         for notify in self.leadership.on_acquired:
             notify()
 
@@ -212,18 +214,18 @@
         self.loop.run_until_complete(wait())
 
     @rule(
-        fates=st.lists(st.sampled_from(Fate), max_size=4),
+        deliveries=st.lists(st.sampled_from(Delivery), max_size=4),
         place=st.integers(0, 1),
         wait=st.sampled_from([0.1, 0.1, 0.8, 2.0]),
         steps=st.integers(1, 3),
         slow=st.sampled_from([0, 0, 1, 2]),
     )
-    def plan(self, fates, place, wait=0.1, steps=1, slow=0):
+    def plan(self, deliveries, place, wait=0.1, steps=1, slow=0):
         seat = self.seats[place]
-        self.fleet.fates, self.fleet.slow_reports = list(fates), slow
+        self.fleet.deliveries, self.fleet.slow_reports = list(deliveries), slow
         for _ in range(steps):
             self.run(seat.planner.step())
-        self.fleet.fates, self.fleet.slow_reports = [], 0
+        self.fleet.deliveries, self.fleet.slow_reports = [], 0
         self.clock.time += wait
 
     def read_list(self, place):
@@ -272,7 +274,7 @@
         self.plan([], place, slow=slow)
         self.restart(name, 1, registers)
         self.read_list(place)
-        while self.fleet.unanswered:
+        while self.fleet.pending_answers:
             self.answer_late(0)
 
     @rule(rounds=st.integers(0, 4), all_anew=st.booleans())
@@ -283,12 +285,12 @@
             for name in NAMES:
                 self.restart(name, 1, True)
             self.read_list(planner)
-        self.plan([Fate.LATE] * len(NAMES), planner)
-        for order in self.fleet.late:
+        self.plan([Delivery.LATE] * len(NAMES), planner)
+        for order in self.fleet.late_orders:
             self.restart(order.step.target.id, 1, True)
         for _ in range(rounds):
             self.all_goes_well(0.1)
-        while self.fleet.late:
+        while self.fleet.late_orders:
             self.carry_out_late(0)
 
     @rule(
@@ -298,23 +300,23 @@
     def trouble_engines(self, trouble, name):
         match trouble:
             case "lapse":
-                self.fleet.lapse(name)
+                self.fleet.expire(name)
             case "drain":
                 self.fleet.engines[name].draining = True
                 self.fleet.publish(name)
             case "stall":
                 self.fleet.stall()
 
-    @precondition(lambda self: self.fleet.late)
+    @precondition(lambda self: self.fleet.late_orders)
     @rule(number=st.integers(0, 9))
     def carry_out_late(self, number):
-        order = self.fleet.late.pop(number % len(self.fleet.late))
-        self.fleet.arrive(order.step, fence=order.fence, expected=order.expected)
+        order = self.fleet.late_orders.pop(number % len(self.fleet.late_orders))
+        self.fleet.receive(order.step, fence=order.fence, expected=order.expected)
 
-    @precondition(lambda self: self.fleet.unanswered)
+    @precondition(lambda self: self.fleet.pending_answers)
     @rule(number=st.integers(0, 9))
     def answer_late(self, number):
-        waiting = self.fleet.unanswered
+        waiting = self.fleet.pending_answers
         waiting.pop(number % len(waiting)).set_result(None)
         self.run(asyncio.sleep(0))
 
@@ -331,7 +333,7 @@
     @rule(place=st.integers(0, 1))
     def cut_from_list(self, place):
         source = self.seats[place].source
-        source.cut = not source.cut
+        source.is_cut_off = not source.is_cut_off
 
     @rule()
     def take_over(self):
@@ -349,7 +351,7 @@
     @invariant()
     def no_rule_is_broken(self):
         if hasattr(self, "fleet"):
-            assert self.fleet.broken_rules == []
+            assert self.fleet.violations == []
 
     def teardown(self):
         """Engines that are left in peace serve in the end."""
@@ -365,13 +367,13 @@
             self.loop.close()
 
     def _settle(self):
-        while self.fleet.late:
+        while self.fleet.late_orders:
             self.carry_out_late(0)
-        while self.fleet.unanswered:
+        while self.fleet.pending_answers:
             self.answer_late(0)
         seat = self.seats[self.fence % 2]
         self.seats[1 - self.fence % 2].leadership.fence = 0
-        seat.source.cut = False
+        seat.source.is_cut_off = False
         for engine in self.fleet.engines.values():
             engine.draining = False
         for _ in range(SETTLING_STEPS):
@@ -383,7 +385,7 @@
         if engine.phase not in SERVING:
             return False
         members = [self.fleet.engines[m] for m in engine.members]
-        return all(member.group_key == engine.place for member in members)
+        return all(member.group_key == engine.formation for member in members)
 
 
 def setup_module():
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -310,7 +310,7 @@
         changed = {t.id: t for t in self.platform.listed[known:until]}
         self.take(changed.values(), is_whole=False)
         change = listing(*changed.values(), revision=until, whole=False)
-        self.directory.hear_change(change, previous=known)
+        self.directory.apply_change(change, previous=known)
         self.settle()
 
     @rule()
@@ -331,7 +331,7 @@
             until = data.draw(st.integers(1, known))
             previous = until - 1
         change = listing(self.platform.listed[until - 1], revision=until, whole=False)
-        self.directory.hear_change(change, previous=previous)
+        self.directory.apply_change(change, previous=previous)
         assert self.directory.targets == before
 
     @rule()
@@ -403,14 +403,14 @@
             return
         if answered.process in self.ended:
             serving = self.directory.serving_groups("engines", "m")
-            self.directory.learn(answered)
+            self.directory.apply_report(answered)
             assert self.directory.serving_groups("engines", "m") == serving
             return
         if asked.process != listed.process:
             return
         if answered.process != listed.process and answered.process not in self.ended:
             self.ended.setdefault(listed.process, self.rig.clock.now())
-        self.directory.learn(answered)
+        self.directory.apply_report(answered)
         self.settle()
 
     @rule(group=groups, epoch=st.integers(1, 5))
