--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -74,16 +74,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FormationView:
-    """Hold all that the decision rests on.
-
-    `lost` are targets that do not answer; `busy` targets have an order under way;
-    `formations` are those whose member lists are known here;
-    `seen` are the processes that were ordered into each group or seen in it;
-    `unheld` are the groups of which a member answers that it does not stand in them;
-    `distrusted` groups stood silent and none of their members is known to be lost;
-    `closed` groups were told to close, to be taken apart once their work has ended;
-    `leaving_since` says when each target that is about to stop was first seen so;
-    `loading` are the models that targets were told to load and do not show yet.
+    """Input of one planning round.
+
+    demand: share of the work per model; the declared share holds where it is absent.
+    pressure: utilization of each model's open groups, 1.0 when all slots are taken.
+    lost: targets that do not answer.
+    busy: targets with an order under way.
+    formations: formations whose member lists this planner knows.
+    first_seen: time at which each listed group was first seen here.
+    seen: processes that were ordered into each group or listed in it.
+    unheld: groups that one of their members denies belonging to.
+    distrusted: groups that were suspected several times although all members answer.
+    closed: groups that were ordered to close, to be dissolved once they are idle.
+    leaving_since: time at which each stopping target was first seen to be stopping.
+    loads_begun: times of recent orders that load weights.
+    loading: models that targets were ordered to load and do not list as loaded yet.
+    before_traffic: no request has arrived yet in this installation.
+    is_settled: the list is complete; false during and just after a store outage.
+    newest_target_at: time at which the last new target appeared.
     """
 
     profile: EngineProfile
