--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -191,7 +191,7 @@
     def _is_holder_gone(self, lease: LeaseRow) -> bool:
         if lease.holder == self._name:
             return True
-        return self._peers.is_gone(lease.holder, lease.incarnation)
+        return self._peers.has_stopped_planning(lease.holder, lease.incarnation)
 
     async def confirm(self) -> bool:
         """Renew the lease; tell whether it is surely held."""
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -166,7 +166,7 @@
             self._counted_at = now
         return self._live
 
-    def is_gone(self, node: str, incarnation: str) -> bool:
+    def has_stopped_planning(self, node: str, incarnation: str) -> bool:
         """Tell whether a node that was heard of plans no more as this incarnation."""
         peer = self._peers.get(node)
         if peer is None:
--- a/mallowpond/node/tests/test_leadership.py
+++ b/mallowpond/node/tests/test_leadership.py
@@ -28,7 +28,7 @@
     last_planner: Peer | None = None
     unheard: frozenset = frozenset()
 
-    def is_gone(self, node, incarnation):
+    def has_stopped_planning(self, node, incarnation):
         """Tell whether a host that was heard of plans no more."""
         return node not in self.unheard
 
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -515,16 +515,16 @@
 
 def test_a_node_that_was_never_heard_is_not_known_to_be_gone():
     peers, clock = network()
-    assert not peers.is_gone("b", "1")
+    assert not peers.has_stopped_planning("b", "1")
     peers.datagram_received(encode(beat()), SENDER)
-    assert not peers.is_gone("b", beat().incarnation)
-    assert peers.is_gone("b", "another")
+    assert not peers.has_stopped_planning("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", "another")
     clock.time += GONE_SECONDS + 0.1
-    assert peers.is_gone("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", beat().incarnation)
 
 
 @pytest.mark.parametrize("said", [{"store": False}, {"stopping": True}])
 def test_a_node_that_cannot_plan_is_gone_for_the_lease(said):
     peers, _ = network()
     peers.datagram_received(encode(replace(beat(), **said)), SENDER)
-    assert peers.is_gone("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", beat().incarnation)
