--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -132,7 +132,7 @@
         self._counted_at = float("-inf")
         self._met = 0
         self._met_told_at = float("-inf")
-        self.is_senior = True
+        self.is_candidate = True
         self.seniors: frozenset[str] = frozenset()
         self.on_heartbeat: list[Callable[[Heartbeat], None]] = []
         self.on_suspicion: list[Callable[[Suspicion], None]] = []
@@ -204,7 +204,7 @@
         if not self.is_large:
             return HEARTBEAT_SECONDS
         rate = ORDINARY_HEARTBEATS_PER_SECOND
-        if self.is_senior:
+        if self.is_candidate:
             rate = SENIOR_HEARTBEATS_PER_SECOND
         return len(self._addresses) / rate
 
@@ -237,7 +237,7 @@
 
     @property
     def _is_among_seniors(self) -> bool:
-        return self.is_large and self.is_senior
+        return self.is_large and self.is_candidate
 
     def tell_heartbeat(self) -> None:
         """Tell the fleet how this node is, but those that hear it more often."""
@@ -258,7 +258,9 @@
                 await self._clock.sleep(ROWS_AGAIN_SECONDS)
                 continue
             waited = 0.0
-            while waited < (ROWS_SECONDS if self.is_senior else ORDINARY_ROWS_SECONDS):
+            while waited < (
+                ROWS_SECONDS if self.is_candidate else ORDINARY_ROWS_SECONDS
+            ):
                 await self._clock.sleep(ROWS_SECONDS)
                 waited += ROWS_SECONDS
 
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -230,7 +230,7 @@
         await self._clock.sleep(FIRST_ASK_SECONDS)
         while True:
             self._quarantine.review()
-            if not self._peers.is_senior or await self.read():
+            if not self._peers.is_candidate or await self.read():
                 await self._clock.sleep(READ_SECONDS)
             else:
                 await self._clock.sleep(AGAIN_SECONDS)
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -181,7 +181,7 @@
     def step(self) -> None:
         """Tell once."""
         seniors = self._ranked()[:SENIORS]
-        self._peers.is_senior = self._name in seniors or self._is_planning()
+        self._peers.is_candidate = self._name in seniors or self._is_planning()
         self._peers.seniors = frozenset(seniors) - {self._name}
         if self.reads != self._reads:
             self._reads = not self._reads
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -169,7 +169,7 @@
     """
     peers, _ = network()
     few = peers.interval
-    peers.is_senior = False
+    peers.is_candidate = False
     for number in range(380):
         peers._addresses[str(number)] = "127.0.0.1:1"
     assert peers.interval > 5.0
@@ -188,7 +188,7 @@
     seldom = 1 / SENIOR_HEARTBEATS_PER_SECOND
     assert peers.interval == 380 * seldom
     often = 4 / peers.interval
-    peers.is_senior = False
+    peers.is_candidate = False
     assert often + 376 / peers.interval < HEARTBEATS_PER_SECOND / 2
 
 
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -224,7 +224,7 @@
         host.start()
     assert fleet.who_holds() == []
     for host in fleet.hosts:
-        host.peers.is_senior = host is fleet.hosts[0]
+        host.peers.is_candidate = host is fleet.hosts[0]
     fleet.introduce()
     assert await fleet.hosts[0].sharing.read()
     fleet.settle()
