--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -227,7 +227,7 @@
             self.tell_heartbeat()
             await self._clock.sleep(self.interval)
 
-    async def run_senior_heartbeats(self) -> None:
+    async def run_candidate_heartbeats(self) -> None:
         """Send heartbeats among the hosts that plan or read next, until cancelled."""
         while True:
             if self._is_among_seniors:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -247,7 +247,7 @@
         await self._listen(self.ingress.server, self._settings.callers, self._listener)
         for work in (
             self.peers.run_heartbeats(),
-            self.peers.run_senior_heartbeats(),
+            self.peers.run_candidate_heartbeats(),
             self.peers.run_rows(),
             self.watch.run(),
             self.leadership.run(),
