--- a/mallowpond/node/fanout.py
+++ b/mallowpond/node/fanout.py
@@ -44,7 +44,7 @@
 
     def broadcast(self, message: Relayed) -> None:
         """Tell every host, those of other data centres through one of theirs."""
-        if not self._peers.is_large:
+        if not self._peers.is_large_fleet:
             self._peers.broadcast(message)
             return
         centres = self._peers.nodes_by_data_centre()
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -194,14 +194,14 @@
         return peer is not None and self._clock.now() - peer.heard_at <= seconds
 
     @property
-    def is_large(self) -> bool:
+    def is_large_fleet(self) -> bool:
         """Tell whether heartbeats are too rare to go by their work figures."""
         return len(self._addresses) / HEARTBEATS_PER_SECOND > HEARTBEAT_SECONDS
 
     @property
     def interval(self) -> float:
         """Return the pause between two heartbeats, in seconds."""
-        if not self.is_large:
+        if not self.is_large_fleet:
             return HEARTBEAT_SECONDS
         rate = ORDINARY_HEARTBEATS_PER_SECOND
         if self.is_candidate:
@@ -237,7 +237,7 @@
 
     @property
     def _is_among_seniors(self) -> bool:
-        return self.is_large and self.is_candidate
+        return self.is_large_fleet and self.is_candidate
 
     def tell_heartbeat(self) -> None:
         """Tell the fleet how this node is, but those that hear it more often."""
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -187,20 +187,20 @@
             self._reads = not self._reads
             log.info("readers: changed", reads=self._reads, readers=self.names)
         if not self._reads:
-            if self._peers.is_large:
+            if self._peers.is_large_fleet:
                 self._tell_work()
             return
         known = self._configuration.configuration
         if known is None or self._directory.is_lost:
             return
         self._turn += 1
-        if self.stands_by and self._peers.is_large and self._turn % STANDBY_TURNS:
+        if self.stands_by and self._peers.is_large_fleet and self._turn % STANDBY_TURNS:
             return
         # One sum is enough: that of the second reader took as many bytes again.
         is_first = self.names[:1] == [self._name]
         loads = (
             self._directory.loads.all_loads(self._directory.groups)
-            if self._peers.is_large and is_first
+            if self._peers.is_large_fleet and is_first
             else {}
         )
         self._fanout.broadcast(
@@ -227,7 +227,7 @@
         if host == self._name:
             return
         loads = self._directory.loads.own_loads()
-        if self._peers.is_large and host in self.names[:1]:
+        if self._peers.is_large_fleet and host in self.names[:1]:
             self._told_work = loads
             self._directory.loads.record_published(loads)
         self._send_work(loads, {host})
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -390,7 +390,7 @@
 
     def _publish_version(self) -> None:
         """Tell a newer version at once; in a large fleet only the readers do."""
-        if not self.peers.is_large:
+        if not self.peers.is_large_fleet:
             self.peers.broadcast(self._describe())
         elif self.readers.reads:
             self.readers.step()
