--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -248,7 +248,7 @@
         others = self._addresses.keys() - self.seniors
         self.send_to(heartbeat, others)
 
-    async def run_rows(self) -> None:
+    async def run_node_rows(self) -> None:
         """Keep this node's row, and read those of others, until cancelled."""
         written = False
         while True:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -248,7 +248,7 @@
         for work in (
             self.peers.run_heartbeats(),
             self.peers.run_candidate_heartbeats(),
-            self.peers.run_rows(),
+            self.peers.run_node_rows(),
             self.watch.run(),
             self.leadership.run(),
             self.readers.run(),
