--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -115,7 +115,7 @@
         address: str,
         table: TableService,
         clock: Clock,
-        describe: Callable[[], Heartbeat],
+        make_heartbeat: Callable[[], Heartbeat],
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
@@ -124,7 +124,7 @@
         self._address = address
         self._table = table
         self._clock = clock
-        self._describe = describe
+        self._describe = make_heartbeat
         self._transport: asyncio.DatagramTransport | None = None
         self._addresses: dict[str, str] = {}
         self._peers: dict[str, Peer] = {}
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -91,7 +91,7 @@
             address=f"{settings.address}:{settings.peer_port}",
             table=ports.table,
             clock=clock,
-            describe=self._describe,
+            make_heartbeat=self._describe,
             notes=notes,
         )
         quarantine = Quarantine(clock=clock, metrics=self.metrics)
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -104,7 +104,7 @@
         address="127.0.0.1:8",
         table=table or MemoryTable(),
         clock=clock,
-        describe=lambda: beat("a"),
+        make_heartbeat=lambda: beat("a"),
     )
     return peers, clock
 
@@ -155,7 +155,7 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        describe=beat,
+        make_heartbeat=beat,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
@@ -401,7 +401,7 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        describe=beat,
+        make_heartbeat=beat,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -66,7 +66,7 @@
             address=self.address,
             table=fleet.table,
             clock=fleet.clock,
-            describe=self.beat,
+            make_heartbeat=self.beat,
         )
         self.peers._send = self.send
         store_clock = StoreClock()
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -73,7 +73,7 @@
             address="127.0.0.1:1",
             table=MemoryTable(),
             clock=self.clock,
-            describe=lambda: beat(name),
+            make_heartbeat=lambda: beat(name),
         )
         self.told = []
         self.peers._send = lambda message, addresses: self.told.append(message)
