--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -16,7 +16,7 @@
     PlaceAnswer,
     PlaceQuestion,
     Work,
-    heartbeat_loads,
+    encode_loads,
     loads_of,
 )
 from mallowpond.node.metrics import NodeMetrics
@@ -180,7 +180,7 @@
         self.directory.loads.record_published(loads)
         work = Work(
             node=self.name,
-            loads=heartbeat_loads(loads),
+            loads=encode_loads(loads),
             granted=self.dispatcher_client.granted,
         )
         self.datagrams.send_to(work, (host,))
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -393,7 +393,7 @@
         return Unreadable(fault=Fault.BYTES)
 
 
-def heartbeat_loads(
+def encode_loads(
     loads: dict[GroupKey, tuple[int, float]],
 ) -> WorkFigures:
     """Return a host's work by group as messages carry it."""
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -22,7 +22,7 @@
     VersionAnswer,
     VersionQuestion,
     Work,
-    heartbeat_loads,
+    encode_loads,
     loads_of,
 )
 from mallowpond.node.peer_work import LoadsByGroup
@@ -208,7 +208,7 @@
                 node=self._name,
                 version=known.version,
                 changed=self._directory.changed,
-                loads=heartbeat_loads(loads),
+                loads=encode_loads(loads),
             )
         )
 
@@ -233,9 +233,7 @@
         self._send_work(loads, {host})
 
     def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
-        work = Work(
-            node=self._name, loads=heartbeat_loads(loads), granted=self.granted()
-        )
+        work = Work(node=self._name, loads=encode_loads(loads), granted=self.granted())
         self._peers.send_to(work, hosts - {self._name})
 
     # -- the list of targets -------------------------------------------------
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -22,7 +22,7 @@
 from mallowpond.node.ingress import Ingress
 from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
-from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
+from mallowpond.node.messages import Heartbeat, encode_loads, loads_of
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.planner import GroupPlanner
@@ -370,7 +370,7 @@
             interval=self.peers.interval,
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
-            loads=heartbeat_loads(self.directory.loads.own_loads()),
+            loads=encode_loads(self.directory.loads.own_loads()),
             granted=self.dispatcher_client.granted,
         )
 
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -13,7 +13,7 @@
     PlaceQuestion,
     PlaceVerdict,
     Work,
-    heartbeat_loads,
+    encode_loads,
     loads_of,
 )
 from mallowpond.node.outcomes import Answered, Reason
@@ -89,7 +89,7 @@
         loads = self.rig_a.directory.loads.own_loads()
         work = Work(
             node="a",
-            loads=heartbeat_loads(loads),
+            loads=encode_loads(loads),
             granted=self.dispatcher_client.granted,
         )
         self.rig_b.directory.loads.record_peer_loads("a", loads_of(work), work.granted)
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -34,7 +34,7 @@
     Vouch,
     Work,
     WorkFigures,
-    heartbeat_loads,
+    encode_loads,
     loads_of,
     read_message,
     write_message,
@@ -85,7 +85,7 @@
         store=True,
         stopping=False,
         planning=0,
-        loads=heartbeat_loads(LOADS),
+        loads=encode_loads(LOADS),
         **more,
     )
 
@@ -228,7 +228,7 @@
     Vouch(node="b", targets=("t",)),
     SilenceQuestion(node="b", group="g", epoch=3, silent=0.5),
     Advance(node="b", group="g", epoch=3),
-    Digest(node="b", version=3, changed=4, loads=heartbeat_loads(LOADS)),
+    Digest(node="b", version=3, changed=4, loads=encode_loads(LOADS)),
     ListChange(
         node="b",
         previous=3,
@@ -237,7 +237,7 @@
         removed=("u",),
         unreadable=("v",),
     ),
-    Work(node="b", loads=heartbeat_loads(LOADS), granted=2),
+    Work(node="b", loads=encode_loads(LOADS), granted=2),
     PlaceQuestion(
         node="b",
         number=3,
@@ -466,7 +466,7 @@
 
 
 def test_a_sum_of_work_just_below_nothing_leaves_the_message_readable():
-    loads = heartbeat_loads({("g", 3): (1, -0.7)})
+    loads = encode_loads({("g", 3): (1, -0.7)})
     message = Work(node="b", loads=loads)
     assert read_message(encode(message)) == message
 
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -31,7 +31,7 @@
     VersionAnswer,
     VersionQuestion,
     Work,
-    heartbeat_loads,
+    encode_loads,
 )
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import ConfigurationRead
@@ -440,7 +440,7 @@
     host.clock.time += RELAY_SILENCE_SECONDS + 0.1
     for node in nodes:
         if node != first:
-            host.hear(Work(node=node, loads=heartbeat_loads({})))
+            host.hear(Work(node=node, loads=encode_loads({})))
     assert host.fanout.relay(nodes) not in (first, None)
 
 
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mallowpond.coordination.clock import MonotonicClock
-from mallowpond.node.messages import Heartbeat, Work, heartbeat_loads
+from mallowpond.node.messages import Heartbeat, Work, encode_loads
 from mallowpond.node.outcomes import Answered, Refusal
 from mallowpond.node.ports import NodePorts
 from mallowpond.node.service import CLOSING_SECONDS, LAME_DUCK_SECONDS, build
@@ -76,7 +76,7 @@
         store=True,
         stopping=False,
         planning=0,
-        loads=heartbeat_loads({("g", 1): (running, 900.0)}),
+        loads=encode_loads({("g", 1): (running, 900.0)}),
     )
 
 
@@ -394,14 +394,14 @@
     node = node_over(clock, source=source, targets=targets)
     await node.directory.refresh()
     targets.script("g0", answer(1))
-    full = heartbeat_loads({("g", 1): (PROFILE.slots + 1, 0.0)})
+    full = encode_loads({("g", 1): (PROFILE.slots + 1, 0.0)})
     node.peers._take(Work(node="b", loads=full))
     rig = rig_over(node, clock, targets, source)
     serving = asyncio.create_task(node.streams.serve(rig.work(FakeExchange())))
     for _ in range(10):
         await asyncio.sleep(0)
     assert targets.sends == []
-    node.peers._take(Work(node="b", loads=heartbeat_loads({})))
+    node.peers._take(Work(node="b", loads=encode_loads({})))
     async with asyncio.timeout(0.2):
         assert await serving == Answered(status=200, target="g0")
 
