--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -16,8 +16,8 @@
     PlaceAnswer,
     PlaceQuestion,
     Work,
+    decode_loads,
     encode_loads,
-    loads_of,
 )
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import TargetsRead
@@ -187,5 +187,5 @@
 
     def _hear_work(self, work: Work) -> None:
         loads = self.directory.loads
-        loads.record_peer_loads(work.node, loads_of(work), work.granted)
+        loads.record_peer_loads(work.node, decode_loads(work), work.granted)
         self.dispatcher.wake()
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -406,7 +406,7 @@
     )
 
 
-def loads_of(
+def decode_loads(
     message: Heartbeat | Work | Digest,
 ) -> dict[GroupKey, tuple[int, float]]:
     """Return the work by group that a message tells."""
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -22,8 +22,8 @@
     VersionAnswer,
     VersionQuestion,
     Work,
+    decode_loads,
     encode_loads,
-    loads_of,
 )
 from mallowpond.node.peer_work import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
@@ -285,13 +285,15 @@
 
     def _note_digest(self, digest: Digest) -> None:
         self._fanout.pass_on(digest)
-        self._directory.hear_digest(digest.changed, loads_of(digest))
+        self._directory.hear_digest(digest.changed, decode_loads(digest))
         self._configuration.hear_version(digest.version)
         for notify in self.on_news:
             notify()
 
     def _note_work(self, work: Work) -> None:
-        self._directory.loads.record_peer_loads(work.node, loads_of(work), work.granted)
+        self._directory.loads.record_peer_loads(
+            work.node, decode_loads(work), work.granted
+        )
 
     # -- the configuration ---------------------------------------------------
 
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -22,7 +22,7 @@
 from mallowpond.node.ingress import Ingress
 from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
-from mallowpond.node.messages import Heartbeat, encode_loads, loads_of
+from mallowpond.node.messages import Heartbeat, decode_loads, encode_loads
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.planner import GroupPlanner
@@ -398,7 +398,7 @@
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
         self.directory.loads.record_peer_loads(
-            heartbeat.node, loads_of(heartbeat), heartbeat.granted
+            heartbeat.node, decode_loads(heartbeat), heartbeat.granted
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -13,8 +13,8 @@
     PlaceQuestion,
     PlaceVerdict,
     Work,
+    decode_loads,
     encode_loads,
-    loads_of,
 )
 from mallowpond.node.outcomes import Answered, Reason
 from mallowpond.node.peer_work import GRANT_SECONDS, PEER_LOAD_SECONDS
@@ -92,7 +92,9 @@
             loads=encode_loads(loads),
             granted=self.dispatcher_client.granted,
         )
-        self.rig_b.directory.loads.record_peer_loads("a", loads_of(work), work.granted)
+        self.rig_b.directory.loads.record_peer_loads(
+            "a", decode_loads(work), work.granted
+        )
         self.dispatcher.wake()
 
 
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -34,8 +34,8 @@
     Vouch,
     Work,
     WorkFigures,
+    decode_loads,
     encode_loads,
-    loads_of,
     read_message,
     write_message,
 )
@@ -118,7 +118,7 @@
     suspicion = Suspicion(node="b", group="g", epoch=3, closing=True)
     for message in (beat(), suspicion, Vouch(node="b", targets=("t",))):
         peers.datagram_received(encode(message), SENDER)
-    assert loads_of(heard[0]) == LOADS
+    assert decode_loads(heard[0]) == LOADS
     assert suspected == [suspicion]
     assert vouched == ["t"]
     assert peers.hosts == 2
