--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class WorkFigures:
+class LoadColumns:
     """Tell work by group, in a column for each figure.
 
     With a data class for each group they would take several times as long to decode.
@@ -80,7 +80,7 @@
     interval: float = HEARTBEAT_SECONDS
     data_centre: str = ""
     cores: float = 0.0
-    loads: WorkFigures = WorkFigures()
+    loads: LoadColumns = LoadColumns()
     # The last place that the dispatcher gave, whose stream `loads` holds.
     granted: int = 0
 
@@ -154,7 +154,7 @@
     node: Name
     version: int
     changed: int
-    loads: WorkFigures = WorkFigures()
+    loads: LoadColumns = LoadColumns()
     pass_on: bool = False
 
 
@@ -185,7 +185,7 @@
     """
 
     node: Name
-    loads: WorkFigures
+    loads: LoadColumns
     granted: int = 0
 
 
@@ -395,9 +395,9 @@
 
 def encode_loads(
     loads: dict[GroupKey, tuple[int, float]],
-) -> WorkFigures:
+) -> LoadColumns:
     """Return a host's work by group as messages carry it."""
-    return WorkFigures(
+    return LoadColumns(
         groups=tuple(group for group, _ in loads),
         epochs=tuple(epoch for _, epoch in loads),
         running=tuple(running for running, _ in loads.values()),
