--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -86,7 +86,7 @@
         return self._confirmation
 
     @property
-    def store_answers(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Tell whether the last question was answered."""
         return self._failures == 0
 
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -114,16 +114,16 @@
     def _ranked(self) -> list[str]:
         """Return the hosts that can read, the first to do so first."""
         now = self._clock.now()
-        own = (self._configuration.store_answers, self._is_stopping())
+        own = (self._configuration.is_store_reachable, self._is_stopping())
         if own != self._ranked_for or now - self._ranked_at > RANKED_SECONDS:
             self._ranking = self._rank(*own)
             self._ranked_at, self._ranked_for = now, own
         return self._ranking
 
-    def _rank(self, store_answers: bool, is_stopping: bool) -> list[str]:
+    def _rank(self, is_store_reachable: bool, is_stopping: bool) -> list[str]:
         able = [p.heartbeat for p in self._peers.live]
         cores = {h.node: h.cores for h in able if h.store and not h.stopping}
-        if store_answers and not is_stopping:
+        if is_store_reachable and not is_stopping:
             cores[self._name] = self._cores
         return ranked_by_capacity(READERS_KEY, cores)
 
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -313,7 +313,7 @@
         While the store is away none can, and groups that lose a member would stay
         down until it is back.
         """
-        if self.configuration.store_answers:
+        if self.configuration.is_store_reachable:
             await self.leadership.release()
 
     async def close(self) -> None:
@@ -343,7 +343,7 @@
             log.warning("node: no metrics address", error=str(error))
 
     def _may_plan(self) -> bool:
-        return self.configuration.store_answers and not self.ingress.is_stopping
+        return self.configuration.is_store_reachable and not self.ingress.is_stopping
 
     def _budget(self, service: str) -> RetryWindow:
         bounds = self._settings.bounds
@@ -363,7 +363,7 @@
             address=f"{self._settings.address}:{self._settings.peer_port}",
             version=known.version if known else 0,
             sure=self.configuration.is_sure,
-            store=self.configuration.store_answers,
+            store=self.configuration.is_store_reachable,
             stopping=self.ingress.is_stopping,
             planning=self.leadership.fence,
             traffic=self._traffic.seen,
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -603,7 +603,7 @@
     host.hear(*(beat(other, store=False) for other in names))
     host.source.cut = True
     await host.configuration.step()
-    assert not host.configuration.store_answers
+    assert not host.configuration.is_store_reachable
     host.hear(beat(names[0], store=False))
     assert not host.configuration._store_is_back.is_set()
     host.hear(beat(names[0], store=True))
@@ -612,7 +612,7 @@
     host.hear(beat(names[1], store=True))
     host.source.cut = False
     await host.configuration.step()
-    assert host.configuration.store_answers
+    assert host.configuration.is_store_reachable
     host.hear(beat(names[2], store=True))
     assert not host.configuration._store_is_back.is_set()
 
