--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -91,7 +91,7 @@
         return self._failures == 0
 
     @property
-    def is_sure(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Tell whether requests that depend on a key may be admitted."""
         return may_admit(
             self._confirmation,
@@ -233,7 +233,7 @@
             self._note_confirmed()
 
     def _note_confirmed(self) -> None:
-        if self.is_sure:
+        if self.is_confirmed:
             self._is_first_known.set()
 
     def _answered_at(self, answer: ConfigurationRead, asked_at: float) -> float:
--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -162,13 +162,13 @@
         self._apply_limits(configuration)
         route = configuration.find_route(request.host, request.path)
         if route is None:
-            if not self._configuration.is_sure:
+            if not self._configuration.is_confirmed:
                 # A newer version may have the route.
                 return self._retry_later(Reason.UNSURE)
             return Refusal(status=404, reason=Reason.NO_ROUTE)
         workspace, priority = None, route.priority
         if configuration.uses_keys and route.needs_key:
-            if not self._configuration.is_sure:
+            if not self._configuration.is_confirmed:
                 return self._retry_later(Reason.UNSURE)
             holder = configuration.keys.get(request.key or "")
             if holder is None:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -231,7 +231,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new callers should come to this node."""
-        return self.configuration.is_sure and not self.ingress.is_stopping
+        return self.configuration.is_confirmed and not self.ingress.is_stopping
 
     async def start(self) -> None:
         """Listen, and follow the platform."""
@@ -362,7 +362,7 @@
             incarnation=self._incarnation,
             address=f"{self._settings.address}:{self._settings.peer_port}",
             version=known.version if known else 0,
-            sure=self.configuration.is_sure,
+            sure=self.configuration.is_confirmed,
             store=self.configuration.is_store_reachable,
             stopping=self.ingress.is_stopping,
             planning=self.leadership.fence,
--- a/mallowpond/node/tests/test_configuration.py
+++ b/mallowpond/node/tests/test_configuration.py
@@ -26,16 +26,16 @@
 
 async def test_a_node_is_sure_only_while_its_version_is_confirmed():
     follower, source, clock = follower_of(3)
-    assert not follower.is_sure
+    assert not follower.is_confirmed
     await follower.step()
-    assert follower.is_sure
+    assert follower.is_confirmed
     source.cut = True
     clock.time += 5.0
     await follower.step()
-    assert not follower.is_sure
+    assert not follower.is_confirmed
     source.cut = False
     await follower.step()
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 async def test_versions_only_rise():
@@ -50,9 +50,9 @@
     await follower.step()
     clock.time += 6.0
     follower.confirm(4, clock.time)
-    assert not follower.is_sure
+    assert not follower.is_confirmed
     follower.confirm(3, clock.time - 1.0)
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 UNREADABLE = ConfigurationRead(
@@ -75,14 +75,14 @@
         clock.time += 1.0
         assert await follower.step()
     assert follower.configuration.version == 3
-    assert not follower.is_sure
+    assert not follower.is_confirmed
     source.configurations.append(version(4))
     await follower.step()
     assert follower.configuration.version == 4
-    assert follower.is_sure
+    assert follower.is_confirmed
     clock.time += 4.0
     await follower.step()
-    assert follower.is_sure
+    assert follower.is_confirmed
     assert follower.confirmation.age(clock.time) == 0.0
 
 
@@ -91,10 +91,10 @@
     source.reads.append(UNREADABLE)
     assert not await follower.step()
     assert follower.configuration is None
-    assert not follower.is_sure
+    assert not follower.is_confirmed
     source.configurations.append(version(4))
     assert await follower.step()
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 async def test_no_question_waits_longer_than_the_bound_for_keys_bears():
@@ -123,7 +123,7 @@
     await follower.step()
     async with asyncio.timeout(1.0):
         await waiting
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 async def test_a_store_that_does_not_answer_ends_the_wait_for_the_first_version():
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -663,7 +663,7 @@
     assert len(host.source.configurations) == asked
     # No surer than before: nothing tells when the datagram was sent.
     assert host.configuration.confirmation.confirmed_at == sure_since
-    assert host.configuration.is_sure
+    assert host.configuration.is_confirmed
 
 
 async def test_a_host_without_a_configuration_gets_it_from_a_peer():
@@ -681,10 +681,10 @@
     holder.hear(beat("n9"), question)
     host.hear(*holder.told_of(ConfigurationPart)[-1:])
     assert host.configuration.configuration.version == 3
-    assert not host.configuration.is_sure
+    assert not host.configuration.is_confirmed
     (asked,) = host.told_of(VersionQuestion)
     host.hear(VersionAnswer(node="n0", number=asked.number, version=3, age=0.2))
-    assert host.configuration.is_sure
+    assert host.configuration.is_confirmed
 
 
 async def test_a_configuration_that_got_lost_on_its_way_is_read_from_the_store():
