--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -99,7 +99,7 @@
             bound_seconds=self._revoke_seconds,
         )
 
-    async def wait_for_first(self, seconds: float) -> None:
+    async def wait_for_first_version(self, seconds: float) -> None:
         """Wait until the first version is confirmed, or is known not to come soon."""
         if self._is_first_known.is_set():
             return
--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -155,7 +155,7 @@
             FIRST_CONFIGURATION_SECONDS,
             FIRST_CONFIGURATION_SHARE * _requested_seconds(request),
         )
-        await self._configuration.wait_for_first(limit)
+        await self._configuration.wait_for_first_version(limit)
         configuration = self._configuration.configuration
         if configuration is None:
             return self._retry_later(Reason.NO_CONFIGURATION)
--- a/mallowpond/node/tests/test_configuration.py
+++ b/mallowpond/node/tests/test_configuration.py
@@ -117,7 +117,7 @@
 async def test_the_first_confirmed_version_ends_the_wait_for_it():
     """Guard against refusing callers while the first read is on its way."""
     follower, _, _ = follower_of(3)
-    waiting = asyncio.create_task(follower.wait_for_first(60.0))
+    waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
     await asyncio.sleep(0)
     assert not waiting.done()
     await follower.step()
@@ -130,17 +130,17 @@
     """Guard against holding callers who cannot be served soon."""
     follower, source, _ = follower_of(3)
     source.cut = True
-    waiting = asyncio.create_task(follower.wait_for_first(60.0))
+    waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
     await follower.step()
     async with asyncio.timeout(1.0):
         await waiting
-        await follower.wait_for_first(60.0)
+        await follower.wait_for_first_version(60.0)
 
 
 async def test_a_version_of_a_peer_ends_the_wait_only_once_it_is_confirmed():
     """Guard against refusing callers with keys before a version is confirmed."""
     follower, _, clock = follower_of()
-    waiting = asyncio.create_task(follower.wait_for_first(60.0))
+    waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
     follower.hear_document(3, b"3")
     for _ in range(5):
         await asyncio.sleep(0)
@@ -154,5 +154,5 @@
     """Guard against holding callers for as long as a read hangs."""
     follower, _, _ = follower_of(3)
     async with asyncio.timeout(1.0):
-        await follower.wait_for_first(0.01)
+        await follower.wait_for_first_version(0.01)
     assert follower.configuration is None
