--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -64,7 +64,7 @@
         # Set once a version was confirmed, or the store did not answer.
         self._is_first_known = asyncio.Event()
         self._document = b""
-        self.on_newer: list[Callable[[], None]] = []
+        self.on_new_version: list[Callable[[], None]] = []
         self.is_reader: Callable[[], bool] = lambda: True
         self.tries_first: Callable[[], bool] = lambda: True
         self.ask_readers: Callable[[int], None] = lambda number: None
@@ -295,5 +295,5 @@
         )
         self._note_confirmed()
         if known is None or configuration.version > known.version:
-            for notify in self.on_newer:
+            for notify in self.on_new_version:
                 notify()
--- a/mallowpond/node/configuration_sharing.py
+++ b/mallowpond/node/configuration_sharing.py
@@ -43,7 +43,7 @@
         self._fanout = fanout
         self._configuration = configuration
         self._parts = PartCollector()
-        configuration.on_newer.append(self._tell_fleet)
+        configuration.on_new_version.append(self._tell_fleet)
         configuration.ask_peers = self._ask
         peers.on_configuration_part.append(self._note)
         peers.on_configuration_question.append(self._answer)
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -217,7 +217,7 @@
             configuration=self.configuration,
         )
         self.readers.on_news.append(self.streams.placement.wake_all)
-        self.configuration.on_newer.append(self._publish_version)
+        self.configuration.on_new_version.append(self._publish_version)
         self.leadership.on_acquired.append(
             lambda: self.peers.broadcast(self._describe())
         )
