--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -16,8 +16,8 @@
     PlaceAnswer,
     PlaceQuestion,
     Work,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
 )
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import TargetsRead
@@ -180,12 +180,12 @@
         self.directory.loads.record_published(loads)
         work = Work(
             node=self.name,
-            loads=heartbeat_loads(loads),
+            loads=encode_loads(loads),
             granted=self.dispatcher_client.granted,
         )
         self.datagrams.send_to(work, (host,))
 
     def _hear_work(self, work: Work) -> None:
         loads = self.directory.loads
-        loads.record_peer_loads(work.node, loads_of(work), work.granted)
+        loads.record_peer_loads(work.node, decode_loads(work), work.granted)
         self.dispatcher.wake()
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -22,8 +22,8 @@
     VersionAnswer,
     VersionQuestion,
     Work,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
 )
 from mallowpond.node.peer_work import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
@@ -114,16 +114,16 @@
     def _ranked(self) -> list[str]:
         """Return the hosts that can read, the first to do so first."""
         now = self._clock.now()
-        own = (self._configuration.store_answers, self._is_stopping())
+        own = (self._configuration.is_store_reachable, self._is_stopping())
         if own != self._ranked_for or now - self._ranked_at > RANKED_SECONDS:
             self._ranking = self._rank(*own)
             self._ranked_at, self._ranked_for = now, own
         return self._ranking
 
-    def _rank(self, store_answers: bool, is_stopping: bool) -> list[str]:
+    def _rank(self, is_store_reachable: bool, is_stopping: bool) -> list[str]:
         able = [p.heartbeat for p in self._peers.live]
         cores = {h.node: h.cores for h in able if h.store and not h.stopping}
-        if store_answers and not is_stopping:
+        if is_store_reachable and not is_stopping:
             cores[self._name] = self._cores
         return ranked_by_capacity(READERS_KEY, cores)
 
@@ -181,26 +181,26 @@
     def step(self) -> None:
         """Tell once."""
         seniors = self._ranked()[:SENIORS]
-        self._peers.is_senior = self._name in seniors or self._is_planning()
+        self._peers.is_candidate = self._name in seniors or self._is_planning()
         self._peers.seniors = frozenset(seniors) - {self._name}
         if self.reads != self._reads:
             self._reads = not self._reads
             log.info("readers: changed", reads=self._reads, readers=self.names)
         if not self._reads:
-            if self._peers.is_large:
+            if self._peers.is_large_fleet:
                 self._tell_work()
             return
         known = self._configuration.configuration
         if known is None or self._directory.is_lost:
             return
         self._turn += 1
-        if self.stands_by and self._peers.is_large and self._turn % STANDBY_TURNS:
+        if self.stands_by and self._peers.is_large_fleet and self._turn % STANDBY_TURNS:
             return
         # One sum is enough: that of the second reader took as many bytes again.
         is_first = self.names[:1] == [self._name]
         loads = (
             self._directory.loads.all_loads(self._directory.groups)
-            if self._peers.is_large and is_first
+            if self._peers.is_large_fleet and is_first
             else {}
         )
         self._fanout.broadcast(
@@ -208,7 +208,7 @@
                 node=self._name,
                 version=known.version,
                 changed=self._directory.changed,
-                loads=heartbeat_loads(loads),
+                loads=encode_loads(loads),
             )
         )
 
@@ -227,15 +227,13 @@
         if host == self._name:
             return
         loads = self._directory.loads.own_loads()
-        if self._peers.is_large and host in self.names[:1]:
+        if self._peers.is_large_fleet and host in self.names[:1]:
             self._told_work = loads
             self._directory.loads.record_published(loads)
         self._send_work(loads, {host})
 
     def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
-        work = Work(
-            node=self._name, loads=heartbeat_loads(loads), granted=self.granted()
-        )
+        work = Work(node=self._name, loads=encode_loads(loads), granted=self.granted())
         self._peers.send_to(work, hosts - {self._name})
 
     # -- the list of targets -------------------------------------------------
@@ -287,13 +285,15 @@
 
     def _note_digest(self, digest: Digest) -> None:
         self._fanout.pass_on(digest)
-        self._directory.hear_digest(digest.changed, loads_of(digest))
+        self._directory.hear_digest(digest.changed, decode_loads(digest))
         self._configuration.hear_version(digest.version)
         for notify in self.on_news:
             notify()
 
     def _note_work(self, work: Work) -> None:
-        self._directory.loads.record_peer_loads(work.node, loads_of(work), work.granted)
+        self._directory.loads.record_peer_loads(
+            work.node, decode_loads(work), work.granted
+        )
 
     # -- the configuration ---------------------------------------------------
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -17,11 +17,11 @@
 from mallowpond.state.fleet import BreakCause, Group, GroupKey
 from mallowpond.state.placement import pass_seconds, silent_seconds
 from mallowpond.state.silence import (
-    Doubt,
-    GroupQuiet,
-    Verdict,
+    GroupSilence,
+    PeerQuery,
+    SilenceVerdict,
+    classify_silence,
     has_advanced,
-    judge_silence,
     seconds_until_due,
 )
 
@@ -65,7 +65,7 @@
         self._due_at = clock.now()
         self._pause = LOOK_SECONDS
         self._fresh_from = clock.now()
-        self._doubts: dict[GroupKey, Doubt] = {}
+        self._doubts: dict[GroupKey, PeerQuery] = {}
         self.on_suspect: list[Callable[[GroupKey], None]] = []
         directory.on_broken.append(self._leave_broken)
         peers.on_suspicion.append(self._hear)
@@ -108,20 +108,20 @@
         self._due_at = now + self._pause
 
     def _judge(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         now = self._clock.now()
-        match judge_silence(quiet, self._doubts.get(key), now):
-            case Verdict.SOUND:
+        match classify_silence(quiet, self._doubts.get(key), now):
+            case SilenceVerdict.SOUND:
                 self._doubts.pop(key, None)
                 self._move_from_slow(streams)
-            case Verdict.ASK:
-                self._doubts[key] = Doubt(asked_at=now)
+            case SilenceVerdict.ASK:
+                self._doubts[key] = PeerQuery(asked_at=now)
                 self._peers.ask_group_progress(key, quiet.silent_seconds)
-            case Verdict.SUSPECT:
+            case SilenceVerdict.SUSPECT:
                 del self._doubts[key]
                 self._suspect(key, streams, quiet)
-            case Verdict.LEAVE:
+            case SilenceVerdict.LEAVE:
                 del self._doubts[key]
                 self._leave(key, streams, quiet)
 
@@ -140,7 +140,7 @@
 
     def _quiet(
         self, key: GroupKey, streams: list[ActiveStream], now: float
-    ) -> GroupQuiet:
+    ) -> GroupSilence:
         work = streams[0].work
         load = self._directory.loads.load_of(streams[0].group, work.profile)
         # Tokens that other hosts' prompts still hold are part of the load.
@@ -150,7 +150,7 @@
             self._directory.loads.work(key).last_event_at, oldest, self._fresh_from
         )
         delay = self._streams.placement.delay(work.service, work.model.name)
-        return GroupQuiet(
+        return GroupSilence(
             silent_seconds=now - since,
             predicted_gap=predicted,
             allowed_gap=min(stream.allowed_gap for stream in streams),
@@ -161,7 +161,7 @@
         )
 
     def _suspect(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         self._metrics.suspicions.labels("own").inc()
         log.info(
@@ -177,7 +177,7 @@
         self._peers.broadcast_suspicion(key)
 
     def _leave(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         """Move the streams of a group that advances for other hosts."""
         self._metrics.suspicions.labels("unreached").inc()
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -11,10 +11,10 @@
     FirstEventDelay,
 )
 from mallowpond.state.silence import (
-    Doubt,
-    GroupQuiet,
-    Verdict,
-    judge_silence,
+    GroupSilence,
+    PeerQuery,
+    SilenceVerdict,
+    classify_silence,
     silence_limit,
 )
 
@@ -65,7 +65,7 @@
 
 def waiting(delay, silent, has_running=False):
     """Describe streams on one group that have waited so long."""
-    return GroupQuiet(
+    return GroupSilence(
         silent_seconds=silent,
         predicted_gap=0.03,
         allowed_gap=OBJECTIVE,
@@ -88,8 +88,8 @@
     for _ in range(1000):
         first = PREDICTED + seconds + rng.uniform(-0.01, 0.01)
         quiet = waiting(delay, first)
-        verdict = judge_silence(quiet, Doubt(asked_at=0.0), 10.0)
-        assert verdict is not Verdict.SUSPECT
+        verdict = classify_silence(quiet, PeerQuery(asked_at=0.0), 10.0)
+        assert verdict is not SilenceVerdict.SUSPECT
 
 
 def test_a_dead_group_is_suspected_soon_also_if_all_its_streams_wait():
