--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -252,7 +252,7 @@
             busy=self._book.busy,
             formations=self._formations,
             first_seen=self._first_seen,
-            unheld=self._processes.unheld,
+            disclaimed=self._processes.disclaimed,
             seen={key: frozenset(seen) for key, seen in self._seen_processes.items()},
             distrusted=frozenset(
                 key
@@ -534,7 +534,7 @@
         answers = await asyncio.gather(*(self._probes.probe(m) for m in members))
         if not all(answers) or len(members) < len(group.members):
             return
-        if group.key in self._processes.unheld:
+        if group.key in self._processes.disclaimed:
             return
         self._cleared_at.setdefault(group.key, []).append(self._clock.now())
         log.info(
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -105,7 +105,7 @@
     formations: dict[tuple[str, int], Formation] = field(default_factory=dict)
     first_seen: dict[tuple[str, int], float] = field(default_factory=dict)
     seen: dict[tuple[str, int], frozenset[Process]] = field(default_factory=dict)
-    unheld: frozenset[tuple[str, int]] = frozenset()
+    disclaimed: frozenset[tuple[str, int]] = frozenset()
     distrusted: frozenset[tuple[str, int]] = frozenset()
     closed: frozenset[tuple[str, int]] = frozenset()
     leaving_since: dict[str, float] = field(default_factory=dict)
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -51,7 +51,7 @@
         self._targets: dict[str, Target] = {}
 
     @property
-    def unheld(self) -> frozenset[GroupKey]:
+    def disclaimed(self) -> frozenset[GroupKey]:
         """Return the groups in which a member answers that it does not stand."""
         return frozenset(self._displaced.values())
 
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -136,7 +136,7 @@
 
     def has_restarted(self, key: GroupKey) -> bool:
         """Tell whether a member has started again: it holds nothing of the group."""
-        if key in self._view.unheld:
+        if key in self._view.disclaimed:
             return True
         return has_restarted(self._view.seen.get(key, ()), self._listed)
 
