--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -130,7 +130,7 @@
         used = set(work.sent_to) | set(work.turned_away)
         targets = [
             target
-            for target in self._directory.of_service(work.service)
+            for target in self._directory.usable_targets(work.service)
             if self._records[target.process].misdirected is not target
             and self._intake.may_send(target)
         ]
@@ -152,7 +152,7 @@
 
     def _unused(self, work: CallWork) -> list[Target]:
         """Return the targets to which a request was not sent."""
-        targets = self._directory.of_service(work.service)
+        targets = self._directory.usable_targets(work.service)
         return [target for target in targets if target.process not in work.sent_to]
 
     async def _send(self, work: CallWork, target: Target) -> WholeReply | NoReply:
--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -117,7 +117,7 @@
         """Return the revision up to which the list is known."""
         return self._revision
 
-    def of_service(self, service: str) -> list[Target]:
+    def usable_targets(self, service: str) -> list[Target]:
         """Return the targets of a service that may get new work."""
         return [
             target
