--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -254,7 +254,7 @@
             first_seen=self._first_seen,
             disclaimed=self._processes.disclaimed,
             seen={key: frozenset(seen) for key, seen in self._seen_processes.items()},
-            distrusted=frozenset(
+            repeatedly_suspected=frozenset(
                 key
                 for key, times in self._cleared_at.items()
                 if sum(now - at < CLEARED_SECONDS for at in times) >= CLEARED_SUSPICIONS
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -106,7 +106,7 @@
     first_seen: dict[tuple[str, int], float] = field(default_factory=dict)
     seen: dict[tuple[str, int], frozenset[Process]] = field(default_factory=dict)
     disclaimed: frozenset[tuple[str, int]] = frozenset()
-    distrusted: frozenset[tuple[str, int]] = frozenset()
+    repeatedly_suspected: frozenset[tuple[str, int]] = frozenset()
     closed: frozenset[tuple[str, int]] = frozenset()
     leaving_since: dict[str, float] = field(default_factory=dict)
     loads_begun: tuple[float, ...] = ()
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -103,7 +103,7 @@
         lost = self._has_lost(group)
         missing = len(group.members) < model.size and view.is_settled
         leaving = self._must_close_soon(group)
-        unwanted = lost or group.key in view.distrusted
+        unwanted = lost or group.key in view.repeatedly_suspected
         if not (unwanted or missing or group.is_leaving):
             self._count(group, model)
             return True
@@ -113,7 +113,7 @@
             # the member is known to be dead, must go, or can be replaced at once.
             self._count(group, model)
             return True
-        if not lost and group.key not in view.distrusted:
+        if not lost and group.key not in view.repeatedly_suspected:
             self.order_close(group, head, evict=False)
             return True
         self._dissolve(group)
@@ -196,7 +196,7 @@
         )
         lost = any(t.id in view.lost for t in group.members)
         gone = gone or self._has_moved_on(known) or self.has_restarted(group.key)
-        unwanted = group.key in view.distrusted | view.closed
+        unwanted = group.key in view.repeatedly_suspected | view.closed
         if lost or gone or group.is_leaving or unwanted:
             self._dissolve(group)
             return True
