--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -133,7 +133,7 @@
         self._lapsed_at.pop(identifier, None)
         self._take({k: t for k, t in self._targets.items() if k != identifier})
 
-    def all_of_service(self, service: str) -> tuple[Target, ...]:
+    def all_targets(self, service: str) -> tuple[Target, ...]:
         """Return every listed target of a service."""
         return tuple(self._by_service.get(service, {}).values())
 
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -242,7 +242,7 @@
             profile=profile,
             targets=tuple(
                 self._with_latest_state(target)
-                for target in self._directory.all_of_service(service)
+                for target in self._directory.all_targets(service)
             ),
             now=now,
             demand=demand(self._directory, profile),
