--- a/bench/formation.py
+++ b/bench/formation.py
@@ -378,7 +378,7 @@
             },
             loads_begun=tuple(self.loads_begun),
             loading={e.name: e.staging for e in self.engines.values() if e.staging},
-            before_traffic=self.now < 0,
+            is_before_traffic=self.now < 0,
             newest_target_at=-LEAD_SECONDS,
         )
         for step in plan_steps(view):
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -263,7 +263,7 @@
             leaving_since={p.id: at for p, at in self._leaving_since.items()},
             loads_begun=tuple(self._loads_begun),
             loading=self._book.loading,
-            before_traffic=not self._traffic_seen.seen,
+            is_before_traffic=not self._traffic_seen.seen,
             is_settled=self._directory.is_settled,
             newest_target_at=self._directory.newest_target_at,
         )
--- a/mallowpond/state/formation.py
+++ b/mallowpond/state/formation.py
@@ -108,7 +108,7 @@
 
     def _is_gathering(self) -> bool:
         view = self._view
-        if not view.before_traffic:
+        if not view.is_before_traffic:
             return False
         return view.now - view.newest_target_at < GATHER_SECONDS
 
@@ -196,7 +196,7 @@
         It runs slower, but at once: the loads that would complete groups within the
         domains take several times as long as callers wait.
         """
-        if self._view.before_traffic:
+        if self._view.is_before_traffic:
             return False
         if self._view.utilization.get(model.name, 0.0) < FAR_PRESSURE:
             return False
@@ -238,7 +238,7 @@
 
     def _join_all(self, model: ModelSpec, chosen: Sequence[Target]) -> bool:
         loads = sum(needs_load(t, model) for t in chosen)
-        if loads and not self._view.before_traffic:
+        if loads and not self._view.is_before_traffic:
             # The members that are ready would idle while one loads: it is staged
             # first, and they stay free for another group meanwhile.
             return False
@@ -346,7 +346,7 @@
 
 def _loads_allowed(view: FormationView) -> int:
     profile = view.profile
-    if view.before_traffic:
+    if view.is_before_traffic:
         # Nothing is served yet, and loads neither slow each other nor count.
         return len(view.targets)
     at_once = max(0, profile.loads_at_once - len(view.loading))
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -89,7 +89,7 @@
     leaving_since: time at which each stopping target was first seen to be stopping.
     loads_begun: times of recent orders that load weights.
     loading: models that targets were ordered to load and do not list as loaded yet.
-    before_traffic: no request has arrived yet in this installation.
+    is_before_traffic: no request has arrived yet in this installation.
     is_settled: the list is complete; false during and just after a store outage.
     newest_target_at: time at which the last new target appeared.
     """
@@ -111,7 +111,7 @@
     leaving_since: dict[str, float] = field(default_factory=dict)
     loads_begun: tuple[float, ...] = ()
     loading: dict[str, str] = field(default_factory=dict)
-    before_traffic: bool = False
+    is_before_traffic: bool = False
     is_settled: bool = True
     newest_target_at: float = float("-inf")
 
--- a/mallowpond/state/tests/test_formation.py
+++ b/mallowpond/state/tests/test_formation.py
@@ -86,7 +86,7 @@
 
 
 def test_an_empty_fleet_is_formed_whole_before_traffic():
-    steps = plan([target(f"t{i}") for i in range(9)], before_traffic=True)
+    steps = plan([target(f"t{i}") for i in range(9)], is_before_traffic=True)
     joins = of_kind(steps, Join)
     groups = {}
     for join in joins:
@@ -115,7 +115,7 @@
     every survivor and spare can replace any member.
     """
     fleet = [target(f"{d}{i}", d) for d in ("d0", "d1") for i in range(9)]
-    models = models_by_domain(plan(fleet, before_traffic=True))
+    models = models_by_domain(plan(fleet, is_before_traffic=True))
     assert sorted(sorted(set(m)) for m in models.values()) == [["large"], ["small"]]
     assert [len(found) for found in models.values()] == [9, 9]
 
@@ -135,7 +135,7 @@
         targets=tuple(target(f"{d}{i}", f"d{d}") for d in range(4) for i in range(20)),
         now=NOW,
         next_epoch=7,
-        before_traffic=True,
+        is_before_traffic=True,
     )
     models = [join.model for join in of_kind(plan_steps(view), Join)]
     assert abs(models.count("wide") - models.count("slim")) <= wide.size
@@ -148,7 +148,7 @@
     Cause: the plan was made on a list that was not complete.
     """
     targets = [target(f"t{i}") for i in range(5)]
-    steps = plan(targets, before_traffic=True, newest_target_at=NOW - 0.1)
+    steps = plan(targets, is_before_traffic=True, newest_target_at=NOW - 0.1)
     assert steps == ()
 
 
@@ -373,7 +373,7 @@
     for model, wanted in (("large", 4), ("small", 3)):
         other = {"large": "small", "small": "large"}[model]
         joins = of_kind(
-            plan(fleet, before_traffic=True, demand={model: 0.9, other: 0.1}), Join
+            plan(fleet, is_before_traffic=True, demand={model: 0.9, other: 0.1}), Join
         )
         assert {join.model for join in joins} <= {model}
         assert len(joins) in (0, wanted)
