--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -125,7 +125,7 @@
             if not (target.draining or target.lapsed)
         ]
 
-    def forget(self, identifier: str) -> None:
+    def drop_lapsed(self, identifier: str) -> None:
         """Drop a lapsed target that was found to be dead."""
         target = self._targets.get(identifier)
         if target is None or not target.lapsed:
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -217,7 +217,7 @@
 
     def _check_lapsed(self, target: Target, now: float) -> None:
         if target.process in self._lost:
-            self._directory.forget(target.id)
+            self._directory.drop_lapsed(target.id)
         elif (
             now - self._lapse_probed.get(target.process, 0.0)
             > LAPSED_PROBE_INTERVAL_SECONDS
