--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -22,7 +22,7 @@
 )
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.unreadable import UnreadableNotes
-from mallowpond.state.decoding import Fault, Unreadable, decode
+from mallowpond.state.decoding import DecodeFault, Unreadable, decode
 from mallowpond.state.ownership import ranked_by_capacity
 from mallowpond.state.rows import LeaseRow
 
@@ -225,12 +225,12 @@
 
 def _decode_lease(row: Row | UnreadableRow) -> LeaseRow | Unreadable:
     if isinstance(row, UnreadableRow):
-        return Unreadable(fault=Fault.BYTES)
+        return Unreadable(fault=DecodeFault.BYTES)
     lease = decode(row.value, LeaseRow)
     if isinstance(lease, LeaseRow) and lease.fence > row.version:
         # Each number was the next one, written by a change of its own, and each change
         # raises the version: no holder wrote this.
-        return Unreadable(fault=Fault.RANGE, field="fence")
+        return Unreadable(fault=DecodeFault.RANGE, field="fence")
     return lease
 
 
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -14,7 +14,7 @@
 from mallowpond.state.codec import to_compact
 from mallowpond.state.crash_ledger import CrashRecord
 from mallowpond.state.decoding import (
-    Fault,
+    DecodeFault,
     Identifier,
     Name,
     Positive,
@@ -351,26 +351,26 @@
 def read_message(data: bytes) -> Message | Unreadable:
     """Decode a datagram, whatever it holds."""
     if len(data) > LARGEST_DATAGRAM:
-        return Unreadable(fault=Fault.RANGE)
+        return Unreadable(fault=DecodeFault.RANGE)
     if data[:1] == COMPRESSED_MARK:
         unpacked = unpack(data, LARGEST_UNPACKED)
         if unpacked is None:
-            return Unreadable(fault=Fault.BYTES)
+            return Unreadable(fault=DecodeFault.BYTES)
         data = unpacked
     content = _parse(data)
     if isinstance(content, Unreadable):
         return content
     if not isinstance(content, list) or len(content) != 2:
-        return Unreadable(fault=Fault.TYPE)
+        return Unreadable(fault=DecodeFault.TYPE)
     name, plain = content
     if not isinstance(name, str) or name not in MESSAGES:
-        return Unreadable(fault=Fault.UNKNOWN)
+        return Unreadable(fault=DecodeFault.UNKNOWN)
     message = decode_compact(plain, MESSAGES[name])
     if isinstance(message, Heartbeat):
         if not 0.0 < message.interval <= LONGEST_INTERVAL_SECONDS:
-            return Unreadable(fault=Fault.RANGE, field="interval")
+            return Unreadable(fault=DecodeFault.RANGE, field="interval")
     if isinstance(message, Heartbeat | Digest | Work) and not message.loads.is_whole:
-        return Unreadable(fault=Fault.MISSING, field="loads")
+        return Unreadable(fault=DecodeFault.MISSING, field="loads")
     return message
 
 
@@ -390,7 +390,7 @@
     # Tagged values are built by the constructors of many types, each with errors of
     # its own.
     except Exception:
-        return Unreadable(fault=Fault.BYTES)
+        return Unreadable(fault=DecodeFault.BYTES)
 
 
 def encode_loads(
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -12,7 +12,7 @@
 from mallowpond.node.ports import EngineReport
 from mallowpond.state.decoding import (
     Address,
-    Fault,
+    DecodeFault,
     HeaderText,
     Identifier,
     Name,
@@ -239,7 +239,7 @@
     """Decode what a row of the product's own tables holds."""
     found = decode(document, OwnRow)
     if isinstance(found, OwnRow) and not isinstance(found.value, Mapping):
-        return Unreadable(fault=Fault.TYPE, field="value")
+        return Unreadable(fault=DecodeFault.TYPE, field="value")
     return found
 
 
@@ -324,10 +324,10 @@
     if isinstance(entry, Unreadable):
         return entry
     if "born" in row and entry.born is None:
-        return Unreadable(fault=Fault.TYPE, field="born")
+        return Unreadable(fault=DecodeFault.TYPE, field="born")
     missing = _missing_place(entry)
     if missing:
-        return Unreadable(fault=Fault.MISSING, field=missing)
+        return Unreadable(fault=DecodeFault.MISSING, field=missing)
     return Target(
         id=key.id,
         service=entry.service,
@@ -349,9 +349,9 @@
     if isinstance(found, Unreadable):
         return found
     if found.born is None and "born" in document:
-        return Unreadable(fault=Fault.TYPE, field="born")
+        return Unreadable(fault=DecodeFault.TYPE, field="born")
     if found.born is None and asked.born is not None:
-        return Unreadable(fault=Fault.MISSING, field="born")
+        return Unreadable(fault=DecodeFault.MISSING, field="born")
     # Here `sequence` counts orders; in the list it counts heartbeats.
     return EngineReport(
         orders=found.sequence,
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -29,7 +29,7 @@
     conflicting_keys,
     store_answer,
 )
-from mallowpond.state.decoding import Fault, Unreadable, parse_json
+from mallowpond.state.decoding import DecodeFault, Unreadable, parse_json
 from mallowpond.state.fleet import Target
 from mallowpond.state.site_configuration import SiteConfiguration
 from mallowpond.transport.http_client import CallFailed, HttpClient
@@ -186,7 +186,7 @@
         if not isinstance(found, Unreadable):
             found = documents.own_row(found)
         if row.version == 0 and not isinstance(found, Unreadable):
-            found = Unreadable(fault=Fault.MISSING, field="ver")
+            found = Unreadable(fault=DecodeFault.MISSING, field="ver")
         if isinstance(found, Unreadable):
             self._notes.note(table, row.key, found)
             return UnreadableRow(key=key, version=row.version, reason=str(found))
--- a/mallowpond/platform/tests/test_documents.py
+++ b/mallowpond/platform/tests/test_documents.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mallowpond.platform import documents
-from mallowpond.state.decoding import Fault, Unreadable
+from mallowpond.state.decoding import DecodeFault, Unreadable
 from mallowpond.state.fleet import GroupPhase, Process
 from mallowpond.state.site_configuration import RepeatPolicy
 
@@ -120,7 +120,7 @@
     free = documents.target("i-2", {**row, "group": None})
     assert free.membership is None
     assert documents.target("i-3", {}) == Unreadable(
-        fault=Fault.MISSING, field="service"
+        fault=DecodeFault.MISSING, field="service"
     )
 
 
@@ -192,7 +192,7 @@
     del holder[name]
     found = documents.configuration(document)
     assert isinstance(found, Unreadable)
-    assert found.fault is Fault.MISSING
+    assert found.fault is DecodeFault.MISSING
 
 
 @pytest.mark.parametrize("document", [None, 7, "x", True, [], [DOCUMENT], {}])
--- a/mallowpond/state/decoding.py
+++ b/mallowpond/state/decoding.py
@@ -56,7 +56,7 @@
 Positive = NewType("Positive", int)
 
 
-class Fault(str, Enum):
+class DecodeFault(str, Enum):
     """Name what is wrong with a document."""
 
     BYTES = "bytes"
@@ -71,7 +71,7 @@
 class Unreadable:
     """Say why a document cannot be read; `field` is empty if it is no one field's."""
 
-    fault: Fault
+    fault: DecodeFault
     field: str = ""
 
     def __str__(self) -> str:
@@ -82,7 +82,7 @@
 class Unfit(Exception):  # noqa: N818
     """Carry a fault from a decoder of one value to `decode`, which returns it."""
 
-    def __init__(self, fault: Fault, field: str = "") -> None:
+    def __init__(self, fault: DecodeFault, field: str = "") -> None:
         super().__init__(fault)
         self.fault = fault
         self.field = field
@@ -104,7 +104,7 @@
         return json.loads(data)
     # A value nested too deep ends in a RecursionError.
     except (ValueError, RecursionError):
-        return Unreadable(fault=Fault.BYTES)
+        return Unreadable(fault=DecodeFault.BYTES)
 
 
 def _checked(converter: Converter, value: Any, kind: type[T]) -> T | Unreadable:
@@ -122,13 +122,13 @@
     if kind is str and type(value) is str and _is_fit_text(value):
         return value
     if not isinstance(value, str):
-        raise Unfit(Fault.TYPE)
+        raise Unfit(DecodeFault.TYPE)
     if issubclass(kind, Enum):
         return _member(value, kind)
     # Half of a surrogate pair, which JSON can hold, cannot be sent or logged; it is
     # not printable either.
     if not _is_fit_text(value):
-        raise Unfit(Fault.RANGE)
+        raise Unfit(DecodeFault.RANGE)
     return value
 
 
@@ -138,25 +138,25 @@
 
 def _blob(value: Any, _: type) -> bytes:
     if not isinstance(value, bytes):
-        raise Unfit(Fault.TYPE)
+        raise Unfit(DecodeFault.TYPE)
     return value
 
 
 def _name(value: Any, _: type) -> str:
     if _text(value, str) == "":
-        raise Unfit(Fault.RANGE)
+        raise Unfit(DecodeFault.RANGE)
     return value
 
 
 def _identifier(value: Any, _: type) -> str:
     if not IDENTIFIER.fullmatch(_text(value, str)):
-        raise Unfit(Fault.ID)
+        raise Unfit(DecodeFault.ID)
     return value
 
 
 def _matching(pattern: re.Pattern[str], value: Any) -> str:
     if not pattern.fullmatch(_text(value, str)):
-        raise Unfit(Fault.RANGE)
+        raise Unfit(DecodeFault.RANGE)
     return value
 
 
@@ -178,14 +178,14 @@
 
 def _socket_address(value: Any, _: type) -> str:
     if not _is_ip(_host_of(value)):
-        raise Unfit(Fault.RANGE)
+        raise Unfit(DecodeFault.RANGE)
     return value
 
 
 def _host_of(address: Any) -> str:
     host, _, port = _text(address, str).rpartition(":")
     if not 1 <= int(_matching(PORT, port)) <= LARGEST_PORT:
-        raise Unfit(Fault.RANGE)
+        raise Unfit(DecodeFault.RANGE)
     return host
 
 
@@ -203,13 +203,13 @@
     if type(value) is int and 0 <= value <= LARGEST_NUMBER:
         return value
     if isinstance(value, bool) or not isinstance(value, int):
-        raise Unfit(Fault.TYPE)
+        raise Unfit(DecodeFault.TYPE)
     return _in_range(value)
 
 
 def _positive(value: Any, _: type) -> int:
     if _whole_number(value, int) == 0:
-        raise Unfit(Fault.RANGE)
+        raise Unfit(DecodeFault.RANGE)
     return value
 
 
@@ -217,20 +217,20 @@
     if type(value) is float and 0 <= value <= LARGEST_NUMBER:
         return value
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise Unfit(Fault.TYPE)
+        raise Unfit(DecodeFault.TYPE)
     return float(_in_range(value))
 
 
 def _in_range(value: T) -> T:
     # A comparison with what is not a number is false.
     if not 0 <= value <= LARGEST_NUMBER:
-        raise Unfit(Fault.RANGE)
+        raise Unfit(DecodeFault.RANGE)
     return value
 
 
 def _truth(value: Any, _: type) -> bool:
     if not isinstance(value, bool):
-        raise Unfit(Fault.TYPE)
+        raise Unfit(DecodeFault.TYPE)
     return value
 
 
@@ -238,7 +238,7 @@
     try:
         return kind(value)
     except ValueError:
-        raise Unfit(Fault.UNKNOWN) from None
+        raise Unfit(DecodeFault.UNKNOWN) from None
 
 
 # -- containers --------------------------------------------------------------
@@ -251,7 +251,7 @@
     def build(values: Any, _: type[T]) -> T:
         # Also a text and a map can be gone through item by item.
         if not isinstance(values, list | tuple):
-            raise Unfit(Fault.TYPE)
+            raise Unfit(DecodeFault.TYPE)
         return tuple(read(value, item) for value in values)
 
     return build
@@ -265,14 +265,16 @@
 
     def build(values: Any, _: type[T]) -> T:
         if not isinstance(values, dict):
-            raise Unfit(Fault.TYPE)
+            raise Unfit(DecodeFault.TYPE)
         found = {}
         for name, read in readers.items():
             value = values.get(name)
             if value is not None:
                 found[name] = read(value)
             elif name not in optional:
-                raise Unfit(Fault.TYPE if name in values else Fault.MISSING, name)
+                raise Unfit(
+                    DecodeFault.TYPE if name in values else DecodeFault.MISSING, name
+                )
         return kind(**found)
 
     return build
@@ -287,9 +289,9 @@
 
     def build(values: Any, _: type[T]) -> T:
         if not isinstance(values, list | tuple):
-            raise Unfit(Fault.TYPE)
+            raise Unfit(DecodeFault.TYPE)
         if len(values) != len(names):
-            raise Unfit(Fault.MISSING)
+            raise Unfit(DecodeFault.MISSING)
         try:
             found = [hook(v, h) for (hook, h), v in zip(hooks, values, strict=True)]
         except Unfit:
