--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -163,7 +163,7 @@
             for group in self._groups.values()
         )
 
-    def withhold(self, key: GroupKey, until: float) -> None:
+    def suspend_group(self, key: GroupKey, until: float) -> None:
         """Send a group no new streams until a time."""
         work = self.loads.work(key)
         work.excluded_until = max(work.excluded_until, until)
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -383,7 +383,7 @@
             # Streams that were under way together are turned away once, not in a row.
             pause = max(pause, min(2 * own.pause_seconds, MOST_PAUSE_SECONDS))
             own.pause_seconds = pause
-        self._directory.withhold(group.key, now + pause)
+        self._directory.suspend_group(group.key, now + pause)
 
     def _log_turned_away(self, work: StreamWork, group: Group, reason: Reason) -> None:
         log.info(
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -231,7 +231,7 @@
         # it would be sent new streams again.
         work = self._directory.loads.work(key)
         work.suspicions += 1
-        self._directory.withhold(key, self._clock.now() + self._stall_seconds)
+        self._directory.suspend_group(key, self._clock.now() + self._stall_seconds)
         for notify in self.on_suspect:
             notify(key)
 
@@ -298,7 +298,7 @@
         self._exclude(key, self._stall_seconds)
 
     def _exclude(self, key: GroupKey, seconds: float) -> None:
-        self._directory.withhold(key, self._clock.now() + seconds)
+        self._directory.suspend_group(key, self._clock.now() + seconds)
 
     def clear(self, key: GroupKey) -> None:
         """Trust a group again whose members were all found alive."""
