--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -169,7 +169,7 @@
         work.excluded_until = max(work.excluded_until, until)
         self._release_at = min(self._release_at, work.excluded_until)
 
-    def release(self, key: GroupKey) -> None:
+    def resume_group(self, key: GroupKey) -> None:
         """Send a group new streams again that was withheld."""
         work, now = self.loads.work(key), self._clock.now()
         work.excluded_until = min(work.excluded_until, now)
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -302,4 +302,4 @@
 
     def clear(self, key: GroupKey) -> None:
         """Trust a group again whose members were all found alive."""
-        self._directory.release(key)
+        self._directory.resume_group(key)
