--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -175,7 +175,7 @@
         work.excluded_until = min(work.excluded_until, now)
         self._release_at = min(self._release_at, now)
 
-    def take_releases(self) -> bool:
+    def consume_resumed(self) -> bool:
         """Tell whether a group may get streams again since this was last asked.
 
         Nothing else tells those that wait: without it, streams that a suspicion had
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -89,7 +89,7 @@
         if now - self._due_at > STALLED_SECONDS:
             self._fresh_from = now
         self._pause = LONGEST_LOOK_SECONDS
-        if self._directory.take_releases():
+        if self._directory.consume_resumed():
             self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
