--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -192,7 +192,7 @@
         """Tell whether a formation was found to serve no more."""
         return key in self._broken
 
-    def break_group(
+    def mark_broken(
         self, group: Group, cause: BreakCause, *, is_told: bool = False
     ) -> None:
         """Send a formation nothing more until it is seen open anew.
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -104,7 +104,7 @@
                     reason = Reason.TARGET_FAILED
                 case NotRun(reason=reason) | Interrupted(reason=reason):
                     if reason is Reason.MISDIRECTED:
-                        self._directory.break_group(group, BreakCause.REFUSED)
+                        self._directory.mark_broken(group, BreakCause.REFUSED)
             if reason in ENDED_REASONS:
                 self._note_broken(work, group, reason)
             refusal = self._may_send_again(work, end, reason)
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -217,7 +217,7 @@
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
-    directory.break_group(directory.groups["g", 1], BreakCause.REFUSED)
+    directory.mark_broken(directory.groups["g", 1], BreakCause.REFUSED)
     assert serving(directory) == set()
     assert directory.count_open("engines") == 0
     clock.time += 0.5
@@ -241,7 +241,7 @@
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
-    directory.break_group(directory.groups["g", 1], BreakCause.REFUSED)
+    directory.mark_broken(directory.groups["g", 1], BreakCause.REFUSED)
     clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
     directory._whole_at = float("-inf")
@@ -252,7 +252,7 @@
 async def test_a_broken_group_is_not_used_again_before_it_is_open():
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
-    directory.break_group(directory.groups["g", 1], BreakCause.REFUSED)
+    directory.mark_broken(directory.groups["g", 1], BreakCause.REFUSED)
     place = replace(group[0].membership, phase=GroupPhase.CLOSING)
     closing = replace(group[0], membership=place)
     directory.hear_change(TargetsRead(revision=3, targets=(closing,)), previous=1)
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -286,7 +286,7 @@
     rig.targets.script("b0", answer(2))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await settle()
-    rig.directory.break_group(rig.directory.groups["a", 1], BreakCause.RESTARTED)
+    rig.directory.mark_broken(rig.directory.groups["a", 1], BreakCause.RESTARTED)
     end.set_result(None)
     await settle()
     assert not serving.done()
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -268,7 +268,7 @@
         if group is None or group.head is None:
             return
         if group.head.process == message.head:
-            self._directory.break_group(group, message.cause, is_told=True)
+            self._directory.mark_broken(group, message.cause, is_told=True)
 
     def _leave_broken(self, group: Group, cause: BreakCause, is_told: bool) -> None:
         """Move the streams of a formation that serves no more, and tell the peers.
