--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -20,7 +20,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait
-from mallowpond.state.place_line import MOST_WAITING, Claim, PlaceLine
+from mallowpond.state.place_line import MOST_WAITING, Claim, PlacementQueue
 
 # Longest time that a stream waits in the line, in seconds, whatever its asker says.
 MOST_PATIENCE_SECONDS = 60.0
@@ -61,7 +61,7 @@
         self._clock = clock
         self._find_model = find_model
         self._is_dispatcher = is_dispatcher
-        self._lines: dict[Line, PlaceLine[Asker]] = {}
+        self._lines: dict[Line, PlacementQueue[Asker]] = {}
         # What each stream that waits looks for.
         self._seeks: dict[Asker, Seek] = {}
         self._granted: Counter[str] = Counter()
@@ -96,7 +96,7 @@
 
     def ask(self, asker: Asker, seek: Seek, claim: Claim) -> PlaceAnswer:
         """Give a place, let a stream wait for one, or say that none comes in time."""
-        line = self._lines.setdefault((seek.service, seek.model.name), PlaceLine())
+        line = self._lines.setdefault((seek.service, seek.model.name), PlacementQueue())
         if asker not in line:
             group = self._place_now(line, seek, claim)
             if group is not None:
@@ -109,14 +109,16 @@
         return self._answer(asker, PlaceVerdict.WAITING)
 
     def _place_now(
-        self, line: PlaceLine[Asker], seek: Seek, claim: Claim
+        self, line: PlacementQueue[Asker], seek: Seek, claim: Claim
     ) -> Group | None:
         """Return a group for a new stream unless another one goes before it."""
         if line.goes_before(claim, self._clock.now()):
             return None
         return self._choice.exact(seek)
 
-    def _expected_wait(self, line: PlaceLine[Asker], seek: Seek, claim: Claim) -> float:
+    def _expected_wait(
+        self, line: PlacementQueue[Asker], seek: Seek, claim: Claim
+    ) -> float:
         groups = self._directory.serving_groups(seek.service, seek.model.name)
         if not groups:
             # One may open at any moment, as groups are formed for what waits.
@@ -135,7 +137,7 @@
             while len(line) and self._give_one(line):
                 pass
 
-    def _give_one(self, line: PlaceLine[Asker]) -> bool:
+    def _give_one(self, line: PlacementQueue[Asker]) -> bool:
         for asker in line.over(self._clock.now()):
             self._drop(line, asker)
         waiting = line.in_order(self._clock.now())
@@ -153,7 +155,7 @@
         for line in self._lines.values():
             self._drop(line, asker)
 
-    def _drop(self, line: PlaceLine[Asker], asker: Asker) -> None:
+    def _drop(self, line: PlacementQueue[Asker], asker: Asker) -> None:
         line.leave(asker)
         self._seeks.pop(asker, None)
 
--- a/mallowpond/state/place_line.py
+++ b/mallowpond/state/place_line.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(kw_only=True)
-class PlaceLine(Generic[Asker]):
+class PlacementQueue(Generic[Asker]):
     """Hold the streams of one model that wait, each by whom to tell."""
 
     _claims: dict[Asker, tuple[int, Claim]] = field(default_factory=dict)
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from mallowpond.state.place_line import Claim, PlaceLine
+from mallowpond.state.place_line import Claim, PlacementQueue
 
 CLAIM = Claim(priority=1, on_time_until=10.0, since=0.0, until=20.0)
 
@@ -14,7 +14,7 @@
 
 def test_those_that_can_be_on_time_go_before_those_that_cannot():
     """Guard against a line in which everybody waits until all are late."""
-    line = PlaceLine()
+    line = PlacementQueue()
     line.join("on time", CLAIM)
     line.join("late", replace(CLAIM, on_time_until=1.0))
     assert order(line, now=0.5) == ["late", "on time"]
@@ -23,7 +23,7 @@
 
 def test_of_those_that_can_be_on_time_the_newest_goes_first():
     """Guard against an overload in which each is served when it is just too late."""
-    line = PlaceLine()
+    line = PlacementQueue()
     for name in ("old", "newer", "newest"):
         line.join(name, CLAIM)
     assert order(line) == ["newest", "newer", "old"]
@@ -35,7 +35,7 @@
 
 def test_who_is_late_goes_first_before_its_patience_ends():
     """Guard against newcomers that keep the late ones out until they are lost."""
-    line = PlaceLine()
+    line = PlacementQueue()
     line.join("late", replace(CLAIM, on_time_until=1.0))
     on_time = replace(CLAIM, on_time_until=30.0)
     line.join("on time", on_time)
@@ -45,7 +45,7 @@
 
 
 def test_what_has_begun_goes_first_and_then_the_more_urgent():
-    line = PlaceLine()
+    line = PlacementQueue()
     line.join("urgent", replace(CLAIM, priority=0))
     line.join("later", CLAIM)
     line.join("begun", replace(CLAIM, priority=2, has_begun=True))
@@ -54,7 +54,7 @@
 
 def test_asking_again_keeps_the_place_in_the_line():
     """Guard against sending who waits to the end of the line with each question."""
-    line = PlaceLine()
+    line = PlacementQueue()
     line.join("first", CLAIM)
     line.join("second", CLAIM)
     line.join("first", replace(CLAIM, until=30.0))
@@ -63,7 +63,7 @@
 
 
 def test_who_has_waited_too_long_is_told():
-    line = PlaceLine()
+    line = PlacementQueue()
     line.join("a", replace(CLAIM, until=1.0))
     line.join("b", CLAIM)
     assert line.over(1.0) == ["a"]
@@ -73,7 +73,7 @@
 
 
 def test_who_is_ahead_of_a_late_stream_is_counted():
-    line = PlaceLine()
+    line = PlacementQueue()
     for number in range(3):
         line.join(number, replace(CLAIM, priority=number))
     line.join("begun", replace(CLAIM, priority=2, has_begun=True))
