--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -20,7 +20,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait
-from mallowpond.state.place_line import MOST_WAITING, Claim, PlacementQueue
+from mallowpond.state.place_line import MOST_WAITING, PlacementQueue, QueueEntry
 
 # Longest time that a stream waits in the line, in seconds, whatever its asker says.
 MOST_PATIENCE_SECONDS = 60.0
@@ -84,7 +84,7 @@
             objective=question.objective,
             avoided=frozenset(question.avoided),
         )
-        claim = Claim(
+        claim = QueueEntry(
             priority=question.priority,
             on_time_until=now + question.on_time,
             since=now,
@@ -94,7 +94,7 @@
         asker = Asker(node=question.node, number=question.number)
         self._tell(asker, self.ask(asker, seek, claim))
 
-    def ask(self, asker: Asker, seek: Seek, claim: Claim) -> PlaceAnswer:
+    def ask(self, asker: Asker, seek: Seek, claim: QueueEntry) -> PlaceAnswer:
         """Give a place, let a stream wait for one, or say that none comes in time."""
         line = self._lines.setdefault((seek.service, seek.model.name), PlacementQueue())
         if asker not in line:
@@ -109,7 +109,7 @@
         return self._answer(asker, PlaceVerdict.WAITING)
 
     def _place_now(
-        self, line: PlacementQueue[Asker], seek: Seek, claim: Claim
+        self, line: PlacementQueue[Asker], seek: Seek, claim: QueueEntry
     ) -> Group | None:
         """Return a group for a new stream unless another one goes before it."""
         if line.goes_before(claim, self._clock.now()):
@@ -117,7 +117,7 @@
         return self._choice.exact(seek)
 
     def _expected_wait(
-        self, line: PlacementQueue[Asker], seek: Seek, claim: Claim
+        self, line: PlacementQueue[Asker], seek: Seek, claim: QueueEntry
     ) -> float:
         groups = self._directory.serving_groups(seek.service, seek.model.name)
         if not groups:
--- a/mallowpond/state/place_line.py
+++ b/mallowpond/state/place_line.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Claim:
+class QueueEntry:
     """Say what a waiting stream is owed; times are of the dispatcher's clock.
 
     One that `has_begun` needs a place for its rest only, and its caller has part of
@@ -53,7 +53,7 @@
 class PlacementQueue(Generic[Asker]):
     """Hold the streams of one model that wait, each by whom to tell."""
 
-    _claims: dict[Asker, tuple[int, Claim]] = field(default_factory=dict)
+    _claims: dict[Asker, tuple[int, QueueEntry]] = field(default_factory=dict)
     _next_number: int = 0
 
     def __len__(self) -> int:
@@ -62,13 +62,13 @@
     def __contains__(self, asker: Asker) -> bool:
         return asker in self._claims
 
-    def join(self, asker: Asker, claim: Claim) -> None:
+    def join(self, asker: Asker, claim: QueueEntry) -> None:
         """Let a stream wait, or wait on where it stands."""
         if asker not in self._claims:
             self._claims[asker] = (self._next_number, claim)
             self._next_number += 1
 
-    def goes_before(self, claim: Claim, now: float) -> bool:
+    def goes_before(self, claim: QueueEntry, now: float) -> bool:
         """Tell whether some stream that waits goes before a new one."""
         new = claim.rank(self._next_number, now)
         return any(known.rank(n, now) < new for n, known in self._claims.values())
@@ -81,7 +81,7 @@
         """Return those whose time is over."""
         return [a for a, (_, claim) in self._claims.items() if claim.until <= now]
 
-    def ahead_of(self, claim: Claim) -> int:
+    def ahead_of(self, claim: QueueEntry) -> int:
         """Return how many streams go before one that would be late."""
         claims = (known for _, known in self._claims.values())
         if claim.has_begun:
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -2,9 +2,9 @@
 
 from dataclasses import replace
 
-from mallowpond.state.place_line import Claim, PlacementQueue
+from mallowpond.state.place_line import PlacementQueue, QueueEntry
 
-CLAIM = Claim(priority=1, on_time_until=10.0, since=0.0, until=20.0)
+CLAIM = QueueEntry(priority=1, on_time_until=10.0, since=0.0, until=20.0)
 
 
 def order(line, now=0.0):
