--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -20,7 +20,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait
-from mallowpond.state.place_line import MOST_WAITING, PlacementQueue, QueueEntry
+from mallowpond.state.place_line import MAX_WAITING, PlacementQueue, QueueEntry
 
 # Longest time that a stream waits in the line, in seconds, whatever its asker says.
 MOST_PATIENCE_SECONDS = 60.0
@@ -102,7 +102,7 @@
             if group is not None:
                 return self._grant(asker, seek, group)
             wait = self._expected_wait(line, seek, claim)
-            if wait > claim.patience or len(line) >= MOST_WAITING:
+            if wait > claim.patience or len(line) >= MAX_WAITING:
                 return self._answer(asker, PlaceVerdict.REFUSED, wait=wait)
         line.join(asker, claim)
         self._seeks[asker] = seek
--- a/mallowpond/state/place_line.py
+++ b/mallowpond/state/place_line.py
@@ -12,7 +12,7 @@
 from typing import Generic, TypeVar
 
 # Streams that wait in one line, at most: beyond them nobody could be served in time.
-MOST_WAITING = 5_000
+MAX_WAITING = 5_000
 # Share of its patience, the last part, in which a late stream goes before others.
 AGED_SHARE = 0.3
 
