--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -355,7 +355,7 @@
             for notify in self.on_read:
                 notify(answer, previous)
 
-    def learn(self, target: Target) -> None:
+    def apply_report(self, target: Target) -> None:
         """Take what a target says of itself while the list cannot be read.
 
         That it started again counts at once: the list shows the entry of before for
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -176,7 +176,7 @@
                 reason = report.reason
                 continue
             if self._is_report_current(report.target):
-                self._directory.learn(report.target)
+                self._directory.apply_report(report.target)
             if self._lost.pop(target.process, None) is not None:
                 log.info("planner: target regained", target=target.id)
             return report.target.process == target.process
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -313,7 +313,7 @@
     directory, _, _ = await directory_of(listing(*group))
     broken = []
     directory.on_broken.append(lambda *told: broken.append(told[1:]))
-    directory.learn(restarted(group[1]))
+    directory.apply_report(restarted(group[1]))
     assert serving(directory) == set()
     assert broken == [(BreakCause.RESTARTED, False)]
     late = [replace(target, staged=("n",)) for target in group]
@@ -337,7 +337,7 @@
     for is_lost in (False, True):
         source.cut = is_lost
         await directory.refresh() if is_lost else None
-        directory.learn(group[1])
+        directory.apply_report(group[1])
         assert directory.targets == before
         assert [g.key for g in directory.serving_groups("engines", "m")] == [("g", 2)]
 
@@ -351,7 +351,7 @@
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
-    directory.learn(restarted(group[1]))
+    directory.apply_report(restarted(group[1]))
     clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
     directory._whole_at = float("-inf")
@@ -396,7 +396,7 @@
     assert directory.count_present(sent) == 2
     directory.hear_change(change(2, restarted(group[0])), previous=1)
     assert directory.count_present(sent) == 1
-    directory.learn(restarted(group[1]))
+    directory.apply_report(restarted(group[1]))
     assert directory.count_present(sent) == 0
 
 
@@ -444,7 +444,7 @@
     """
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
-    directory.learn(restarted(group[1]))
+    directory.apply_report(restarted(group[1]))
     late = [replace(t, membership=replace(t.membership, epoch=2)) for t in group]
     directory.hear_change(change(2, *late), previous=1)
     assert serving(directory) == set()
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -403,14 +403,14 @@
             return
         if answered.process in self.ended:
             serving = self.directory.serving_groups("engines", "m")
-            self.directory.learn(answered)
+            self.directory.apply_report(answered)
             assert self.directory.serving_groups("engines", "m") == serving
             return
         if asked.process != listed.process:
             return
         if answered.process != listed.process and answered.process not in self.ended:
             self.ended.setdefault(listed.process, self.rig.clock.now())
-        self.directory.learn(answered)
+        self.directory.apply_report(answered)
         self.settle()
 
     @rule(group=groups, epoch=st.integers(1, 5))
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -318,7 +318,7 @@
 
 async def test_peers_are_told_of_a_restart_that_the_list_does_not_show():
     rig, watch, peers, task, _ = await watched("a", "b")
-    rig.directory.learn(replace(member("a1", "a", 1, born=1), membership=None))
+    rig.directory.apply_report(replace(member("a1", "a", 1, born=1), membership=None))
     assert peers.told == [(("a", 1), BreakCause.RESTARTED)]
     assert await task == Answered(status=200, target="b0")
 
@@ -332,7 +332,7 @@
     rig, watch, peers, task, _ = await watched("a", "b")
     (stream,) = rig.service.active
     stream.work.route = replace(stream.work.route, resumable=False)
-    rig.directory.learn(replace(member("a0", "a", 0, born=1), membership=None))
+    rig.directory.apply_report(replace(member("a0", "a", 0, born=1), membership=None))
     assert stream.moved is None
     await end(task)
 
