--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -86,7 +86,7 @@
         )
         claim = QueueEntry(
             priority=question.priority,
-            on_time_until=now + question.on_time,
+            objective_deadline=now + question.on_time,
             since=now,
             until=now + min(question.patience, MOST_PATIENCE_SECONDS),
             has_begun=question.has_begun,
--- a/mallowpond/state/place_line.py
+++ b/mallowpond/state/place_line.py
@@ -28,7 +28,7 @@
     """
 
     priority: int
-    on_time_until: float
+    objective_deadline: float
     since: float
     until: float
     has_begun: bool = False
@@ -43,7 +43,7 @@
 
         Begun; late with little patience left; on time, the newest first; late.
         """
-        if self.on_time_until > now:
+        if self.objective_deadline > now:
             return (not self.has_begun, 1, self.priority, -number)
         is_aged = self.until - now <= AGED_SHARE * self.patience
         return (not self.has_begun, 0 if is_aged else 2, self.priority, number)
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -4,7 +4,7 @@
 
 from mallowpond.state.place_line import PlacementQueue, QueueEntry
 
-CLAIM = QueueEntry(priority=1, on_time_until=10.0, since=0.0, until=20.0)
+CLAIM = QueueEntry(priority=1, objective_deadline=10.0, since=0.0, until=20.0)
 
 
 def order(line, now=0.0):
@@ -16,7 +16,7 @@
     """Guard against a line in which everybody waits until all are late."""
     line = PlacementQueue()
     line.join("on time", CLAIM)
-    line.join("late", replace(CLAIM, on_time_until=1.0))
+    line.join("late", replace(CLAIM, objective_deadline=1.0))
     assert order(line, now=0.5) == ["late", "on time"]
     assert order(line, now=1.5) == ["on time", "late"]
 
@@ -30,14 +30,14 @@
     assert not line.goes_before(CLAIM, 0.0)
     # Those that are late come as they came.
     assert order(line, now=11.0) == ["old", "newer", "newest"]
-    assert not line.goes_before(replace(CLAIM, on_time_until=30.0), 11.0)
+    assert not line.goes_before(replace(CLAIM, objective_deadline=30.0), 11.0)
 
 
 def test_who_is_late_goes_first_before_its_patience_ends():
     """Guard against newcomers that keep the late ones out until they are lost."""
     line = PlacementQueue()
-    line.join("late", replace(CLAIM, on_time_until=1.0))
-    on_time = replace(CLAIM, on_time_until=30.0)
+    line.join("late", replace(CLAIM, objective_deadline=1.0))
+    on_time = replace(CLAIM, objective_deadline=30.0)
     line.join("on time", on_time)
     assert order(line, now=13.9) == ["on time", "late"]
     assert order(line, now=14.1) == ["late", "on time"]
