--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -290,7 +290,7 @@
         if loads and not self.is_reader():
             self.loads.record_totals(loads)
 
-    def hear_change(self, read: TargetsRead, *, previous: int) -> None:
+    def apply_change(self, read: TargetsRead, *, previous: int) -> None:
         """Take a change of the list that a reader passes on.
 
         It holds all changes after `previous`: one who misses some before reads.
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -281,7 +281,7 @@
             removed=tuple(r for part in parts for r in part.removed),
             unreadable=tuple(u for part in parts for u in part.unreadable),
         )
-        self._directory.hear_change(read, previous=change.previous)
+        self._directory.apply_change(read, previous=change.previous)
 
     def _note_digest(self, digest: Digest) -> None:
         self._fanout.pass_on(digest)
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -167,7 +167,7 @@
     await directory.refresh()
     assert passed_on == [bad]
     follower, _, _ = await directory_of(listing(head, other))
-    follower.hear_change(bad, previous=1)
+    follower.apply_change(bad, previous=1)
     assert set(follower.targets) == {"g1"}
 
 
@@ -226,7 +226,7 @@
     await directory.refresh()
     assert source.asked[-1] == 0
     assert serving(directory) == set()
-    directory.hear_change(
+    directory.apply_change(
         TargetsRead(revision=3, targets=(group[0],)), previous=directory.changed
     )
     assert serving(directory) == {"g"}
@@ -255,9 +255,9 @@
     directory.mark_broken(directory.groups["g", 1], BreakCause.REFUSED)
     place = replace(group[0].membership, phase=GroupPhase.CLOSING)
     closing = replace(group[0], membership=place)
-    directory.hear_change(TargetsRead(revision=3, targets=(closing,)), previous=1)
+    directory.apply_change(TargetsRead(revision=3, targets=(closing,)), previous=1)
     assert directory.is_broken(("g", 1))
-    directory.hear_change(TargetsRead(revision=4, targets=(group[0],)), previous=3)
+    directory.apply_change(TargetsRead(revision=4, targets=(group[0],)), previous=3)
     assert serving(directory) == {"g"}
 
 
@@ -284,21 +284,21 @@
         directory, _, _ = await directory_of(listing(*group))
         broken = []
         directory.on_broken.append(lambda *told, seen=broken: seen.append(told))
-        directory.hear_change(change(2, restarted(group[rank])), previous=1)
+        directory.apply_change(change(2, restarted(group[rank])), previous=1)
         assert serving(directory) == set()
         ((of, cause, is_told),) = broken
         assert (of.key, cause, is_told) == (("g", 1), BreakCause.RESTARTED, True)
-    directory.hear_change(change(3, replace(group[0], staged=("n",))), previous=2)
+    directory.apply_change(change(3, replace(group[0], staged=("n",))), previous=2)
     assert serving(directory) == set()
 
 
 async def test_a_group_of_the_later_processes_is_used():
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
-    directory.hear_change(change(2, *map(restarted, group)), previous=1)
+    directory.apply_change(change(2, *map(restarted, group)), previous=1)
     places = [replace(t.membership, epoch=2) for t in group]
     anew = [restarted(t, membership=p) for t, p in zip(group, places, strict=True)]
-    directory.hear_change(change(3, *anew), previous=2)
+    directory.apply_change(change(3, *anew), previous=2)
     assert [g.key for g in directory.serving_groups("engines", "m")] == [("g", 2)]
 
 
@@ -317,7 +317,7 @@
     assert serving(directory) == set()
     assert broken == [(BreakCause.RESTARTED, False)]
     late = [replace(target, staged=("n",)) for target in group]
-    directory.hear_change(change(2, *late), previous=1)
+    directory.apply_change(change(2, *late), previous=1)
     assert serving(directory) == set()
 
 
@@ -332,7 +332,7 @@
     directory, source, _ = await directory_of(listing(*group))
     places = [replace(t.membership, epoch=2) for t in group]
     anew = [restarted(t, membership=p) for t, p in zip(group, places, strict=True)]
-    directory.hear_change(change(2, *anew), previous=1)
+    directory.apply_change(change(2, *anew), previous=1)
     before = dict(directory.targets)
     for is_lost in (False, True):
         source.cut = is_lost
@@ -369,12 +369,12 @@
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
     gone = TargetsRead(revision=2, targets=(), removed=("g0",))
-    directory.hear_change(gone, previous=1)
+    directory.apply_change(gone, previous=1)
     directory.record_healthy("g0")
     assert serving(directory) == {"g"}
     anew = [restarted(t, membership=replace(t.membership, epoch=2)) for t in group]
-    directory.hear_change(change(3, *anew), previous=2)
-    directory.hear_change(replace(gone, revision=4), previous=3)
+    directory.apply_change(change(3, *anew), previous=2)
+    directory.apply_change(replace(gone, revision=4), previous=3)
     assert directory.targets["g0"].lapsed
     assert serving(directory) == set()
 
@@ -384,7 +384,7 @@
     directory, _, clock = await directory_of(listing(*group))
     work = directory.loads.work(("g", 1))
     work.slowness, work.last_event_at, work.running = 12.0, clock.time, 1
-    directory.hear_change(change(2, restarted(group[0])), previous=1)
+    directory.apply_change(change(2, restarted(group[0])), previous=1)
     assert directory.loads.load(("g", 1)).slowness == 1.0
     assert directory.loads.load(("g", 1)).running == 1
 
@@ -394,7 +394,7 @@
     directory, _, _ = await directory_of(listing(*group, member("x", "h", 0)))
     sent = [target.process for target in group]
     assert directory.count_present(sent) == 2
-    directory.hear_change(change(2, restarted(group[0])), previous=1)
+    directory.apply_change(change(2, restarted(group[0])), previous=1)
     assert directory.count_present(sent) == 1
     directory.apply_report(restarted(group[1]))
     assert directory.count_present(sent) == 0
@@ -409,10 +409,10 @@
     """
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
-    directory.hear_change(change(2, *map(restarted, group)), previous=1)
+    directory.apply_change(change(2, *map(restarted, group)), previous=1)
     places = [replace(t.membership, epoch=3) for t in group]
     third = [replace(t, membership=p) for t, p in zip(group, places, strict=True)]
-    directory.hear_change(change(3, *third), previous=2)
+    directory.apply_change(change(3, *third), previous=2)
     assert [g.key for g in directory.serving_groups("engines", "m")] == [("g", 3)]
     assert directory.count_present([t.process for t in third]) == 2
 
@@ -446,5 +446,5 @@
     directory, _, _ = await directory_of(listing(*group))
     directory.apply_report(restarted(group[1]))
     late = [replace(t, membership=replace(t.membership, epoch=2)) for t in group]
-    directory.hear_change(change(2, *late), previous=1)
+    directory.apply_change(change(2, *late), previous=1)
     assert serving(directory) == set()
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -310,7 +310,7 @@
         changed = {t.id: t for t in self.platform.listed[known:until]}
         self.take(changed.values(), is_whole=False)
         change = listing(*changed.values(), revision=until, whole=False)
-        self.directory.hear_change(change, previous=known)
+        self.directory.apply_change(change, previous=known)
         self.settle()
 
     @rule()
@@ -331,7 +331,7 @@
             until = data.draw(st.integers(1, known))
             previous = until - 1
         change = listing(self.platform.listed[until - 1], revision=until, whole=False)
-        self.directory.hear_change(change, previous=previous)
+        self.directory.apply_change(change, previous=previous)
         assert self.directory.targets == before
 
     @rule()
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -344,7 +344,7 @@
         for name in (f"{group}0", f"{group}1")
     ]
     revision = rig.directory.changed + 1
-    rig.directory.hear_change(
+    rig.directory.apply_change(
         TargetsRead(revision=revision, targets=tuple(anew)), previous=revision - 1
     )
 
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -305,7 +305,7 @@
     (stream,) = rig.service.active
     anew = member("a1", "a", 1, born=1)
     anew = replace(anew, membership=None)
-    rig.directory.hear_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
+    rig.directory.apply_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
     assert stream.moved is Reason.RESTARTED
     assert peers.told == []
     for _ in range(9):
