--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -87,7 +87,7 @@
         claim = QueueEntry(
             priority=question.priority,
             objective_deadline=now + question.on_time,
-            since=now,
+            queued_at=now,
             until=now + min(question.patience, MOST_PATIENCE_SECONDS),
             has_begun=question.has_begun,
         )
--- a/mallowpond/state/place_line.py
+++ b/mallowpond/state/place_line.py
@@ -29,14 +29,14 @@
 
     priority: int
     objective_deadline: float
-    since: float
+    queued_at: float
     until: float
     has_begun: bool = False
 
     @property
     def patience(self) -> float:
         """Return for how many seconds it waits at most."""
-        return self.until - self.since
+        return self.until - self.queued_at
 
     def rank(self, number: int, now: float) -> tuple[bool, int, int, int]:
         """Return the order of who came as `number`, lower first.
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -4,7 +4,7 @@
 
 from mallowpond.state.place_line import PlacementQueue, QueueEntry
 
-CLAIM = QueueEntry(priority=1, objective_deadline=10.0, since=0.0, until=20.0)
+CLAIM = QueueEntry(priority=1, objective_deadline=10.0, queued_at=0.0, until=20.0)
 
 
 def order(line, now=0.0):
