--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -122,10 +122,10 @@
             sent_at, life = self.clock.now(), self.pool.life_of(place)
             reason = await self._attempt(place)
             if reason is None:
-                self.quarantine.note_answer(self.fingerprint, life)
+                self.quarantine.record_answer(self.fingerprint, life)
                 return Served()
             if reason in ENDED_REASONS:
-                self.quarantine.note_ending(self.fingerprint, life, sent_at)
+                self.quarantine.record_ending(self.fingerprint, life, sent_at)
             if not self._may_retry(number):
                 return self._give_up(reason)
             self.metrics.retries.labels(reason=reason).inc()
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -12,7 +12,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.limits import spread_retry_after
-from mallowpond.state.site_configuration import Repeat, Route
+from mallowpond.state.site_configuration import RepeatPolicy, Route
 from mallowpond.transport.http_client import CallFailed
 from mallowpond.transport.http_server import Exchange
 
@@ -109,7 +109,7 @@
             reply = await self._send(work, target)
             match reply:
                 case WholeReply(status=status) if status < 500:
-                    self._quarantine.note_answer(work.fingerprint)
+                    self._quarantine.record_answer(work.fingerprint)
                     await _respond(work, reply)
                     return Answered(status=status, target=target.id)
                 case WholeReply():
@@ -130,7 +130,7 @@
         used = set(work.sent_to) | set(work.turned_away)
         targets = [
             target
-            for target in self._directory.of_service(work.service)
+            for target in self._directory.usable_targets(work.service)
             if self._records[target.process].misdirected is not target
             and self._intake.may_send(target)
         ]
@@ -152,7 +152,7 @@
 
     def _unused(self, work: CallWork) -> list[Target]:
         """Return the targets to which a request was not sent."""
-        targets = self._directory.of_service(work.service)
+        targets = self._directory.usable_targets(work.service)
         return [target for target in targets if target.process not in work.sent_to]
 
     async def _send(self, work: CallWork, target: Target) -> WholeReply | NoReply:
@@ -184,7 +184,7 @@
         finally:
             record.running -= 1
         if isinstance(reply, NoReply) and reply.reason is Reason.MAYBE_RUN:
-            self._quarantine.note_ending(work.fingerprint, target.process, now)
+            self._quarantine.record_ending(work.fingerprint, target.process, now)
         elif isinstance(reply, WholeReply):
             self._quarantine.record_alive(target.process)
         self._judge(work, target, reply)
@@ -246,7 +246,7 @@
             del self._records[process]
 
     def _is_repeatable(self, work: CallWork) -> bool:
-        return work.route.repeat is Repeat.IDEMPOTENT
+        return work.route.repeat is RepeatPolicy.IDEMPOTENT
 
     def _attempts(self, work: CallWork) -> int:
         return max(1, work.route.max_attempts)
--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -64,7 +64,7 @@
         # Set once a version was confirmed, or the store did not answer.
         self._is_first_known = asyncio.Event()
         self._document = b""
-        self.on_newer: list[Callable[[], None]] = []
+        self.on_new_version: list[Callable[[], None]] = []
         self.is_reader: Callable[[], bool] = lambda: True
         self.tries_first: Callable[[], bool] = lambda: True
         self.ask_readers: Callable[[int], None] = lambda number: None
@@ -86,12 +86,12 @@
         return self._confirmation
 
     @property
-    def store_answers(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Tell whether the last question was answered."""
         return self._failures == 0
 
     @property
-    def is_sure(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Tell whether requests that depend on a key may be admitted."""
         return may_admit(
             self._confirmation,
@@ -99,7 +99,7 @@
             bound_seconds=self._revoke_seconds,
         )
 
-    async def wait_for_first(self, seconds: float) -> None:
+    async def wait_for_first_version(self, seconds: float) -> None:
         """Wait until the first version is confirmed, or is known not to come soon."""
         if self._is_first_known.is_set():
             return
@@ -233,7 +233,7 @@
             self._note_confirmed()
 
     def _note_confirmed(self) -> None:
-        if self.is_sure:
+        if self.is_confirmed:
             self._is_first_known.set()
 
     def _answered_at(self, answer: ConfigurationRead, asked_at: float) -> float:
@@ -295,5 +295,5 @@
         )
         self._note_confirmed()
         if known is None or configuration.version > known.version:
-            for notify in self.on_newer:
+            for notify in self.on_new_version:
                 notify()
--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -20,7 +20,7 @@
     Process,
     Target,
     assemble_groups,
-    without_start,
+    ids_without_start_time,
 )
 
 log = structlog.get_logger()
@@ -117,7 +117,7 @@
         """Return the revision up to which the list is known."""
         return self._revision
 
-    def of_service(self, service: str) -> list[Target]:
+    def usable_targets(self, service: str) -> list[Target]:
         """Return the targets of a service that may get new work."""
         return [
             target
@@ -125,7 +125,7 @@
             if not (target.draining or target.lapsed)
         ]
 
-    def forget(self, identifier: str) -> None:
+    def drop_lapsed(self, identifier: str) -> None:
         """Drop a lapsed target that was found to be dead."""
         target = self._targets.get(identifier)
         if target is None or not target.lapsed:
@@ -133,7 +133,7 @@
         self._lapsed_at.pop(identifier, None)
         self._take({k: t for k, t in self._targets.items() if k != identifier})
 
-    def all_of_service(self, service: str) -> tuple[Target, ...]:
+    def all_targets(self, service: str) -> tuple[Target, ...]:
         """Return every listed target of a service."""
         return tuple(self._by_service.get(service, {}).values())
 
@@ -163,19 +163,19 @@
             for group in self._groups.values()
         )
 
-    def withhold(self, key: GroupKey, until: float) -> None:
+    def suspend_group(self, key: GroupKey, until: float) -> None:
         """Send a group no new streams until a time."""
         work = self.loads.work(key)
         work.excluded_until = max(work.excluded_until, until)
         self._release_at = min(self._release_at, work.excluded_until)
 
-    def release(self, key: GroupKey) -> None:
+    def resume_group(self, key: GroupKey) -> None:
         """Send a group new streams again that was withheld."""
         work, now = self.loads.work(key), self._clock.now()
         work.excluded_until = min(work.excluded_until, now)
         self._release_at = min(self._release_at, now)
 
-    def take_releases(self) -> bool:
+    def consume_resumed(self) -> bool:
         """Tell whether a group may get streams again since this was last asked.
 
         Nothing else tells those that wait: without it, streams that a suspicion had
@@ -192,7 +192,7 @@
         """Tell whether a formation was found to serve no more."""
         return key in self._broken
 
-    def break_group(
+    def mark_broken(
         self, group: Group, cause: BreakCause, *, is_told: bool = False
     ) -> None:
         """Send a formation nothing more until it is seen open anew.
@@ -233,7 +233,7 @@
         vouched_at = self._vouched_at.get(group.head.process, float("-inf"))
         return now - vouched_at < VOUCHED_SECONDS
 
-    def vouch(self, identifier: str) -> None:
+    def record_healthy(self, identifier: str) -> None:
         """Note that a target the list has lost was found healthy, and not leaving."""
         now = self._clock.now()
         recent = {
@@ -290,7 +290,7 @@
         if loads and not self.is_reader():
             self.loads.record_totals(loads)
 
-    def hear_change(self, read: TargetsRead, *, previous: int) -> None:
+    def apply_change(self, read: TargetsRead, *, previous: int) -> None:
         """Take a change of the list that a reader passes on.
 
         It holds all changes after `previous`: one who misses some before reads.
@@ -355,7 +355,7 @@
             for notify in self.on_read:
                 notify(answer, previous)
 
-    def learn(self, target: Target) -> None:
+    def apply_report(self, target: Target) -> None:
         """Take what a target says of itself while the list cannot be read.
 
         That it started again counts at once: the list shows the entry of before for
@@ -415,7 +415,7 @@
     def _apply(self, read: TargetsRead) -> None:
         found = dict(self._targets)
         listed = {target.id: target for target in read.targets}
-        untold = without_start(listed, found | listed if read.whole else found)
+        untold = ids_without_start_time(listed, found | listed if read.whole else found)
         for identifier in untold:
             log.warning("targets: start not told", target=identifier)
             del listed[identifier]
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -115,7 +115,7 @@
         address: str,
         table: TableService,
         clock: Clock,
-        describe: Callable[[], Heartbeat],
+        make_heartbeat: Callable[[], Heartbeat],
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
@@ -124,7 +124,7 @@
         self._address = address
         self._table = table
         self._clock = clock
-        self._describe = describe
+        self._describe = make_heartbeat
         self._transport: asyncio.DatagramTransport | None = None
         self._addresses: dict[str, str] = {}
         self._peers: dict[str, Peer] = {}
@@ -132,13 +132,13 @@
         self._counted_at = float("-inf")
         self._met = 0
         self._met_told_at = float("-inf")
-        self.is_senior = True
+        self.is_candidate = True
         self.seniors: frozenset[str] = frozenset()
         self.on_heartbeat: list[Callable[[Heartbeat], None]] = []
         self.on_suspicion: list[Callable[[Suspicion], None]] = []
         self.on_group_broken: list[Callable[[GroupBroken], None]] = []
-        self.on_vouch: list[Callable[[str], None]] = []
-        self.on_question: list[Callable[[SilenceQuestion], bool]] = []
+        self.on_target_healthy: list[Callable[[str], None]] = []
+        self.on_silence_question: list[Callable[[SilenceQuestion], bool]] = []
         self.on_advance: list[Callable[[GroupKey], None]] = []
         self.on_digest: list[Callable[[Digest], None]] = []
         self.on_list_change: list[Callable[[ListChange], None]] = []
@@ -166,7 +166,7 @@
             self._counted_at = now
         return self._live
 
-    def is_gone(self, node: str, incarnation: str) -> bool:
+    def has_stopped_planning(self, node: str, incarnation: str) -> bool:
         """Tell whether a node that was heard of plans no more as this incarnation."""
         peer = self._peers.get(node)
         if peer is None:
@@ -194,17 +194,17 @@
         return peer is not None and self._clock.now() - peer.heard_at <= seconds
 
     @property
-    def is_large(self) -> bool:
+    def is_large_fleet(self) -> bool:
         """Tell whether heartbeats are too rare to go by their work figures."""
         return len(self._addresses) / HEARTBEATS_PER_SECOND > HEARTBEAT_SECONDS
 
     @property
     def interval(self) -> float:
         """Return the pause between two heartbeats, in seconds."""
-        if not self.is_large:
+        if not self.is_large_fleet:
             return HEARTBEAT_SECONDS
         rate = ORDINARY_HEARTBEATS_PER_SECOND
-        if self.is_senior:
+        if self.is_candidate:
             rate = SENIOR_HEARTBEATS_PER_SECOND
         return len(self._addresses) / rate
 
@@ -227,7 +227,7 @@
             self.tell_heartbeat()
             await self._clock.sleep(self.interval)
 
-    async def run_senior_heartbeats(self) -> None:
+    async def run_candidate_heartbeats(self) -> None:
         """Send heartbeats among the hosts that plan or read next, until cancelled."""
         while True:
             if self._is_among_seniors:
@@ -237,7 +237,7 @@
 
     @property
     def _is_among_seniors(self) -> bool:
-        return self.is_large and self.is_senior
+        return self.is_large_fleet and self.is_candidate
 
     def tell_heartbeat(self) -> None:
         """Tell the fleet how this node is, but those that hear it more often."""
@@ -248,7 +248,7 @@
         others = self._addresses.keys() - self.seniors
         self.send_to(heartbeat, others)
 
-    async def run_rows(self) -> None:
+    async def run_node_rows(self) -> None:
         """Keep this node's row, and read those of others, until cancelled."""
         written = False
         while True:
@@ -258,11 +258,13 @@
                 await self._clock.sleep(ROWS_AGAIN_SECONDS)
                 continue
             waited = 0.0
-            while waited < (ROWS_SECONDS if self.is_senior else ORDINARY_ROWS_SECONDS):
+            while waited < (
+                ROWS_SECONDS if self.is_candidate else ORDINARY_ROWS_SECONDS
+            ):
                 await self._clock.sleep(ROWS_SECONDS)
                 waited += ROWS_SECONDS
 
-    def tell_suspicion(
+    def broadcast_suspicion(
         self, key: tuple[str, int], *, cleared: bool = False, closing: bool = False
     ) -> None:
         """Tell every peer that a group is silent, sound again, or closing."""
@@ -276,7 +278,7 @@
             )
         )
 
-    def tell_broken(self, group: Group, cause: BreakCause) -> None:
+    def broadcast_group_broken(self, group: Group, cause: BreakCause) -> None:
         """Tell every peer that a formation serves no more."""
         if group.head is None:
             return
@@ -290,7 +292,7 @@
             )
         )
 
-    def ask_about(self, key: GroupKey, silent: float) -> None:
+    def ask_group_progress(self, key: GroupKey, silent: float) -> None:
         """Ask every peer whether a group advances."""
         self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
@@ -301,12 +303,12 @@
         question = LivenessQuestion(node=self._name, number=number, target=target)
         self.send_to(question, (node,))
 
-    def tell_liveness(self, question: LivenessQuestion, alive: bool) -> None:
+    def answer_liveness(self, question: LivenessQuestion, alive: bool) -> None:
         """Answer a peer that asked whether a target lives."""
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
         self.send_to(answer, (question.node,))
 
-    def tell_vouch(self, target: str) -> None:
+    def broadcast_target_healthy(self, target: str) -> None:
         """Tell every peer that a target which the list has lost is healthy."""
         self.broadcast(Vouch(node=self._name, targets=(target,)))
 
@@ -363,11 +365,11 @@
                 _notify(self.on_group_broken, message)
             case Vouch(targets=targets):
                 for target in targets:
-                    for vouch in self.on_vouch:
+                    for vouch in self.on_target_healthy:
                         vouch(target)
             case SilenceQuestion(node=asker, group=group, epoch=epoch):
                 address = self._addresses.get(asker)
-                if address and any(ask(message) for ask in self.on_question):
+                if address and any(ask(message) for ask in self.on_silence_question):
                     answer = Advance(node=self._name, group=group, epoch=epoch)
                     self._send(answer, (address,))
             case Advance(group=group, epoch=epoch):
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -235,7 +235,7 @@
         whole = max(
             PATIENCE_SECONDS,
             PATIENCE_OBJECTIVES * work.route.objective_seconds,
-            PATIENCE_GAPS * work.route.gap_seconds,
+            PATIENCE_GAPS * work.route.gap_objective_seconds,
         )
         heard_at = work.last_event_at or work.started_at
         return max(0.0, WAIT_SHARE * whole - (self._clock.now() - heard_at))
@@ -270,7 +270,7 @@
         load = GroupLoad(
             running=work.profile.slots, slowness=min(load.slowness for load in loads)
         )
-        tokens = work.request.answer_tokens or work.profile.usual_answer_tokens
+        tokens = work.request.answer_tokens or work.profile.typical_answer_tokens
         passes = tokens / max(1, work.profile.stride)
         one_pass = pass_seconds(work.profile, work.model, load)
         return work.route.objective_seconds + passes * one_pass
@@ -316,7 +316,7 @@
                 profile,
                 spec,
                 loads,
-                prompt_tokens=profile.usual_prompt_tokens,
+                prompt_tokens=profile.typical_prompt_tokens,
                 limit_seconds=FIRST_EVENT_SHARE * objective,
             )
             return chosen is not None
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -96,7 +96,7 @@
             end = await self._send(work, group)
             match end:
                 case WholeAnswer(status=status):
-                    self._quarantine.note_answer(work.fingerprint)
+                    self._quarantine.record_answer(work.fingerprint)
                     self._log_served(work)
                     return Answered(status=status, target=work.sent_to[-1].id)
                 case FailedAnswer():
@@ -104,7 +104,7 @@
                     reason = Reason.TARGET_FAILED
                 case NotRun(reason=reason) | Interrupted(reason=reason):
                     if reason is Reason.MISDIRECTED:
-                        self._directory.break_group(group, BreakCause.REFUSED)
+                        self._directory.mark_broken(group, BreakCause.REFUSED)
             if reason in ENDED_REASONS:
                 self._note_broken(work, group, reason)
             refusal = self._may_send_again(work, end, reason)
@@ -151,7 +151,7 @@
             first_event=round(first, 3),
             objective=work.route.objective_seconds,
             longest_gap=round(work.longest_gap, 3),
-            allowed_gap=work.route.gap_seconds,
+            allowed_gap=work.route.gap_objective_seconds,
             waited=round(work.waited, 3),
             sends=work.sends,
         )
@@ -361,7 +361,7 @@
         """Note that a group's head ended, and leave it alone if it had ended before."""
         assert group.head is not None
         process = group.head.process
-        if not self._quarantine.note_ending(work.fingerprint, process, work.sent_at):
+        if not self._quarantine.record_ending(work.fingerprint, process, work.sent_at):
             self._withhold(work, group)
             self._log_turned_away(work, group, reason)
 
@@ -383,7 +383,7 @@
             # Streams that were under way together are turned away once, not in a row.
             pause = max(pause, min(2 * own.pause_seconds, MOST_PAUSE_SECONDS))
             own.pause_seconds = pause
-        self._directory.withhold(group.key, now + pause)
+        self._directory.suspend_group(group.key, now + pause)
 
     def _log_turned_away(self, work: StreamWork, group: Group, reason: Reason) -> None:
         log.info(
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -31,7 +31,7 @@
     VersionAnswer,
     VersionQuestion,
     Work,
-    heartbeat_loads,
+    encode_loads,
 )
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import ConfigurationRead
@@ -73,7 +73,7 @@
             address="127.0.0.1:1",
             table=MemoryTable(),
             clock=self.clock,
-            describe=lambda: beat(name),
+            make_heartbeat=lambda: beat(name),
         )
         self.told = []
         self.peers._send = lambda message, addresses: self.told.append(message)
@@ -440,7 +440,7 @@
     host.clock.time += RELAY_SILENCE_SECONDS + 0.1
     for node in nodes:
         if node != first:
-            host.hear(Work(node=node, loads=heartbeat_loads({})))
+            host.hear(Work(node=node, loads=encode_loads({})))
     assert host.fanout.relay(nodes) not in (first, None)
 
 
@@ -603,7 +603,7 @@
     host.hear(*(beat(other, store=False) for other in names))
     host.source.cut = True
     await host.configuration.step()
-    assert not host.configuration.store_answers
+    assert not host.configuration.is_store_reachable
     host.hear(beat(names[0], store=False))
     assert not host.configuration._store_is_back.is_set()
     host.hear(beat(names[0], store=True))
@@ -612,7 +612,7 @@
     host.hear(beat(names[1], store=True))
     host.source.cut = False
     await host.configuration.step()
-    assert host.configuration.store_answers
+    assert host.configuration.is_store_reachable
     host.hear(beat(names[2], store=True))
     assert not host.configuration._store_is_back.is_set()
 
@@ -663,7 +663,7 @@
     assert len(host.source.configurations) == asked
     # No surer than before: nothing tells when the datagram was sent.
     assert host.configuration.confirmation.confirmed_at == sure_since
-    assert host.configuration.is_sure
+    assert host.configuration.is_confirmed
 
 
 async def test_a_host_without_a_configuration_gets_it_from_a_peer():
@@ -681,10 +681,10 @@
     holder.hear(beat("n9"), question)
     host.hear(*holder.told_of(ConfigurationPart)[-1:])
     assert host.configuration.configuration.version == 3
-    assert not host.configuration.is_sure
+    assert not host.configuration.is_confirmed
     (asked,) = host.told_of(VersionQuestion)
     host.hear(VersionAnswer(node="n0", number=asked.number, version=3, age=0.2))
-    assert host.configuration.is_sure
+    assert host.configuration.is_confirmed
 
 
 async def test_a_configuration_that_got_lost_on_its_way_is_read_from_the_store():
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -32,19 +32,19 @@
         self.told = []
         self.asked = []
         self.on_suspicion = []
-        self.on_question = []
+        self.on_silence_question = []
         self.on_advance = []
         self.on_group_broken = []
 
-    def ask_about(self, key, silent):
+    def ask_group_progress(self, key, silent):
         """Remember a question."""
         self.asked.append(key)
 
-    def tell_broken(self, group, cause):
+    def broadcast_group_broken(self, group, cause):
         """Remember a message."""
         self.told.append((group.key, cause))
 
-    def tell_suspicion(self, key, *, cleared=False, closing=False):
+    def broadcast_suspicion(self, key, *, cleared=False, closing=False):
         """Remember a message."""
         self.told.append(key)
 
@@ -172,7 +172,7 @@
 
 async def test_a_host_tells_of_an_event_that_it_saw_since():
     rig, watch, peers, task, _ = await watched("a", "b")
-    (asked,) = peers.on_question
+    (asked,) = peers.on_silence_question
     rig.clock.time += 0.1
     assert asked(SilenceQuestion(node="n", group="a", epoch=1, silent=0.3))
     assert not asked(SilenceQuestion(node="n", group="a", epoch=1, silent=0.1))
@@ -305,7 +305,7 @@
     (stream,) = rig.service.active
     anew = member("a1", "a", 1, born=1)
     anew = replace(anew, membership=None)
-    rig.directory.hear_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
+    rig.directory.apply_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
     assert stream.moved is Reason.RESTARTED
     assert peers.told == []
     for _ in range(9):
@@ -318,7 +318,7 @@
 
 async def test_peers_are_told_of_a_restart_that_the_list_does_not_show():
     rig, watch, peers, task, _ = await watched("a", "b")
-    rig.directory.learn(replace(member("a1", "a", 1, born=1), membership=None))
+    rig.directory.apply_report(replace(member("a1", "a", 1, born=1), membership=None))
     assert peers.told == [(("a", 1), BreakCause.RESTARTED)]
     assert await task == Answered(status=200, target="b0")
 
@@ -332,7 +332,7 @@
     rig, watch, peers, task, _ = await watched("a", "b")
     (stream,) = rig.service.active
     stream.work.route = replace(stream.work.route, resumable=False)
-    rig.directory.learn(replace(member("a0", "a", 0, born=1), membership=None))
+    rig.directory.apply_report(replace(member("a0", "a", 0, born=1), membership=None))
     assert stream.moved is None
     await end(task)
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -17,11 +17,11 @@
 from mallowpond.state.fleet import BreakCause, Group, GroupKey
 from mallowpond.state.placement import pass_seconds, silent_seconds
 from mallowpond.state.silence import (
-    Doubt,
-    GroupQuiet,
-    Verdict,
+    GroupSilence,
+    PeerQuery,
+    SilenceVerdict,
+    classify_silence,
     has_advanced,
-    judge_silence,
     seconds_until_due,
 )
 
@@ -65,12 +65,12 @@
         self._due_at = clock.now()
         self._pause = LOOK_SECONDS
         self._fresh_from = clock.now()
-        self._doubts: dict[GroupKey, Doubt] = {}
+        self._doubts: dict[GroupKey, PeerQuery] = {}
         self.on_suspect: list[Callable[[GroupKey], None]] = []
         directory.on_broken.append(self._leave_broken)
         peers.on_suspicion.append(self._hear)
         peers.on_group_broken.append(self._hear_broken)
-        peers.on_question.append(self._sees_advance)
+        peers.on_silence_question.append(self._sees_advance)
         peers.on_advance.append(self._note_advance)
 
     async def run(self) -> None:
@@ -89,7 +89,7 @@
         if now - self._due_at > STALLED_SECONDS:
             self._fresh_from = now
         self._pause = LONGEST_LOOK_SECONDS
-        if self._directory.take_releases():
+        if self._directory.consume_resumed():
             self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
@@ -108,20 +108,20 @@
         self._due_at = now + self._pause
 
     def _judge(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         now = self._clock.now()
-        match judge_silence(quiet, self._doubts.get(key), now):
-            case Verdict.SOUND:
+        match classify_silence(quiet, self._doubts.get(key), now):
+            case SilenceVerdict.SOUND:
                 self._doubts.pop(key, None)
                 self._move_from_slow(streams)
-            case Verdict.ASK:
-                self._doubts[key] = Doubt(asked_at=now)
-                self._peers.ask_about(key, quiet.silent_seconds)
-            case Verdict.SUSPECT:
+            case SilenceVerdict.ASK:
+                self._doubts[key] = PeerQuery(asked_at=now)
+                self._peers.ask_group_progress(key, quiet.silent_seconds)
+            case SilenceVerdict.SUSPECT:
                 del self._doubts[key]
                 self._suspect(key, streams, quiet)
-            case Verdict.LEAVE:
+            case SilenceVerdict.LEAVE:
                 del self._doubts[key]
                 self._leave(key, streams, quiet)
 
@@ -140,7 +140,7 @@
 
     def _quiet(
         self, key: GroupKey, streams: list[ActiveStream], now: float
-    ) -> GroupQuiet:
+    ) -> GroupSilence:
         work = streams[0].work
         load = self._directory.loads.load_of(streams[0].group, work.profile)
         # Tokens that other hosts' prompts still hold are part of the load.
@@ -150,7 +150,7 @@
             self._directory.loads.work(key).last_event_at, oldest, self._fresh_from
         )
         delay = self._streams.placement.delay(work.service, work.model.name)
-        return GroupQuiet(
+        return GroupSilence(
             silent_seconds=now - since,
             predicted_gap=predicted,
             allowed_gap=min(stream.allowed_gap for stream in streams),
@@ -161,7 +161,7 @@
         )
 
     def _suspect(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         self._metrics.suspicions.labels("own").inc()
         log.info(
@@ -174,10 +174,10 @@
         )
         self._mark(key)
         self._move(streams)
-        self._peers.tell_suspicion(key)
+        self._peers.broadcast_suspicion(key)
 
     def _leave(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupQuiet
+        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         """Move the streams of a group that advances for other hosts."""
         self._metrics.suspicions.labels("unreached").inc()
@@ -231,7 +231,7 @@
         # it would be sent new streams again.
         work = self._directory.loads.work(key)
         work.suspicions += 1
-        self._directory.withhold(key, self._clock.now() + self._stall_seconds)
+        self._directory.suspend_group(key, self._clock.now() + self._stall_seconds)
         for notify in self.on_suspect:
             notify(key)
 
@@ -242,7 +242,7 @@
             self.clear(key)
             return
         if suspicion.closing:
-            self.retire(key)
+            self.exclude_closing(key)
             return
         streams = self._streams_on(key)
         if self._advances(key, streams):
@@ -268,7 +268,7 @@
         if group is None or group.head is None:
             return
         if group.head.process == message.head:
-            self._directory.break_group(group, message.cause, is_told=True)
+            self._directory.mark_broken(group, message.cause, is_told=True)
 
     def _leave_broken(self, group: Group, cause: BreakCause, is_told: bool) -> None:
         """Move the streams of a formation that serves no more, and tell the peers.
@@ -284,12 +284,12 @@
         elif not self._advances(group.key, streams):
             self._move(streams)
         if not is_told:
-            self._peers.tell_broken(group, cause)
+            self._peers.broadcast_group_broken(group, cause)
         self._metrics.suspicions.labels(cause.value).inc()
         for notify in self.on_suspect:
             notify(group.key)
 
-    def retire(self, key: GroupKey) -> None:
+    def exclude_closing(self, key: GroupKey) -> None:
         """Send no new streams to a group that is closed or taken apart.
 
         The list shows it up to a poll later, and each stream sent meanwhile is turned
@@ -298,8 +298,8 @@
         self._exclude(key, self._stall_seconds)
 
     def _exclude(self, key: GroupKey, seconds: float) -> None:
-        self._directory.withhold(key, self._clock.now() + seconds)
+        self._directory.suspend_group(key, self._clock.now() + seconds)
 
     def clear(self, key: GroupKey) -> None:
         """Trust a group again whose members were all found alive."""
-        self._directory.release(key)
+        self._directory.resume_group(key)
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -20,8 +20,8 @@
 from mallowpond.state.site_configuration import (
     Backend,
     CallerLimits,
-    KeyHolder,
-    Repeat,
+    KeyOwner,
+    RepeatPolicy,
     Route,
     Service,
     SiteConfiguration,
@@ -31,18 +31,18 @@
     name="r",
     host="h.example",
     prefix="/p/",
-    repeat=Repeat.ONCE,
+    repeat=RepeatPolicy.ONCE,
     backends=(Backend(service="s", weight=1),),
     timeout_seconds=1.0,
     objective_seconds=0.2,
 )
-STREAM = replace(ROUTE, name="t", prefix="/t/", repeat=Repeat.STREAM)
+STREAM = replace(ROUTE, name="t", prefix="/t/", repeat=RepeatPolicy.STREAM)
 MODELS = EngineProfile(slots=4, models=(ModelSpec(name="m", size=2),))
 SITE = SiteConfiguration(
     version=1,
     routes=(ROUTE, STREAM),
     services={"s": Service(name="s", max_connections=9, profile=MODELS)},
-    keys={"good": KeyHolder(workspace="w")},
+    keys={"good": KeyOwner(workspace="w")},
     uses_keys=True,
     limits=CallerLimits(header_bytes=2000, body_bytes=100, header_seconds=0.3),
 )
--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Vouch:
+class PeerAnswer:
     """Hold a peer's last answer; `asked_at` is this node's time before asking."""
 
     member: str
@@ -65,23 +65,23 @@
 
 def assess(
     *,
-    me: str,
+    member: str,
     now: float,
     limit_seconds: float,
     cell: CellView,
-    own: HeadRead | None,
+    own_read: HeadRead | None,
     holds_newer: bool,
-    vouches: tuple[Vouch, ...],
+    peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured | NotAssured:
     """Return the longest assurance that any of the three sources gives."""
-    if own is None:
+    if own_read is None:
         # A restarted member may have prepared a change that it has forgotten.
         return NotAssured(reason="the head was not read since the start")
-    reads = _assured_by_reads(own, vouches, limit_seconds)
+    reads = _assured_by_reads(own_read, peer_answers, limit_seconds)
     if now < reads.until:
         return reads
     vouched = _assured_by_majority(
-        me, now, limit_seconds, cell, own, holds_newer, vouches
+        member, now, limit_seconds, cell, own_read, holds_newer, peer_answers
     )
     if now < vouched.until:
         return vouched
@@ -89,14 +89,14 @@
 
 
 def _assured_by_reads(
-    own: HeadRead, vouches: tuple[Vouch, ...], limit_seconds: float
+    own_read: HeadRead, peer_answers: tuple[PeerAnswer, ...], limit_seconds: float
 ) -> Assured:
     best = Assured(
-        version=own.version,
+        version=own_read.version,
         source=Source.OWN_READ,
-        until=own.asked_at + limit_seconds,
+        until=own_read.asked_at + limit_seconds,
     )
-    for vouch in vouches:
+    for vouch in peer_answers:
         if vouch.read_age is None:
             continue
         until = vouch.asked_at - vouch.read_age + limit_seconds
@@ -108,21 +108,21 @@
 
 
 def _assured_by_majority(
-    me: str,
+    member: str,
     now: float,
     limit_seconds: float,
     cell: CellView,
-    own: HeadRead,
+    own_read: HeadRead,
     holds_newer: bool,
-    vouches: tuple[Vouch, ...],
+    peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured:
-    nothing = Assured(version=own.version, source=Source.CELL_MAJORITY, until=now)
-    if holds_newer or me not in cell.members:
+    nothing = Assured(version=own_read.version, source=Source.CELL_MAJORITY, until=now)
+    if holds_newer or member not in cell.members:
         return nothing
-    fresh = [v for v in vouches if now - v.asked_at < limit_seconds]
-    if any(_forbids(v, cell, own, now, limit_seconds) for v in fresh):
+    fresh = [v for v in peer_answers if now - v.asked_at < limit_seconds]
+    if any(_forbids(v, cell, own_read, now, limit_seconds) for v in fresh):
         return nothing
-    agreeing = [v for v in fresh if _agrees(v, cell, own)]
+    agreeing = [v for v in fresh if _agrees(v, cell, own_read)]
     needed = len(cell.members) // 2 + 1
     if 1 + len(agreeing) < needed:
         return nothing
@@ -130,18 +130,24 @@
     latest_first = sorted((v.asked_at for v in agreeing), reverse=True)
     oldest = min([now, *latest_first[: needed - 1]])
     return Assured(
-        version=own.version, source=Source.CELL_MAJORITY, until=oldest + limit_seconds
+        version=own_read.version,
+        source=Source.CELL_MAJORITY,
+        until=oldest + limit_seconds,
     )
 
 
 def _forbids(
-    vouch: Vouch, cell: CellView, own: HeadRead, now: float, limit_seconds: float
+    vouch: PeerAnswer,
+    cell: CellView,
+    own_read: HeadRead,
+    now: float,
+    limit_seconds: float,
 ) -> bool:
-    knows_later = vouch.head_version > own.version or vouch.epoch > cell.epoch
+    knows_later = vouch.head_version > own_read.version or vouch.epoch > cell.epoch
     return knows_later or _has_read(vouch, now, limit_seconds)
 
 
-def _has_read(vouch: Vouch, now: float, limit_seconds: float) -> bool:
+def _has_read(vouch: PeerAnswer, now: float, limit_seconds: float) -> bool:
     # A member that still reads the table proves that it is not dark: the others
     # should take its word (the second source) and not outvote it.
     if vouch.read_age is None:
@@ -149,8 +155,8 @@
     return now - vouch.asked_at + vouch.read_age < limit_seconds
 
 
-def _agrees(vouch: Vouch, cell: CellView, own: HeadRead) -> bool:
-    same = vouch.head_version == own.version and vouch.epoch == cell.epoch
+def _agrees(vouch: PeerAnswer, cell: CellView, own_read: HeadRead) -> bool:
+    same = vouch.head_version == own_read.version and vouch.epoch == cell.epoch
     has_read_once = vouch.read_age is not None
     return (
         same
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -119,7 +119,7 @@
         ended_at = self._ended.get(process)
         return ended_at is not None and ended_at < sent_at <= ended_at + ENDED_SECONDS
 
-    def note_ending(
+    def record_ending(
         self, request: str, ending: Ending, now: float
     ) -> CrashRecord | None:
         """Take an ending that this host saw, and return all that is known of it.
@@ -145,7 +145,7 @@
         if len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
 
-    def note_answer(self, request: str, now: float) -> CrashRecord | None:
+    def record_answer(self, request: str, now: float) -> CrashRecord | None:
         """Note a whole answer; return what it refutes, None if there was nothing.
 
         A request that ends each target which runs it is never answered.
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -47,12 +47,12 @@
     step_seconds: float = 0.0
     request_seconds: float = 0.0
     context_seconds_per_k: float = 0.0
-    read_tokens_per_second: float = 1.0
+    prefill_tokens_per_second: float = 1.0
     loads_per_second: float = 0.0
     loads_at_once: int = 1
-    usual_prompt_tokens: float = 0.0
-    usual_answer_tokens: float = 0.0
-    far_factor: float = 1.0
+    typical_prompt_tokens: float = 0.0
+    typical_answer_tokens: float = 0.0
+    cross_domain_factor: float = 1.0
 
     def model(self, name: str) -> ModelSpec | None:
         """Return the model called `name`."""
@@ -194,7 +194,7 @@
     return groups
 
 
-def without_start(
+def ids_without_start_time(
     listed: Mapping[str, Target], known: Mapping[str, Target]
 ) -> frozenset[str]:
     """Return the listed targets whose entries lack the start that others tell.
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -51,7 +51,7 @@
 
 def pass_seconds(profile: EngineProfile, model: ModelSpec, load: GroupLoad) -> float:
     """Return the time of one pass, which is the usual gap between events."""
-    context = profile.usual_prompt_tokens or DEFAULT_CONTEXT_TOKENS
+    context = profile.typical_prompt_tokens or DEFAULT_CONTEXT_TOKENS
     step = profile.step_seconds
     step += profile.request_seconds * load.running
     step += profile.context_seconds_per_k * context * load.running / 1000.0
@@ -62,7 +62,7 @@
     profile: EngineProfile, model: ModelSpec, tokens: float, slowness: float = 1.0
 ) -> float:
     """Return the time that a group needs to read `tokens` of prompts."""
-    return tokens / profile.read_tokens_per_second * model.pace * slowness
+    return tokens / profile.prefill_tokens_per_second * model.pace * slowness
 
 
 def first_event_seconds(
@@ -78,7 +78,7 @@
         profile, model, load.reading_tokens + prompt_tokens, load.slowness
     )
     beyond = max(0, load.running + 1 - profile.slots)
-    passes = profile.usual_answer_tokens / max(1, profile.stride)
+    passes = profile.typical_answer_tokens / max(1, profile.stride)
     ending = beyond * passes * one_pass / max(1, profile.slots)
     return FIRST_EVENT_PASSES * one_pass + reading + ending
 
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -17,10 +17,10 @@
 from mallowpond.state.silence import (
     ANSWER_SECONDS,
     ASK_SHARE,
-    Doubt,
-    GroupQuiet,
-    Verdict,
-    judge_silence,
+    GroupSilence,
+    PeerQuery,
+    SilenceVerdict,
+    classify_silence,
     silence_limit,
 )
 
@@ -30,9 +30,9 @@
     step_seconds=0.006,
     request_seconds=0.0001,
     context_seconds_per_k=0.00002,
-    read_tokens_per_second=50_000,
-    usual_prompt_tokens=1000,
-    usual_answer_tokens=180,
+    prefill_tokens_per_second=50_000,
+    typical_prompt_tokens=1000,
+    typical_answer_tokens=180,
 )
 MODEL = ModelSpec(name="m", size=4)
 
@@ -126,7 +126,7 @@
 def quiet(silent, load, allowed=0.2):
     """Describe a group that has been silent for some seconds."""
     predicted = silent_seconds(PROFILE, MODEL, load)
-    return GroupQuiet(
+    return GroupSilence(
         silent_seconds=silent,
         predicted_gap=predicted,
         allowed_gap=allowed,
@@ -135,7 +135,10 @@
 
 def is_suspect(quiet):
     """Tell whether a group is suspected once the other hosts have not answered."""
-    return judge_silence(quiet, Doubt(asked_at=0.0), 100.0) is Verdict.SUSPECT
+    return (
+        classify_silence(quiet, PeerQuery(asked_at=0.0), 100.0)
+        is SilenceVerdict.SUSPECT
+    )
 
 
 def test_a_silent_idle_group_is_suspected_before_its_streams_are_late():
@@ -158,7 +161,7 @@
 
 def gap_of(predicted):
     """Describe streams whose gap is predicted, with 0.2 s allowed."""
-    return GroupQuiet(silent_seconds=0.0, predicted_gap=predicted, allowed_gap=0.2)
+    return GroupSilence(silent_seconds=0.0, predicted_gap=predicted, allowed_gap=0.2)
 
 
 def test_the_limit_never_falls_below_what_the_timing_explains():
@@ -175,15 +178,17 @@
     limit = silence_limit(gap_of(0.05))
 
     def verdict(silent, doubt):
-        quiet = GroupQuiet(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
-        return judge_silence(quiet, doubt, 100.0 + silent)
+        quiet = GroupSilence(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
+        return classify_silence(quiet, doubt, 100.0 + silent)
 
     asked_at = 100.0 + ASK_SHARE * limit + 0.001
     assert ASK_SHARE * limit + ANSWER_SECONDS < limit
-    assert verdict(ASK_SHARE * limit - 0.001, None) is Verdict.SOUND
-    assert verdict(ASK_SHARE * limit + 0.001, None) is Verdict.ASK
-    assert verdict(limit - 0.001, Doubt(asked_at=asked_at)) is Verdict.WAIT
-    assert verdict(limit + 0.001, Doubt(asked_at=asked_at)) is Verdict.SUSPECT
+    assert verdict(ASK_SHARE * limit - 0.001, None) is SilenceVerdict.SOUND
+    assert verdict(ASK_SHARE * limit + 0.001, None) is SilenceVerdict.ASK
+    assert verdict(limit - 0.001, PeerQuery(asked_at=asked_at)) is SilenceVerdict.WAIT
+    assert (
+        verdict(limit + 0.001, PeerQuery(asked_at=asked_at)) is SilenceVerdict.SUSPECT
+    )
 
 
 def test_a_stream_that_only_waits_its_turn_is_not_moved():
@@ -197,17 +202,17 @@
     limit = silence_limit(gap_of(0.05))
 
     def verdict(factor, has_running):
-        quiet = GroupQuiet(
+        quiet = GroupSilence(
             silent_seconds=factor * limit,
             predicted_gap=0.05,
             allowed_gap=0.2,
             has_running=has_running,
         )
-        return judge_silence(quiet, Doubt(asked_at=9.9, advanced_at=9.95), 10.0)
+        return classify_silence(quiet, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0)
 
-    assert verdict(1.1, has_running=True) is Verdict.LEAVE
-    assert verdict(3.9, has_running=False) is Verdict.WAIT
-    assert verdict(4.1, has_running=False) is Verdict.LEAVE
+    assert verdict(1.1, has_running=True) is SilenceVerdict.LEAVE
+    assert verdict(3.9, has_running=False) is SilenceVerdict.WAIT
+    assert verdict(4.1, has_running=False) is SilenceVerdict.LEAVE
 
 
 def test_only_as_many_groups_are_looked_at_as_the_choice_is_between():
