--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -88,7 +88,7 @@
             priority=question.priority,
             objective_deadline=now + question.on_time,
             queued_at=now,
-            until=now + min(question.patience, MOST_PATIENCE_SECONDS),
+            deadline=now + min(question.patience, MOST_PATIENCE_SECONDS),
             has_begun=question.has_begun,
         )
         asker = Asker(node=question.node, number=question.number)
--- a/mallowpond/state/place_line.py
+++ b/mallowpond/state/place_line.py
@@ -30,13 +30,13 @@
     priority: int
     objective_deadline: float
     queued_at: float
-    until: float
+    deadline: float
     has_begun: bool = False
 
     @property
     def patience(self) -> float:
         """Return for how many seconds it waits at most."""
-        return self.until - self.queued_at
+        return self.deadline - self.queued_at
 
     def rank(self, number: int, now: float) -> tuple[bool, int, int, int]:
         """Return the order of who came as `number`, lower first.
@@ -45,7 +45,7 @@
         """
         if self.objective_deadline > now:
             return (not self.has_begun, 1, self.priority, -number)
-        is_aged = self.until - now <= AGED_SHARE * self.patience
+        is_aged = self.deadline - now <= AGED_SHARE * self.patience
         return (not self.has_begun, 0 if is_aged else 2, self.priority, number)
 
 
@@ -79,7 +79,7 @@
 
     def over(self, now: float) -> list[Asker]:
         """Return those whose time is over."""
-        return [a for a, (_, claim) in self._claims.items() if claim.until <= now]
+        return [a for a, (_, claim) in self._claims.items() if claim.deadline <= now]
 
     def ahead_of(self, claim: QueueEntry) -> int:
         """Return how many streams go before one that would be late."""
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -4,7 +4,7 @@
 
 from mallowpond.state.place_line import PlacementQueue, QueueEntry
 
-CLAIM = QueueEntry(priority=1, objective_deadline=10.0, queued_at=0.0, until=20.0)
+CLAIM = QueueEntry(priority=1, objective_deadline=10.0, queued_at=0.0, deadline=20.0)
 
 
 def order(line, now=0.0):
@@ -57,14 +57,14 @@
     line = PlacementQueue()
     line.join("first", CLAIM)
     line.join("second", CLAIM)
-    line.join("first", replace(CLAIM, until=30.0))
+    line.join("first", replace(CLAIM, deadline=30.0))
     assert order(line, now=11.0) == ["first", "second"]
     assert line.over(20.0) == ["first", "second"]
 
 
 def test_who_has_waited_too_long_is_told():
     line = PlacementQueue()
-    line.join("a", replace(CLAIM, until=1.0))
+    line.join("a", replace(CLAIM, deadline=1.0))
     line.join("b", CLAIM)
     assert line.over(1.0) == ["a"]
     line.leave("a")
