--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -396,7 +396,7 @@
         return sum(p in present and p not in self._ended for p in processes)
 
     @property
-    def is_lost(self) -> bool:
+    def is_list_lost(self) -> bool:
         """Tell whether the list cannot be read now."""
         return self._lost_at is not None
 
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -191,7 +191,7 @@
                 self._tell_work()
             return
         known = self._configuration.configuration
-        if known is None or self._directory.is_lost:
+        if known is None or self._directory.is_list_lost:
             return
         self._turn += 1
         if self.stands_by and self._peers.is_large_fleet and self._turn % STANDBY_TURNS:
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -305,9 +305,9 @@
     host = await follower(*open_group("g"))
     host.source.cut = True
     assert not await host.directory.refresh()
-    assert host.directory.is_lost
+    assert host.directory.is_list_lost
     host.hear(digest(changed=10))
-    assert not host.directory.is_lost
+    assert not host.directory.is_list_lost
 
 
 async def test_the_readers_sums_do_not_count_a_hosts_own_work_twice():
