--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -112,7 +112,7 @@
         self, line: PlacementQueue[Asker], seek: Seek, claim: QueueEntry
     ) -> Group | None:
         """Return a group for a new stream unless another one goes before it."""
-        if line.goes_before(claim, self._clock.now()):
+        if line.has_entry_ahead_of(claim, self._clock.now()):
             return None
         return self._choice.exact(seek)
 
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -27,10 +27,10 @@
     for name in ("old", "newer", "newest"):
         line.join(name, CLAIM)
     assert order(line) == ["newest", "newer", "old"]
-    assert not line.goes_before(CLAIM, 0.0)
+    assert not line.has_entry_ahead_of(CLAIM, 0.0)
     # Those that are late come as they came.
     assert order(line, now=11.0) == ["old", "newer", "newest"]
-    assert not line.goes_before(replace(CLAIM, objective_deadline=30.0), 11.0)
+    assert not line.has_entry_ahead_of(replace(CLAIM, objective_deadline=30.0), 11.0)
 
 
 def test_who_is_late_goes_first_before_its_patience_ends():
@@ -41,7 +41,7 @@
     line.join("on time", on_time)
     assert order(line, now=13.9) == ["on time", "late"]
     assert order(line, now=14.1) == ["late", "on time"]
-    assert line.goes_before(on_time, 14.1)
+    assert line.has_entry_ahead_of(on_time, 14.1)
 
 
 def test_what_has_begun_goes_first_and_then_the_more_urgent():
