--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -153,7 +153,7 @@
             and self._is_known_to_live(group, now)
         ]
 
-    def count_open(self, service: str) -> int:
+    def count_open_groups(self, service: str) -> int:
         """Return how many groups of a service are open, whatever their model."""
         return sum(
             group.phase is GroupPhase.OPEN
--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -78,7 +78,7 @@
             own_per_second=self._budget(seek.service).firsts_per_second,
             hosts=self._hosts(),
             age_seconds=self._directory.loads.load_age,
-            groups=self._directory.count_open(seek.service),
+            groups=self._directory.count_open_groups(seek.service),
         )
         groups = self._groups(seek)
         if unseen < UNSEEN_STREAMS:
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -219,7 +219,7 @@
     directory, source, clock = await directory_of(listing(*group))
     directory.mark_broken(directory.groups["g", 1], BreakCause.REFUSED)
     assert serving(directory) == set()
-    assert directory.count_open("engines") == 0
+    assert directory.count_open_groups("engines") == 0
     clock.time += 0.5
     source.listed.append(listing(*group, revision=2))
     directory._whole_at = float("-inf")
