--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -104,7 +104,7 @@
             wait = self._expected_wait(line, seek, claim)
             if wait > claim.patience or len(line) >= MAX_WAITING:
                 return self._answer(asker, PlaceVerdict.REFUSED, wait=wait)
-        line.join(asker, claim)
+        line.add(asker, claim)
         self._seeks[asker] = seek
         return self._answer(asker, PlaceVerdict.WAITING)
 
