--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -73,7 +73,7 @@
         self._broken = BrokenGroups()
         self._release_at = inf
         self._revision = 0
-        self._whole_at = float("-inf")
+        self._full_read_at = float("-inf")
         self._lost_at: float | None = None
         self._regained_at = float("-inf")
         self._doubted: set[str] = set()
@@ -265,7 +265,7 @@
             return True
         if now - self._heard_at > READERS_SILENCE_SECONDS:
             return True
-        return now - self._whole_at > FOLLOWER_WHOLE_READ_SECONDS
+        return now - self._full_read_at > FOLLOWER_WHOLE_READ_SECONDS
 
     @property
     def _pause_seconds(self) -> float:
@@ -297,7 +297,7 @@
         """
         if previous > self._revision or read.revision <= self._revision:
             return
-        if self._whole_at == float("-inf"):
+        if self._full_read_at == float("-inf"):
             return
         self._apply(read)
         self._revision = read.revision
@@ -309,7 +309,7 @@
         self._read_at = now
         self._drop_doubted()
         limit = WHOLE_READ_SECONDS if self.is_reader() else FOLLOWER_WHOLE_READ_SECONDS
-        due = now - self._whole_at > limit
+        due = now - self._full_read_at > limit
         answer = await self._source.targets(0 if due else self._revision)
         match answer:
             case Unavailable(reason=reason):
@@ -319,7 +319,7 @@
                 return False
             case HistoryLost():
                 log.warning("targets: history lost", revision=self._revision)
-                self._whole_at = float("-inf")
+                self._full_read_at = float("-inf")
                 self._regained_at = now
                 return False
         self._note_regained(now)
@@ -328,7 +328,7 @@
             # answer would bring back the state before that change.
             return True
         if answer.whole:
-            self._whole_at = now
+            self._full_read_at = now
         before = self._targets
         self._apply(answer)
         self._revision = answer.revision
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -222,7 +222,7 @@
     assert directory.count_open_groups("engines") == 0
     clock.time += 0.5
     source.listed.append(listing(*group, revision=2))
-    directory._whole_at = float("-inf")
+    directory._full_read_at = float("-inf")
     await directory.refresh()
     assert source.asked[-1] == 0
     assert serving(directory) == set()
@@ -244,7 +244,7 @@
     directory.mark_broken(directory.groups["g", 1], BreakCause.REFUSED)
     clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
-    directory._whole_at = float("-inf")
+    directory._full_read_at = float("-inf")
     await directory.refresh()
     assert serving(directory) == {"g"}
 
@@ -354,7 +354,7 @@
     directory.apply_report(restarted(group[1]))
     clock.time += STALE_ENTRY_SECONDS + 0.1
     source.listed.append(listing(*group, revision=2))
-    directory._whole_at = float("-inf")
+    directory._full_read_at = float("-inf")
     await directory.refresh()
     assert serving(directory) == {"g"}
 
