--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -156,7 +156,7 @@
             self._drop(line, asker)
 
     def _drop(self, line: PlacementQueue[Asker], asker: Asker) -> None:
-        line.leave(asker)
+        line.discard(asker)
         self._seeks.pop(asker, None)
 
     def _grant(self, asker: Asker, seek: Seek, group: Group) -> PlaceAnswer:
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -67,7 +67,7 @@
     line.add("a", replace(CLAIM, deadline=1.0))
     line.add("b", CLAIM)
     assert line.over(1.0) == ["a"]
-    line.leave("a")
+    line.discard("a")
     assert order(line) == ["b"]
     assert len(line) == 1
 
