--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -91,7 +91,7 @@
         self._store_was_reached = True
         # The last place that this host was given, which its work holds.
         self.granted: Callable[[], int] = lambda: 0
-        self.on_news: list[Callable[[], None]] = []
+        self.after_digest: list[Callable[[], None]] = []
         configuration.is_reader = lambda: self.reads
         configuration.ask_readers = self._ask
         directory.is_reader = lambda: self.reads
@@ -287,7 +287,7 @@
         self._fanout.pass_on(digest)
         self._directory.hear_digest(digest.changed, decode_loads(digest))
         self._configuration.hear_version(digest.version)
-        for notify in self.on_news:
+        for notify in self.after_digest:
             notify()
 
     def _note_work(self, work: Work) -> None:
