--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -138,7 +138,7 @@
                 pass
 
     def _give_one(self, line: PlacementQueue[Asker]) -> bool:
-        for asker in line.over(self._clock.now()):
+        for asker in line.expired(self._clock.now()):
             self._drop(line, asker)
         waiting = line.in_order(self._clock.now())
         for asker in list(islice(waiting, TRIED_STREAMS)):
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -59,14 +59,14 @@
     line.add("second", CLAIM)
     line.add("first", replace(CLAIM, deadline=30.0))
     assert order(line, now=11.0) == ["first", "second"]
-    assert line.over(20.0) == ["first", "second"]
+    assert line.expired(20.0) == ["first", "second"]
 
 
 def test_who_has_waited_too_long_is_told():
     line = PlacementQueue()
     line.add("a", replace(CLAIM, deadline=1.0))
     line.add("b", CLAIM)
-    assert line.over(1.0) == ["a"]
+    assert line.expired(1.0) == ["a"]
     line.discard("a")
     assert order(line) == ["b"]
     assert len(line) == 1
