--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -221,7 +221,7 @@
         self._directory.loads.record_published(loads)
         self._send_work(loads, {*self.names, self.dispatcher})
 
-    def tell_dispatcher(self) -> None:
+    def send_work_to_dispatcher(self) -> None:
         """Tell this host's work at once to the one that counts places for all."""
         host = self.dispatcher
         if host == self._name:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -385,7 +385,7 @@
 
     def _on_slot_freed(self) -> None:
         """Tell whoever counts places that this host holds one less."""
-        self.readers.tell_dispatcher()
+        self.readers.send_work_to_dispatcher()
         self.dispatcher.wake()
 
     def _publish_version(self) -> None:
