--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -28,7 +28,7 @@
     """Count this host's own streams on one group."""
 
     running: int = 0
-    reading_tokens: float = 0.0
+    prefill_tokens: float = 0.0
     slowness: float = 1.0
     last_event_at: float = 0.0
     excluded_until: float = 0.0
@@ -63,18 +63,18 @@
         """Return what is known of all hosts' work on a group."""
         now = self._clock.now()
         own = self._work[key]
-        running, reading = own.running, own.reading_tokens
+        running, reading = own.running, own.prefill_tokens
         if now - self._totals_at < TOTALS_SECONDS:
             others, others_reading = self._others(key)
             return GroupLoad(
                 running=running + others,
-                reading_tokens=reading + others_reading,
+                prefill_tokens=reading + others_reading,
                 slowness=self._slowness(own, now),
             )
         others, others_reading = self._peers.of(key, now)
         return GroupLoad(
             running=running + others,
-            reading_tokens=reading + others_reading,
+            prefill_tokens=reading + others_reading,
             slowness=self._slowness(own, now),
         )
 
@@ -110,7 +110,7 @@
     def own_loads(self) -> LoadsByGroup:
         """Return this host's own work by group, for its peers."""
         return {
-            key: (work.running, work.reading_tokens)
+            key: (work.running, work.prefill_tokens)
             for key, work in self._work.items()
             if work.running
         }
@@ -118,7 +118,7 @@
     def all_loads(self, groups: Iterable[GroupKey]) -> LoadsByGroup:
         """Return all hosts' work on these groups, as a reader sums it up."""
         loads = {key: self.load(key) for key in groups}
-        return {k: (v.running, v.reading_tokens) for k, v in loads.items() if v.running}
+        return {k: (v.running, v.prefill_tokens) for k, v in loads.items() if v.running}
 
     def record_published(self, loads: LoadsByGroup) -> None:
         """Note which of this host's work is part of the readers' sums."""
--- a/mallowpond/node/model_summary.py
+++ b/mallowpond/node/model_summary.py
@@ -79,7 +79,7 @@
                 if g.phase is not GroupPhase.OPEN
             ],
             running=sum(load.running for load in loads),
-            reading=round(sum(load.reading_tokens for load in loads)),
+            reading=round(sum(load.prefill_tokens for load in loads)),
             slowness=[round(load.slowness, 1) for load in loads],
         )
     free = [t for t in view.targets if t.membership is None]
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -208,7 +208,7 @@
             reading=work.prompt_tokens,
         )
         own.running += 1
-        own.reading_tokens += stream.reading
+        own.prefill_tokens += stream.reading
         self._intake.note_sent(group.head)
         work.sent_to.append(group.head.process)
         work.sent_at = now
@@ -220,7 +220,7 @@
             group=group.name,
             target=group.head.id,
             running=load.running,
-            reading=round(load.reading_tokens),
+            reading=round(load.prefill_tokens),
             slowness=round(load.slowness, 2),
             predicted=round(stream.predicted, 3),
             delay=round(delay_of(load, usual_delay), 3),
@@ -244,7 +244,7 @@
             stream.task.cancel()
             await asyncio.gather(stream.task, return_exceptions=True)
             own.running -= 1
-            own.reading_tokens -= stream.reading
+            own.prefill_tokens -= stream.reading
             work.progress.drop_rest()
             self.placement.wake(work.model.name)
             for notify in self.on_end:
@@ -341,7 +341,7 @@
                 predicted=stream.predicted,
                 slowness=stream.slowness,
             )
-            own.reading_tokens -= stream.reading
+            own.prefill_tokens -= stream.reading
             stream.reading = 0.0
             self.placement.wake(work.model.name)
         else:
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -276,10 +276,10 @@
     assert loads.load(GROUP).running == 2
     loads.record_peer_loads("a", {GROUP: (1, 50.0)}, 1)
     assert loads.load(GROUP).running == 2
-    assert loads.load(GROUP).reading_tokens == 150.0
+    assert loads.load(GROUP).prefill_tokens == 150.0
     loads.record_peer_loads("a", {GROUP: (2, 0.0)}, 2)
     assert loads.load(GROUP).running == 2
-    assert loads.load(GROUP).reading_tokens == 0.0
+    assert loads.load(GROUP).prefill_tokens == 0.0
 
 
 @pytest.mark.parametrize("tells", [True, False])
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -322,7 +322,7 @@
     host.directory.loads.record_published({key: (3, 100.0)})
     host.directory.hear_digest(10, {key: (8, 500.0)})
     load = host.directory.loads.load(key)
-    assert (load.running, load.reading_tokens) == (8, 400.0)
+    assert (load.running, load.prefill_tokens) == (8, 400.0)
 
 
 async def reader_of(*reads):
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -201,7 +201,7 @@
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert rig.directory.loads.work(("a", 1)).running == 0
-    assert rig.directory.loads.work(("a", 1)).reading_tokens == 0
+    assert rig.directory.loads.work(("a", 1)).prefill_tokens == 0
     assert not rig.service.active
 
 
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -34,7 +34,7 @@
     """Hold what is known of a group's work: own and that of other entry hosts."""
 
     running: int
-    reading_tokens: float = 0.0
+    prefill_tokens: float = 0.0
     slowness: float = 1.0
 
 
@@ -75,7 +75,7 @@
     """
     one_pass = pass_seconds(profile, model, load)
     reading = reading_seconds(
-        profile, model, load.reading_tokens + prompt_tokens, load.slowness
+        profile, model, load.prefill_tokens + prompt_tokens, load.slowness
     )
     beyond = max(0, load.running + 1 - profile.slots)
     passes = profile.typical_answer_tokens / max(1, profile.stride)
@@ -86,7 +86,7 @@
 def silent_seconds(profile: EngineProfile, model: ModelSpec, load: GroupLoad) -> float:
     """Return how long a group that works may show no event on any of its streams."""
     one_pass = pass_seconds(profile, model, load)
-    reading = reading_seconds(profile, model, load.reading_tokens, load.slowness)
+    reading = reading_seconds(profile, model, load.prefill_tokens, load.slowness)
     return SILENT_PASSES * one_pass + reading
 
 
@@ -106,7 +106,7 @@
     """
     if load.running >= profile.slots + QUEUE_BEYOND_SLOTS:
         return False
-    if load.reading_tokens <= 0:
+    if load.prefill_tokens <= 0:
         return True
     seconds = first_event_seconds(profile, model, load, prompt_tokens)
     return seconds <= limit_seconds
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -55,13 +55,13 @@
     Sequence: one group reads a prompt of 8,000 tokens, the other runs four streams.
     Cause: placement by requests in flight sees one against four.
     """
-    reading = GroupLoad(running=1, reading_tokens=8000)
+    reading = GroupLoad(running=1, prefill_tokens=8000)
     writing = GroupLoad(running=4)
     assert choose(reading, writing) == 1
 
 
 def test_no_stream_goes_where_it_cannot_start_on_time():
-    backlog = GroupLoad(running=5, reading_tokens=20_000)
+    backlog = GroupLoad(running=5, prefill_tokens=20_000)
     assert choose(backlog) is None
 
 
@@ -154,7 +154,7 @@
     half a second; a fixed limit takes them for dead as well.
     Cause: the limit did not follow from the work that a group is known to have.
     """
-    loaded = GroupLoad(running=13, reading_tokens=15_000)
+    loaded = GroupLoad(running=13, prefill_tokens=15_000)
     assert not is_suspect(quiet(0.4, loaded))
     assert is_suspect(quiet(1.5, loaded))
 
