--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -58,7 +58,7 @@
     return step * profile.stride * model.pace * load.slowness
 
 
-def reading_seconds(
+def prefill_seconds(
     profile: EngineProfile, model: ModelSpec, tokens: float, slowness: float = 1.0
 ) -> float:
     """Return the time that a group needs to read `tokens` of prompts."""
@@ -74,7 +74,7 @@
     it waits for others to end.
     """
     one_pass = pass_seconds(profile, model, load)
-    reading = reading_seconds(
+    reading = prefill_seconds(
         profile, model, load.prefill_tokens + prompt_tokens, load.slowness
     )
     beyond = max(0, load.running + 1 - profile.slots)
@@ -86,7 +86,7 @@
 def silent_seconds(profile: EngineProfile, model: ModelSpec, load: GroupLoad) -> float:
     """Return how long a group that works may show no event on any of its streams."""
     one_pass = pass_seconds(profile, model, load)
-    reading = reading_seconds(profile, model, load.prefill_tokens, load.slowness)
+    reading = prefill_seconds(profile, model, load.prefill_tokens, load.slowness)
     return SILENT_PASSES * one_pass + reading
 
 
