--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -17,7 +17,7 @@
     choose_group,
     draw_places,
     pass_seconds,
-    unseen_streams,
+    unreported_streams,
 )
 from mallowpond.state.retry_window import RetryWindow
 
@@ -74,7 +74,7 @@
 
     def by_news(self, seek: Seek) -> Group | None:
         """Choose by news of the others' work that is some tenths of a second old."""
-        unseen = unseen_streams(
+        unseen = unreported_streams(
             own_per_second=self._budget(seek.service).firsts_per_second,
             hosts=self._hosts(),
             age_seconds=self._directory.loads.load_age,
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -120,7 +120,7 @@
     return delay_seconds * max(1.0, load.slowness)
 
 
-def unseen_streams(
+def unreported_streams(
     *, own_per_second: float, hosts: int, age_seconds: float, groups: int
 ) -> float:
     """Return the streams that each group got from other hosts since it was heard of."""
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -12,7 +12,7 @@
     draw_places,
     pass_seconds,
     silent_seconds,
-    unseen_streams,
+    unreported_streams,
 )
 from mallowpond.state.silence import (
     ANSWER_SECONDS,
@@ -112,8 +112,8 @@
 
 
 def test_few_hosts_with_fresh_figures_choose_the_best_group():
-    few = unseen_streams(own_per_second=11.0, hosts=7, age_seconds=0.1, groups=12)
-    many = unseen_streams(own_per_second=3.6, hosts=70, age_seconds=0.3, groups=33)
+    few = unreported_streams(own_per_second=11.0, hosts=7, age_seconds=0.1, groups=12)
+    many = unreported_streams(own_per_second=3.6, hosts=70, age_seconds=0.3, groups=33)
     assert few < UNSEEN_STREAMS < many
 
 
