--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -11,7 +11,7 @@
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.placement import (
     DRAWN_GROUPS,
-    UNSEEN_STREAMS,
+    UNREPORTED_STREAMS,
     Candidate,
     GroupLoad,
     choose_group,
@@ -81,7 +81,7 @@
             groups=self._directory.count_open_groups(seek.service),
         )
         groups = self._groups(seek)
-        if unseen < UNSEEN_STREAMS:
+        if unseen < UNREPORTED_STREAMS:
             candidates = list(self._candidates(seek, groups))
         else:
             candidates = self._drawn(seek, groups, DRAWN_GROUPS)
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -23,7 +23,7 @@
 # Streams that the other hosts may have sent to a group since it was last heard of, from
 # which hosts choose among a few groups drawn at random: all with the same old figures,
 # they would send every stream to the one group that was best then.
-UNSEEN_STREAMS = 1.0
+UNREPORTED_STREAMS = 1.0
 DRAWN_GROUPS = 2
 # Context of a running request whose prompt is not known, in tokens.
 DEFAULT_CONTEXT_TOKENS = 1000.0
@@ -190,7 +190,7 @@
     ]
     if not open_places:
         return None
-    if rng is not None and unseen >= UNSEEN_STREAMS:
+    if rng is not None and unseen >= UNREPORTED_STREAMS:
         open_places = rng.sample(open_places, min(DRAWN_GROUPS, len(open_places)))
 
     def rank(candidate: Candidate) -> tuple[bool, bool, float]:
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -5,7 +5,7 @@
 
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 from mallowpond.state.placement import (
-    UNSEEN_STREAMS,
+    UNREPORTED_STREAMS,
     Candidate,
     GroupLoad,
     choose_group,
@@ -114,7 +114,7 @@
 def test_few_hosts_with_fresh_figures_choose_the_best_group():
     few = unreported_streams(own_per_second=11.0, hosts=7, age_seconds=0.1, groups=12)
     many = unreported_streams(own_per_second=3.6, hosts=70, age_seconds=0.3, groups=33)
-    assert few < UNSEEN_STREAMS < many
+    assert few < UNREPORTED_STREAMS < many
 
 
 def test_slow_groups_are_predicted_slow():
