--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -164,7 +164,7 @@
     prompt_tokens: float,
     limit_seconds: float,
     delay_seconds: float = 0.0,
-    unseen: float = 0.0,
+    unreported: float = 0.0,
     rng: random.Random | None = None,
 ) -> Candidate | None:
     """Return the group with the earliest first event, None when all are full.
@@ -190,7 +190,7 @@
     ]
     if not open_places:
         return None
-    if rng is not None and unseen >= UNREPORTED_STREAMS:
+    if rng is not None and unreported >= UNREPORTED_STREAMS:
         open_places = rng.sample(open_places, min(DRAWN_GROUPS, len(open_places)))
 
     def rank(candidate: Candidate) -> tuple[bool, bool, float]:
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -79,7 +79,7 @@
     assert choose(idle, leaving={0}) == 0
 
 
-def sent_by_many_hosts(unseen):
+def sent_by_many_hosts(unreported):
     """Let 40 hosts place a stream each by the same old figures; count by group."""
     rng = random.Random(5)
     loads = [GroupLoad(running=4 + number % 3) for number in range(25)]
@@ -92,7 +92,7 @@
             candidates,
             prompt_tokens=500.0,
             limit_seconds=0.2,
-            unseen=unseen,
+            unreported=unreported,
             rng=rng,
         )
         counts[chosen.key] += 1
