--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -23,9 +23,9 @@
 )
 from mallowpond.state.fleet import BreakCause, Group
 from mallowpond.state.placement import (
-    delay_of,
     first_event_seconds,
     pass_seconds,
+    scaled_delay,
 )
 from mallowpond.state.target_notice import TargetNotice
 from mallowpond.transport.http_client import (
@@ -223,7 +223,7 @@
             reading=round(load.prefill_tokens),
             slowness=round(load.slowness, 2),
             predicted=round(stream.predicted, 3),
-            delay=round(delay_of(load, usual_delay), 3),
+            delay=round(scaled_delay(load, usual_delay), 3),
             left=round(work.deadline - now, 3),
             resume=work.last_event,
         )
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -112,7 +112,7 @@
     return seconds <= limit_seconds
 
 
-def delay_of(load: GroupLoad, delay_seconds: float) -> float:
+def scaled_delay(load: GroupLoad, delay_seconds: float) -> float:
     """Return what a first event takes on a group beyond the declared timing.
 
     It grows with a group's slowness, as on groups across fabric domains.
@@ -196,7 +196,7 @@
     def rank(candidate: Candidate) -> tuple[bool, bool, float]:
         seconds = first_event_seconds(profile, model, candidate.load, prompt_tokens)
         seconds += pass_seconds(profile, model, candidate.load)
-        seconds += delay_of(candidate.load, delay_seconds)
+        seconds += scaled_delay(candidate.load, delay_seconds)
         return (candidate.has_ended, candidate.is_leaving, seconds)
 
     return min(open_places, key=rank)
