--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -15,7 +15,7 @@
     Candidate,
     GroupLoad,
     choose_group,
-    draw_places,
+    draw_candidates,
     pass_seconds,
     unreported_streams,
 )
@@ -122,7 +122,7 @@
         shuffled = self._rng.sample(groups, len(groups))
         # Those whose head has ended come last.
         shuffled.sort(key=self._has_ended)
-        return draw_places(
+        return draw_candidates(
             seek.profile,
             seek.model,
             self._candidates(seek, shuffled),
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -128,7 +128,7 @@
     return others * age_seconds / max(1, groups)
 
 
-def draw_places(
+def draw_candidates(
     profile: EngineProfile,
     model: ModelSpec,
     candidates: Iterable[Candidate],
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -9,7 +9,7 @@
     Candidate,
     GroupLoad,
     choose_group,
-    draw_places,
+    draw_candidates,
     pass_seconds,
     silent_seconds,
     unreported_streams,
@@ -230,7 +230,7 @@
             load = GroupLoad(running=14 if number < 3 else 4)
             yield Candidate(key=str(number), load=load)
 
-    drawn = draw_places(
+    drawn = draw_candidates(
         PROFILE, MODEL, candidates(), prompt_tokens=500.0, limit_seconds=0.5
     )
     assert [candidate.key for candidate in drawn] == ["3", "4"]
@@ -239,4 +239,6 @@
 
 def test_no_place_is_drawn_where_all_are_full():
     full = [Candidate(key="x", load=GroupLoad(running=PROFILE.slots + 1))]
-    assert not draw_places(PROFILE, MODEL, full, prompt_tokens=500.0, limit_seconds=0.5)
+    assert not draw_candidates(
+        PROFILE, MODEL, full, prompt_tokens=500.0, limit_seconds=0.5
+    )
