--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -90,7 +90,7 @@
     return SILENT_PASSES * one_pass + reading
 
 
-def has_place(
+def has_capacity(
     profile: EngineProfile,
     model: ModelSpec,
     load: GroupLoad,
@@ -145,7 +145,7 @@
     places = (
         candidate
         for candidate in candidates
-        if has_place(
+        if has_capacity(
             profile,
             model,
             candidate.load,
@@ -180,7 +180,7 @@
     open_places = [
         candidate
         for candidate in candidates
-        if has_place(
+        if has_capacity(
             profile,
             model,
             candidate.load,
