--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -23,7 +23,7 @@
 # Streams that the other hosts may have sent to a group since it was last heard of, from
 # which hosts choose among a few groups drawn at random: all with the same old figures,
 # they would send every stream to the one group that was best then.
-UNSEEN_STREAMS = 1.0
+UNREPORTED_STREAMS = 1.0
 DRAWN_GROUPS = 2
 # Context of a running request whose prompt is not known, in tokens.
 DEFAULT_CONTEXT_TOKENS = 1000.0
@@ -34,7 +34,7 @@
     """Hold what is known of a group's work: own and that of other entry hosts."""
 
     running: int
-    reading_tokens: float = 0.0
+    prefill_tokens: float = 0.0
     slowness: float = 1.0
 
 
@@ -58,7 +58,7 @@
     return step * profile.stride * model.pace * load.slowness
 
 
-def reading_seconds(
+def prefill_seconds(
     profile: EngineProfile, model: ModelSpec, tokens: float, slowness: float = 1.0
 ) -> float:
     """Return the time that a group needs to read `tokens` of prompts."""
@@ -74,8 +74,8 @@
     it waits for others to end.
     """
     one_pass = pass_seconds(profile, model, load)
-    reading = reading_seconds(
-        profile, model, load.reading_tokens + prompt_tokens, load.slowness
+    reading = prefill_seconds(
+        profile, model, load.prefill_tokens + prompt_tokens, load.slowness
     )
     beyond = max(0, load.running + 1 - profile.slots)
     passes = profile.typical_answer_tokens / max(1, profile.stride)
@@ -86,11 +86,11 @@
 def silent_seconds(profile: EngineProfile, model: ModelSpec, load: GroupLoad) -> float:
     """Return how long a group that works may show no event on any of its streams."""
     one_pass = pass_seconds(profile, model, load)
-    reading = reading_seconds(profile, model, load.reading_tokens, load.slowness)
+    reading = prefill_seconds(profile, model, load.prefill_tokens, load.slowness)
     return SILENT_PASSES * one_pass + reading
 
 
-def has_place(
+def has_capacity(
     profile: EngineProfile,
     model: ModelSpec,
     load: GroupLoad,
@@ -106,13 +106,13 @@
     """
     if load.running >= profile.slots + QUEUE_BEYOND_SLOTS:
         return False
-    if load.reading_tokens <= 0:
+    if load.prefill_tokens <= 0:
         return True
     seconds = first_event_seconds(profile, model, load, prompt_tokens)
     return seconds <= limit_seconds
 
 
-def delay_of(load: GroupLoad, delay_seconds: float) -> float:
+def scaled_delay(load: GroupLoad, delay_seconds: float) -> float:
     """Return what a first event takes on a group beyond the declared timing.
 
     It grows with a group's slowness, as on groups across fabric domains.
@@ -120,7 +120,7 @@
     return delay_seconds * max(1.0, load.slowness)
 
 
-def unseen_streams(
+def unreported_streams(
     *, own_per_second: float, hosts: int, age_seconds: float, groups: int
 ) -> float:
     """Return the streams that each group got from other hosts since it was heard of."""
@@ -128,7 +128,7 @@
     return others * age_seconds / max(1, groups)
 
 
-def draw_places(
+def draw_candidates(
     profile: EngineProfile,
     model: ModelSpec,
     candidates: Iterable[Candidate],
@@ -145,7 +145,7 @@
     places = (
         candidate
         for candidate in candidates
-        if has_place(
+        if has_capacity(
             profile,
             model,
             candidate.load,
@@ -164,7 +164,7 @@
     prompt_tokens: float,
     limit_seconds: float,
     delay_seconds: float = 0.0,
-    unseen: float = 0.0,
+    unreported: float = 0.0,
     rng: random.Random | None = None,
 ) -> Candidate | None:
     """Return the group with the earliest first event, None when all are full.
@@ -180,7 +180,7 @@
     open_places = [
         candidate
         for candidate in candidates
-        if has_place(
+        if has_capacity(
             profile,
             model,
             candidate.load,
@@ -190,13 +190,13 @@
     ]
     if not open_places:
         return None
-    if rng is not None and unseen >= UNSEEN_STREAMS:
+    if rng is not None and unreported >= UNREPORTED_STREAMS:
         open_places = rng.sample(open_places, min(DRAWN_GROUPS, len(open_places)))
 
     def rank(candidate: Candidate) -> tuple[bool, bool, float]:
         seconds = first_event_seconds(profile, model, candidate.load, prompt_tokens)
         seconds += pass_seconds(profile, model, candidate.load)
-        seconds += delay_of(candidate.load, delay_seconds)
+        seconds += scaled_delay(candidate.load, delay_seconds)
         return (candidate.has_ended, candidate.is_leaving, seconds)
 
     return min(open_places, key=rank)
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -5,14 +5,14 @@
 
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 from mallowpond.state.placement import (
-    UNSEEN_STREAMS,
+    UNREPORTED_STREAMS,
     Candidate,
     GroupLoad,
     choose_group,
-    draw_places,
+    draw_candidates,
     pass_seconds,
     silent_seconds,
-    unseen_streams,
+    unreported_streams,
 )
 from mallowpond.state.silence import (
     ANSWER_SECONDS,
@@ -55,13 +55,13 @@
     Sequence: one group reads a prompt of 8,000 tokens, the other runs four streams.
     Cause: placement by requests in flight sees one against four.
     """
-    reading = GroupLoad(running=1, reading_tokens=8000)
+    reading = GroupLoad(running=1, prefill_tokens=8000)
     writing = GroupLoad(running=4)
     assert choose(reading, writing) == 1
 
 
 def test_no_stream_goes_where_it_cannot_start_on_time():
-    backlog = GroupLoad(running=5, reading_tokens=20_000)
+    backlog = GroupLoad(running=5, prefill_tokens=20_000)
     assert choose(backlog) is None
 
 
@@ -79,7 +79,7 @@
     assert choose(idle, leaving={0}) == 0
 
 
-def sent_by_many_hosts(unseen):
+def sent_by_many_hosts(unreported):
     """Let 40 hosts place a stream each by the same old figures; count by group."""
     rng = random.Random(5)
     loads = [GroupLoad(running=4 + number % 3) for number in range(25)]
@@ -92,7 +92,7 @@
             candidates,
             prompt_tokens=500.0,
             limit_seconds=0.2,
-            unseen=unseen,
+            unreported=unreported,
             rng=rng,
         )
         counts[chosen.key] += 1
@@ -112,9 +112,9 @@
 
 
 def test_few_hosts_with_fresh_figures_choose_the_best_group():
-    few = unseen_streams(own_per_second=11.0, hosts=7, age_seconds=0.1, groups=12)
-    many = unseen_streams(own_per_second=3.6, hosts=70, age_seconds=0.3, groups=33)
-    assert few < UNSEEN_STREAMS < many
+    few = unreported_streams(own_per_second=11.0, hosts=7, age_seconds=0.1, groups=12)
+    many = unreported_streams(own_per_second=3.6, hosts=70, age_seconds=0.3, groups=33)
+    assert few < UNREPORTED_STREAMS < many
 
 
 def test_slow_groups_are_predicted_slow():
@@ -154,7 +154,7 @@
     half a second; a fixed limit takes them for dead as well.
     Cause: the limit did not follow from the work that a group is known to have.
     """
-    loaded = GroupLoad(running=13, reading_tokens=15_000)
+    loaded = GroupLoad(running=13, prefill_tokens=15_000)
     assert not is_suspect(quiet(0.4, loaded))
     assert is_suspect(quiet(1.5, loaded))
 
@@ -230,7 +230,7 @@
             load = GroupLoad(running=14 if number < 3 else 4)
             yield Candidate(key=str(number), load=load)
 
-    drawn = draw_places(
+    drawn = draw_candidates(
         PROFILE, MODEL, candidates(), prompt_tokens=500.0, limit_seconds=0.5
     )
     assert [candidate.key for candidate in drawn] == ["3", "4"]
@@ -239,4 +239,6 @@
 
 def test_no_place_is_drawn_where_all_are_full():
     full = [Candidate(key="x", load=GroupLoad(running=PROFILE.slots + 1))]
-    assert not draw_places(PROFILE, MODEL, full, prompt_tokens=500.0, limit_seconds=0.5)
+    assert not draw_candidates(
+        PROFILE, MODEL, full, prompt_tokens=500.0, limit_seconds=0.5
+    )
