--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -14,7 +14,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.repeated_news import RepeatedNews
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.rate_limit import LimitShares, TargetLimit
+from mallowpond.state.rate_limit import RateLimitShares, TargetLimit
 from mallowpond.state.target_notice import TargetNotice
 
 log = structlog.get_logger()
@@ -46,7 +46,7 @@
         self._clock = clock
         self._metrics = metrics
         self._peers = peers
-        self._shares = LimitShares(host=name)
+        self._shares = RateLimitShares(host=name)
         self._news: RepeatedNews[Process] = RepeatedNews(
             clock=clock, pauses=TELL_PAUSES, at_once=TOLD_AT_ONCE
         )
--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -73,7 +73,7 @@
     return rate / len(sharers) if host in sharers else 0.0
 
 
-class LimitShares:
+class RateLimitShares:
     """Tell when one host may send to targets that named a rate limit."""
 
     def __init__(self, *, host: str) -> None:
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -10,7 +10,7 @@
     LEAST_RATE,
     LEAST_SHARERS,
     MOST_TARGETS,
-    LimitShares,
+    RateLimitShares,
     TargetLimit,
     rate_of,
 )
@@ -38,7 +38,7 @@
 def test_all_hosts_together_keep_a_rate_in_each_window(count, limit):
     """Guards against parts of a rate that add up to more than the target named."""
     hosts = fleet(count)
-    all_shares = [LimitShares(host=host) for host in hosts]
+    all_shares = [RateLimitShares(host=host) for host in hosts]
     sent = []
     for shares in all_shares:
         shares.hear(named(limit), 0.0)
@@ -69,14 +69,14 @@
 def test_a_host_without_a_part_sends_nothing():
     hosts = fleet(50)
     idle = next(h for h in hosts if rate_of(h, TARGET, hosts, 1.0) == 0.0)
-    shares = LimitShares(host=idle)
+    shares = RateLimitShares(host=idle)
     shares.hear(named(1.0), 0.0)
     assert wait(shares, 50.0, hosts) == inf
 
 
 def test_an_answer_asked_for_before_the_limit_does_not_end_it():
     """Guards against answers that overtake each other and lift a limit in force."""
-    shares = LimitShares(host="n0")
+    shares = RateLimitShares(host="n0")
     assert shares.hear(named(1.0), 10.0)
     assert not shares.hear(named(None, age=0.5), 10.2)
     assert shares.is_limited(TARGET)
@@ -86,7 +86,7 @@
 
 
 def test_an_old_word_of_another_host_does_not_bring_a_limit_back():
-    shares = LimitShares(host="n0")
+    shares = RateLimitShares(host="n0")
     shares.hear(named(1.0), 10.0)
     shares.hear(named(None), 11.0)
     assert not shares.hear(named(1.0, age=1.0), 11.5)
@@ -94,7 +94,7 @@
 
 
 def test_nothing_is_saved_up_beyond_one_request_at_a_low_rate():
-    shares = LimitShares(host="n0")
+    shares = RateLimitShares(host="n0")
     shares.hear(named(0.5), 0.0)
     assert wait(shares, 50.0) == 0.0
     shares.note_sent(TARGET, 50.0)
@@ -102,7 +102,7 @@
 
 
 def test_only_a_change_that_matters_is_news():
-    shares = LimitShares(host="n0")
+    shares = RateLimitShares(host="n0")
     assert shares.hear(named(1.0), 0.0)
     assert not shares.hear(named(1.05), 1.0)
     assert shares.hear(named(2.0), 2.0)
@@ -110,14 +110,14 @@
 
 
 def test_a_limit_of_which_nothing_is_heard_is_forgotten():
-    shares = LimitShares(host="n0")
+    shares = RateLimitShares(host="n0")
     shares.hear(named(1.0), 0.0)
     assert wait(shares, 2 * FORGOTTEN_SECONDS) == 0.0
     assert not shares.is_limited(TARGET)
 
 
 def test_what_is_kept_is_bounded():
-    shares = LimitShares(host="n0")
+    shares = RateLimitShares(host="n0")
     for number in range(MOST_TARGETS + 5):
         shares.hear(named(1.0, process=Process(id=f"t{number}", born=1)), 0.0)
     assert len(shares.limits) == MOST_TARGETS
