--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -181,7 +181,8 @@
 class Work:
     """Tell the readers one host's work by group.
 
-    It holds the streams of all places that the dispatcher gave up to `granted`.
+    It includes the streams of all places that the dispatcher granted up to the one
+    numbered `granted`.
     """
 
     node: Name
@@ -222,8 +223,8 @@
 class PlaceAnswer:
     """Answer a question for a place.
 
-    A granted place is on `group`, and `granted` counts those given to that host. One
-    that is refused would have to wait for `wait` seconds.
+    A granted place is on `group`; `granted` is the number of places granted to that
+    host so far. A refused stream would have to wait for `wait` seconds.
     """
 
     node: Name
