--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -165,7 +165,7 @@
             limit = FIRST_SEND_SHARE * left
         record = self._records[target.process]
         record.running += 1
-        self._intake.note_sent(target)
+        self._intake.record_sent(target)
         work.sent_to.append(target.process)
         log.info(
             "call: sent",
--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -102,6 +102,6 @@
         self._backoffs.keep(listed, self._clock.now())
         self._leaving.keep(listed, self._clock.now())
 
-    def note_sent(self, target: Target) -> None:
+    def record_sent(self, target: Target) -> None:
         """Count a request to a target."""
-        self._rate_limits.note_sent(target)
+        self._rate_limits.record_sent(target)
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -233,7 +233,7 @@
             return
         async with self._gate.turn():
             # It takes a slot as a request does.
-            self._intake.note_sent(target)
+            self._intake.record_sent(target)
             healthy = await self._targets.is_healthy(target, service.health_path)
         if isinstance(healthy, Unavailable):
             await self.probe(target)
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -88,9 +88,9 @@
         """Return how often any host may send to a target, in seconds; 0 if always."""
         return self._shares.retry_seconds(target.process)
 
-    def note_sent(self, target: Target) -> None:
+    def record_sent(self, target: Target) -> None:
         """Count a request to a target against this host's part of its rate."""
-        self._shares.note_sent(target.process, self._clock.now())
+        self._shares.record_sent(target.process, self._clock.now())
 
     def _hosts(self) -> list[str]:
         others = self._peers.live if self._peers else ()
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -209,7 +209,7 @@
         )
         own.running += 1
         own.prefill_tokens += stream.reading
-        self._intake.note_sent(group.head)
+        self._intake.record_sent(group.head)
         work.sent_to.append(group.head.process)
         work.sent_at = now
         work.sends += 1
--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -148,7 +148,7 @@
             return 0.0
         return 1.0 / max(LEAST_RATE, share.limit)
 
-    def note_sent(self, process: Process, now: float) -> None:
+    def record_sent(self, process: Process, now: float) -> None:
         """Count a request that this host sends to a target."""
         share = self._shares.get(process)
         if share is not None:
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -46,7 +46,7 @@
         now = step / 20
         for shares in all_shares:
             while wait(shares, now, hosts) <= 0.0:
-                shares.note_sent(TARGET, now)
+                shares.record_sent(TARGET, now)
                 sent.append(now)
     # Each request with the one that it may not share a window with.
     beyond = int(1.5 * 4.0 * limit + 5)
@@ -97,7 +97,7 @@
     shares = RateLimitShares(host="n0")
     shares.hear(named(0.5), 0.0)
     assert wait(shares, 50.0) == 0.0
-    shares.note_sent(TARGET, 50.0)
+    shares.record_sent(TARGET, 50.0)
     assert wait(shares, 50.0) == pytest.approx(2.0)
 
 
