--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -15,7 +15,7 @@
 
 # Hosts that share a rate, at least; beyond them one for each request a second. Each may
 # send at any moment within its part, so many of them would exceed a low rate together.
-LEAST_SHARERS = 3
+MIN_SHARERS = 3
 # Lowest rate that is kept, in requests a second: a target that gets nothing has no
 # answer in which to say that its limit is over.
 LEAST_RATE = 0.1
@@ -68,7 +68,7 @@
 def rate_of(host: str, process: Process, hosts: Collection[str], limit: float) -> float:
     """Return the part of a target's rate that one of its hosts keeps."""
     rate = max(LEAST_RATE, limit)
-    count = max(LEAST_SHARERS, floor(rate))
+    count = max(MIN_SHARERS, floor(rate))
     sharers = first_owners(process.id, hosts, count)
     return rate / len(sharers) if host in sharers else 0.0
 
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -8,7 +8,7 @@
 from mallowpond.state.rate_limit import (
     FORGOTTEN_SECONDS,
     LEAST_RATE,
-    LEAST_SHARERS,
+    MIN_SHARERS,
     MOST_TARGETS,
     RateLimitShares,
     TargetLimit,
@@ -58,7 +58,7 @@
 def test_a_rate_is_shared_among_few_hosts():
     parts = [rate_of(host, TARGET, fleet(195), 1.3) for host in fleet(195)]
     assert sum(parts) == pytest.approx(1.3)
-    assert sum(part > 0.0 for part in parts) == LEAST_SHARERS
+    assert sum(part > 0.0 for part in parts) == MIN_SHARERS
 
 
 def test_a_target_that_wants_nothing_is_asked_now_and_then():
