--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -18,7 +18,7 @@
 MIN_SHARERS = 3
 # Lowest rate that is kept, in requests a second: a target that gets nothing has no
 # answer in which to say that its limit is over.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 # Time for which an unused part adds up, in seconds: one request may always add up.
 CREDIT_SECONDS = 1.0
 # Time without any word of a target after which its limit is forgotten, in seconds.
@@ -67,7 +67,7 @@
 
 def rate_of(host: str, process: Process, hosts: Collection[str], limit: float) -> float:
     """Return the part of a target's rate that one of its hosts keeps."""
-    rate = max(LEAST_RATE, limit)
+    rate = max(MIN_RATE, limit)
     count = max(MIN_SHARERS, floor(rate))
     sharers = first_owners(process.id, hosts, count)
     return rate / len(sharers) if host in sharers else 0.0
@@ -146,7 +146,7 @@
         share = self._shares.get(process)
         if share is None or share.limit is None:
             return 0.0
-        return 1.0 / max(LEAST_RATE, share.limit)
+        return 1.0 / max(MIN_RATE, share.limit)
 
     def record_sent(self, process: Process, now: float) -> None:
         """Count a request that this host sends to a target."""
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -7,7 +7,7 @@
 from mallowpond.state.fleet import Process
 from mallowpond.state.rate_limit import (
     FORGOTTEN_SECONDS,
-    LEAST_RATE,
+    MIN_RATE,
     MIN_SHARERS,
     MOST_TARGETS,
     RateLimitShares,
@@ -63,7 +63,7 @@
 
 def test_a_target_that_wants_nothing_is_asked_now_and_then():
     """Guards against a limit that no answer can end, as nothing is sent any more."""
-    assert rate_of("n0", TARGET, ["n0"], 0.0) == LEAST_RATE
+    assert rate_of("n0", TARGET, ["n0"], 0.0) == MIN_RATE
 
 
 def test_a_host_without_a_part_sends_nothing():
