--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -28,7 +28,7 @@
 # Relative change of a limit from which others are told of it.
 NEWS_SHARE = 0.1
 # Targets of which limits are kept, at most.
-MOST_TARGETS = 1000
+MAX_TARGETS = 1000
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -95,7 +95,7 @@
         known = self._shares.get(said.process)
         said_at = now - said.age
         if known is None:
-            if len(self._shares) >= MOST_TARGETS:
+            if len(self._shares) >= MAX_TARGETS:
                 return False
             # Nothing may be sent at once: what was sent just before counts too.
             self._shares[said.process] = _Share(
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -7,9 +7,9 @@
 from mallowpond.state.fleet import Process
 from mallowpond.state.rate_limit import (
     FORGOTTEN_SECONDS,
+    MAX_TARGETS,
     MIN_RATE,
     MIN_SHARERS,
-    MOST_TARGETS,
     RateLimitShares,
     TargetLimit,
     rate_of,
@@ -118,8 +118,8 @@
 
 def test_what_is_kept_is_bounded():
     shares = RateLimitShares(host="n0")
-    for number in range(MOST_TARGETS + 5):
+    for number in range(MAX_TARGETS + 5):
         shares.hear(named(1.0, process=Process(id=f"t{number}", born=1)), 0.0)
-    assert len(shares.limits) == MOST_TARGETS
+    assert len(shares.limits) == MAX_TARGETS
     shares.keep({Process(id="t3", born=1)}, 0.0)
     assert list(shares.limits) == [Process(id="t3", born=1)]
