--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -26,7 +26,7 @@
 # Time for which a part of a rate is kept although hosts come and go, in seconds.
 SHARED_OUT_SECONDS = 1.0
 # Relative change of a limit from which others are told of it.
-NEWS_SHARE = 0.1
+SIGNIFICANT_CHANGE = 0.1
 # Targets of which limits are kept, at most.
 MAX_TARGETS = 1000
 
@@ -113,7 +113,7 @@
         known.shared_out_at = -inf
         if before is None or said.limit is None:
             return True
-        return abs(said.limit - before) > NEWS_SHARE * before
+        return abs(said.limit - before) > SIGNIFICANT_CHANGE * before
 
     def is_limited(self, process: Process) -> bool:
         """Tell whether a target names a limit."""
