--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -22,7 +22,7 @@
 # Time for which an unused part adds up, in seconds: one request may always add up.
 CREDIT_SECONDS = 1.0
 # Time without any word of a target after which its limit is forgotten, in seconds.
-FORGOTTEN_SECONDS = 60.0
+LIMIT_EXPIRY_SECONDS = 60.0
 # Time for which a part of a rate is kept although hosts come and go, in seconds.
 SHARED_OUT_SECONDS = 1.0
 # Relative change of a limit from which others are told of it.
@@ -130,7 +130,7 @@
         share = self._shares.get(process)
         if share is None or share.limit is None:
             return 0.0
-        if now - share.heard_at > FORGOTTEN_SECONDS:
+        if now - share.heard_at > LIMIT_EXPIRY_SECONDS:
             del self._shares[process]
             return 0.0
         if now - share.shared_out_at > SHARED_OUT_SECONDS:
@@ -169,5 +169,5 @@
             process: share
             for process, share in self._shares.items()
             if process in listed
-            and (share.limit is not None or now - share.heard_at < FORGOTTEN_SECONDS)
+            and (share.limit is not None or now - share.heard_at < LIMIT_EXPIRY_SECONDS)
         }
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -6,7 +6,7 @@
 
 from mallowpond.state.fleet import Process
 from mallowpond.state.rate_limit import (
-    FORGOTTEN_SECONDS,
+    LIMIT_EXPIRY_SECONDS,
     MAX_TARGETS,
     MIN_RATE,
     MIN_SHARERS,
@@ -112,7 +112,7 @@
 def test_a_limit_of_which_nothing_is_heard_is_forgotten():
     shares = RateLimitShares(host="n0")
     shares.hear(named(1.0), 0.0)
-    assert wait(shares, 2 * FORGOTTEN_SECONDS) == 0.0
+    assert wait(shares, 2 * LIMIT_EXPIRY_SECONDS) == 0.0
     assert not shares.is_limited(TARGET)
 
 
