--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -24,7 +24,7 @@
 # Time without any word of a target after which its limit is forgotten, in seconds.
 LIMIT_EXPIRY_SECONDS = 60.0
 # Time for which a part of a rate is kept although hosts come and go, in seconds.
-SHARED_OUT_SECONDS = 1.0
+RESHARE_SECONDS = 1.0
 # Relative change of a limit from which others are told of it.
 SIGNIFICANT_CHANGE = 0.1
 # Targets of which limits are kept, at most.
@@ -133,7 +133,7 @@
         if now - share.heard_at > LIMIT_EXPIRY_SECONDS:
             del self._shares[process]
             return 0.0
-        if now - share.shared_out_at > SHARED_OUT_SECONDS:
+        if now - share.shared_out_at > RESHARE_SECONDS:
             share.rate = rate_of(self._host, process, hosts(), share.limit)
             share.shared_out_at = now
         share.settle(now)
