--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -20,7 +20,7 @@
 # answer in which to say that its limit is over.
 MIN_RATE = 0.1
 # Time for which an unused part adds up, in seconds: one request may always add up.
-CREDIT_SECONDS = 1.0
+BUCKET_SECONDS = 1.0
 # Time without any word of a target after which its limit is forgotten, in seconds.
 LIMIT_EXPIRY_SECONDS = 60.0
 # Time for which a part of a rate is kept although hosts come and go, in seconds.
@@ -59,7 +59,7 @@
 
     def settle(self, now: float) -> None:
         """Add what has come up since the last look."""
-        most = max(1.0, self.rate * CREDIT_SECONDS)
+        most = max(1.0, self.rate * BUCKET_SECONDS)
         gained = self.rate * max(0.0, now - self.counted_at)
         self.credit = min(most, self.credit + gained)
         self.counted_at = now
