--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -65,7 +65,9 @@
         self.counted_at = now
 
 
-def rate_of(host: str, process: Process, hosts: Collection[str], limit: float) -> float:
+def host_rate(
+    host: str, process: Process, hosts: Collection[str], limit: float
+) -> float:
     """Return the part of a target's rate that one of its hosts keeps."""
     rate = max(MIN_RATE, limit)
     count = max(MIN_SHARERS, floor(rate))
@@ -134,7 +136,7 @@
             del self._shares[process]
             return 0.0
         if now - share.shared_out_at > RESHARE_SECONDS:
-            share.rate = rate_of(self._host, process, hosts(), share.limit)
+            share.rate = host_rate(self._host, process, hosts(), share.limit)
             share.shared_out_at = now
         share.settle(now)
         if share.credit >= 1.0:
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -12,7 +12,7 @@
     MIN_SHARERS,
     RateLimitShares,
     TargetLimit,
-    rate_of,
+    host_rate,
 )
 
 TARGET = Process(id="t", born=1)
@@ -56,19 +56,19 @@
 
 
 def test_a_rate_is_shared_among_few_hosts():
-    parts = [rate_of(host, TARGET, fleet(195), 1.3) for host in fleet(195)]
+    parts = [host_rate(host, TARGET, fleet(195), 1.3) for host in fleet(195)]
     assert sum(parts) == pytest.approx(1.3)
     assert sum(part > 0.0 for part in parts) == MIN_SHARERS
 
 
 def test_a_target_that_wants_nothing_is_asked_now_and_then():
     """Guards against a limit that no answer can end, as nothing is sent any more."""
-    assert rate_of("n0", TARGET, ["n0"], 0.0) == MIN_RATE
+    assert host_rate("n0", TARGET, ["n0"], 0.0) == MIN_RATE
 
 
 def test_a_host_without_a_part_sends_nothing():
     hosts = fleet(50)
-    idle = next(h for h in hosts if rate_of(h, TARGET, hosts, 1.0) == 0.0)
+    idle = next(h for h in hosts if host_rate(h, TARGET, hosts, 1.0) == 0.0)
     shares = RateLimitShares(host=idle)
     shares.hear(named(1.0), 0.0)
     assert wait(shares, 50.0, hosts) == inf
