--- a/bench/limits.py
+++ b/bench/limits.py
@@ -113,7 +113,7 @@
         if ask.tries == 1:
             self.out.fresh += 1
             self._asked[ask.workspace] += 1
-            self._budget.note_fresh()
+            self._budget.record_request()
         if self.free > 0:
             self._send(ask, now)
         elif self._is_refused(ask, now):
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -117,7 +117,7 @@
 
     async def run(self, place: Place) -> ServeEnd:
         """Serve from `place`, then from others while retries are allowed."""
-        self.budget.note_fresh()
+        self.budget.record_request()
         for number in range(1, MAX_ATTEMPTS + 1):
             sent_at, life = self.clock.now(), self.pool.life_of(place)
             reason = await self._attempt(place)
--- a/mallowpond/state/retry.py
+++ b/mallowpond/state/retry.py
@@ -22,7 +22,7 @@
         """Return how many retries could be made now."""
         return self._tokens
 
-    def note_fresh(self) -> None:
+    def record_request(self) -> None:
         """Count a fresh request."""
         self._tokens = min(self.burst, self._tokens + self.share)
 
--- a/mallowpond/state/tests/test_retry.py
+++ b/mallowpond/state/tests/test_retry.py
@@ -14,6 +14,6 @@
         pass
     retries = 0
     for _ in range(1000):
-        budget.note_fresh()
+        budget.record_request()
         retries += budget.try_spend()
     assert 95 <= retries <= 100
