--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -6,13 +6,13 @@
 
 from mallowpond.state.fleet import Process
 from mallowpond.state.rate_limit import (
-    FORGOTTEN_SECONDS,
-    LEAST_RATE,
-    LEAST_SHARERS,
-    MOST_TARGETS,
+    LIMIT_EXPIRY_SECONDS,
+    MAX_TARGETS,
+    MIN_RATE,
+    MIN_SHARERS,
     RateLimitShares,
     TargetLimit,
-    rate_of,
+    host_rate,
 )
 
 TARGET = Process(id="t", born=1)
@@ -46,7 +46,7 @@
         now = step / 20
         for shares in all_shares:
             while wait(shares, now, hosts) <= 0.0:
-                shares.note_sent(TARGET, now)
+                shares.record_sent(TARGET, now)
                 sent.append(now)
     # Each request with the one that it may not share a window with.
     beyond = int(1.5 * 4.0 * limit + 5)
@@ -56,19 +56,19 @@
 
 
 def test_a_rate_is_shared_among_few_hosts():
-    parts = [rate_of(host, TARGET, fleet(195), 1.3) for host in fleet(195)]
+    parts = [host_rate(host, TARGET, fleet(195), 1.3) for host in fleet(195)]
     assert sum(parts) == pytest.approx(1.3)
-    assert sum(part > 0.0 for part in parts) == LEAST_SHARERS
+    assert sum(part > 0.0 for part in parts) == MIN_SHARERS
 
 
 def test_a_target_that_wants_nothing_is_asked_now_and_then():
     """Guards against a limit that no answer can end, as nothing is sent any more."""
-    assert rate_of("n0", TARGET, ["n0"], 0.0) == LEAST_RATE
+    assert host_rate("n0", TARGET, ["n0"], 0.0) == MIN_RATE
 
 
 def test_a_host_without_a_part_sends_nothing():
     hosts = fleet(50)
-    idle = next(h for h in hosts if rate_of(h, TARGET, hosts, 1.0) == 0.0)
+    idle = next(h for h in hosts if host_rate(h, TARGET, hosts, 1.0) == 0.0)
     shares = RateLimitShares(host=idle)
     shares.hear(named(1.0), 0.0)
     assert wait(shares, 50.0, hosts) == inf
@@ -97,7 +97,7 @@
     shares = RateLimitShares(host="n0")
     shares.hear(named(0.5), 0.0)
     assert wait(shares, 50.0) == 0.0
-    shares.note_sent(TARGET, 50.0)
+    shares.record_sent(TARGET, 50.0)
     assert wait(shares, 50.0) == pytest.approx(2.0)
 
 
@@ -112,14 +112,14 @@
 def test_a_limit_of_which_nothing_is_heard_is_forgotten():
     shares = RateLimitShares(host="n0")
     shares.hear(named(1.0), 0.0)
-    assert wait(shares, 2 * FORGOTTEN_SECONDS) == 0.0
+    assert wait(shares, 2 * LIMIT_EXPIRY_SECONDS) == 0.0
     assert not shares.is_limited(TARGET)
 
 
 def test_what_is_kept_is_bounded():
     shares = RateLimitShares(host="n0")
-    for number in range(MOST_TARGETS + 5):
+    for number in range(MAX_TARGETS + 5):
         shares.hear(named(1.0, process=Process(id=f"t{number}", born=1)), 0.0)
-    assert len(shares.limits) == MOST_TARGETS
+    assert len(shares.limits) == MAX_TARGETS
     shares.keep({Process(id="t3", born=1)}, 0.0)
     assert list(shares.limits) == [Process(id="t3", born=1)]
