--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -97,7 +97,7 @@
 
     async def serve(self, work: CallWork) -> ServeOutcome:
         """Serve one request to its end."""
-        self._budget(work.service).note_first(self._clock.now())
+        self._budget(work.service).record_first_send(self._clock.now())
         held = self._quarantine.refuse(work.fingerprint, work.request.id)
         if held is not None:
             return held
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -87,7 +87,7 @@
         work.started_at = self._clock.now()
         work.last_event = work.request.last_event
         self.placement.note_shape(work)
-        self._budget(work.service).note_first(work.started_at)
+        self._budget(work.service).record_first_send(work.started_at)
         failed: FailedAnswer | None = None
         while True:
             group = await self.placement.place(work)
--- a/mallowpond/state/retry_window.py
+++ b/mallowpond/state/retry_window.py
@@ -27,7 +27,7 @@
     _firsts: deque[float] = field(default_factory=deque)
     _repeats: deque[float] = field(default_factory=deque)
 
-    def note_first(self, now: float) -> None:
+    def record_first_send(self, now: float) -> None:
         """Count the first send of a request."""
         if self._since is None:
             self._since = now
--- a/mallowpond/state/tests/test_retry_window.py
+++ b/mallowpond/state/tests/test_retry_window.py
@@ -27,7 +27,7 @@
     for _ in range(hosts):
         budget = window()
         for at in range(50):
-            budget.note_first(at / 10)
+            budget.record_first_send(at / 10)
         total += repeats(budget, 5.0, hosts)
     assert total <= 0.2 * 50 * hosts + 100.0
     assert total >= 0.5 * (0.2 * 50 * hosts + 100.0)
@@ -49,19 +49,19 @@
     """
     budget = window()
     for number in range(10):
-        budget.note_first(0.1 * number)
+        budget.record_first_send(0.1 * number)
     assert 8.0 < budget.firsts_per_second < 13.0
     assert window().firsts_per_second == 0.0
 
 
 def test_one_request_is_no_high_rate():
     budget = window()
-    budget.note_first(5.0)
+    budget.record_first_send(5.0)
     assert budget.firsts_per_second <= 2.0
 
 
 def test_the_rate_of_a_host_that_has_served_long_is_that_of_the_window():
     budget = window()
     for number in range(300):
-        budget.note_first(0.1 * number)
+        budget.record_first_send(0.1 * number)
     assert 9.5 < budget.firsts_per_second < 10.5
