--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -197,8 +197,8 @@
     ) -> None:
         """Send a formation nothing more until it is seen open anew.
 
-        With `is_told` the peers need no message about it. A report about another
-        process than the current head changes nothing.
+        With `is_told` the peers need no message about it. A report
+        about another process than the current head changes nothing.
         """
         known = self._groups.get(group.key)
         if known is None or known.head is None or group.head is None:
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -223,8 +223,8 @@
 class PlaceAnswer:
     """Answer a question for a place.
 
-    A granted place is on `group`; `granted` is the number of places granted to that
-    host so far. A refused stream would have to wait for `wait` seconds.
+    A granted place is on `group`; `granted` counts the places granted to that host
+    so far. A refused stream would have to wait for `wait` seconds.
     """
 
     node: Name
