--- a/mallowpond/state/retry_window.py
+++ b/mallowpond/state/retry_window.py
@@ -35,7 +35,7 @@
         _forget(self._firsts, now - self.window_seconds)
 
     @property
-    def firsts_per_second(self) -> float:
+    def first_sends_per_second(self) -> float:
         """Return the rate of first sends over the last window, or since the first one.
 
         Over a whole window, hosts that have just begun to serve would take the others
--- a/mallowpond/state/tests/test_retry_window.py
+++ b/mallowpond/state/tests/test_retry_window.py
@@ -50,18 +50,18 @@
     budget = window()
     for number in range(10):
         budget.record_first_send(0.1 * number)
-    assert 8.0 < budget.firsts_per_second < 13.0
-    assert window().firsts_per_second == 0.0
+    assert 8.0 < budget.first_sends_per_second < 13.0
+    assert window().first_sends_per_second == 0.0
 
 
 def test_one_request_is_no_high_rate():
     budget = window()
     budget.record_first_send(5.0)
-    assert budget.firsts_per_second <= 2.0
+    assert budget.first_sends_per_second <= 2.0
 
 
 def test_the_rate_of_a_host_that_has_served_long_is_that_of_the_window():
     budget = window()
     for number in range(300):
         budget.record_first_send(0.1 * number)
-    assert 9.5 < budget.firsts_per_second < 10.5
+    assert 9.5 < budget.first_sends_per_second < 10.5
