--- a/mallowpond/state/retry_window.py
+++ b/mallowpond/state/retry_window.py
@@ -11,7 +11,7 @@
 
 # Least time over which a rate is reckoned, in seconds: less would make a rate of one
 # request.
-LEAST_RATE_SECONDS = 0.5
+MIN_RATE_SECONDS = 0.5
 # Part of the budget that is used: hosts count their windows at different moments.
 USED_SHARE = 0.8
 
@@ -43,7 +43,7 @@
         """
         if self._since is None:
             return 0.0
-        known = max(LEAST_RATE_SECONDS, self._firsts[-1] - self._since)
+        known = max(MIN_RATE_SECONDS, self._firsts[-1] - self._since)
         return len(self._firsts) / min(self.window_seconds, known)
 
     def try_repeat(self, now: float, hosts: int) -> bool:
