--- a/mallowpond/state/call_window.py
+++ b/mallowpond/state/call_window.py
@@ -8,7 +8,7 @@
 
 # Bounds of the window, in calls: the least still asks a large silent domain within a
 # second or two; the most bounds the connections that one host opens together.
-LEAST_CALLS = 16.0
+MIN_CALLS = 16.0
 MOST_CALLS = 256.0
 FIRST_CALLS = 32.0
 # What is left of the window after a late answer, and the pause in which others that are
@@ -38,4 +38,4 @@
         if now - self._shrunk_at < LATE_PAUSE_SECONDS:
             return
         self._shrunk_at = now
-        self._limit = max(LEAST_CALLS, LATE_SHARE * self._limit)
+        self._limit = max(MIN_CALLS, LATE_SHARE * self._limit)
--- a/mallowpond/state/tests/test_call_window.py
+++ b/mallowpond/state/tests/test_call_window.py
@@ -3,7 +3,7 @@
 from mallowpond.state.call_window import (
     FIRST_CALLS,
     LATE_PAUSE_SECONDS,
-    LEAST_CALLS,
+    MIN_CALLS,
     MOST_CALLS,
     CallWindow,
 )
@@ -20,7 +20,7 @@
     window = CallWindow()
     for _ in range(40):
         window.note_late(10.0)
-    assert LEAST_CALLS < window.limit < FIRST_CALLS
+    assert MIN_CALLS < window.limit < FIRST_CALLS
     window.note_late(10.0 + LATE_PAUSE_SECONDS)
     assert window.limit < 0.75 * FIRST_CALLS
 
@@ -29,7 +29,7 @@
     window = CallWindow()
     for second in range(100):
         window.note_late(float(second))
-    assert window.limit == LEAST_CALLS
+    assert window.limit == MIN_CALLS
     for _ in range(100_000):
         window.note_answered()
     assert window.limit == MOST_CALLS
