--- a/mallowpond/state/call_window.py
+++ b/mallowpond/state/call_window.py
@@ -9,7 +9,7 @@
 # Bounds of the window, in calls: the least still asks a large silent domain within a
 # second or two; the most bounds the connections that one host opens together.
 MIN_CALLS = 16.0
-MOST_CALLS = 256.0
+MAX_CALLS = 256.0
 FIRST_CALLS = 32.0
 # What is left of the window after a late answer, and the pause in which others that are
 # late with it count as the same event, in seconds: calls that were under way together.
@@ -31,7 +31,7 @@
 
     def note_answered(self) -> None:
         """Count a call that was answered in time."""
-        self._limit = min(MOST_CALLS, self._limit + 1.0 / self._limit)
+        self._limit = min(MAX_CALLS, self._limit + 1.0 / self._limit)
 
     def note_late(self, now: float) -> None:
         """Count a call that no answer came to in time."""
--- a/mallowpond/state/tests/test_call_window.py
+++ b/mallowpond/state/tests/test_call_window.py
@@ -3,8 +3,8 @@
 from mallowpond.state.call_window import (
     FIRST_CALLS,
     LATE_PAUSE_SECONDS,
+    MAX_CALLS,
     MIN_CALLS,
-    MOST_CALLS,
     CallWindow,
 )
 
@@ -32,4 +32,4 @@
     assert window.limit == MIN_CALLS
     for _ in range(100_000):
         window.note_answered()
-    assert window.limit == MOST_CALLS
+    assert window.limit == MAX_CALLS
