--- a/mallowpond/state/call_window.py
+++ b/mallowpond/state/call_window.py
@@ -10,7 +10,7 @@
 # second or two; the most bounds the connections that one host opens together.
 MIN_CALLS = 16.0
 MAX_CALLS = 256.0
-FIRST_CALLS = 32.0
+INITIAL_CALLS = 32.0
 # What is left of the window after a late answer, and the pause in which others that are
 # late with it count as the same event, in seconds: calls that were under way together.
 LATE_SHARE = 0.7
@@ -21,7 +21,7 @@
     """Tell how many calls may be under way."""
 
     def __init__(self) -> None:
-        self._limit = FIRST_CALLS
+        self._limit = INITIAL_CALLS
         self._shrunk_at = float("-inf")
 
     @property
--- a/mallowpond/state/tests/test_call_window.py
+++ b/mallowpond/state/tests/test_call_window.py
@@ -1,7 +1,7 @@
 """The calls under way follow what is answered."""
 
 from mallowpond.state.call_window import (
-    FIRST_CALLS,
+    INITIAL_CALLS,
     LATE_PAUSE_SECONDS,
     MAX_CALLS,
     MIN_CALLS,
@@ -11,18 +11,18 @@
 
 def test_the_window_grows_by_one_for_each_round_of_answers():
     window = CallWindow()
-    for _ in range(int(FIRST_CALLS)):
+    for _ in range(int(INITIAL_CALLS)):
         window.note_answered()
-    assert FIRST_CALLS <= window.limit <= FIRST_CALLS + 1
+    assert INITIAL_CALLS <= window.limit <= INITIAL_CALLS + 1
 
 
 def test_calls_that_are_late_together_shrink_it_once():
     window = CallWindow()
     for _ in range(40):
         window.note_late(10.0)
-    assert MIN_CALLS < window.limit < FIRST_CALLS
+    assert MIN_CALLS < window.limit < INITIAL_CALLS
     window.note_late(10.0 + LATE_PAUSE_SECONDS)
-    assert window.limit < 0.75 * FIRST_CALLS
+    assert window.limit < 0.75 * INITIAL_CALLS
 
 
 def test_the_window_stays_within_its_bounds():
