--- a/mallowpond/state/call_window.py
+++ b/mallowpond/state/call_window.py
@@ -14,7 +14,7 @@
 # What is left of the window after a late answer, and the pause in which others that are
 # late with it count as the same event, in seconds: calls that were under way together.
 LATE_SHARE = 0.7
-LATE_PAUSE_SECONDS = 0.2
+DECREASE_PAUSE_SECONDS = 0.2
 
 
 class CallWindow:
@@ -35,7 +35,7 @@
 
     def note_late(self, now: float) -> None:
         """Count a call that no answer came to in time."""
-        if now - self._shrunk_at < LATE_PAUSE_SECONDS:
+        if now - self._shrunk_at < DECREASE_PAUSE_SECONDS:
             return
         self._shrunk_at = now
         self._limit = max(MIN_CALLS, LATE_SHARE * self._limit)
--- a/mallowpond/state/tests/test_call_window.py
+++ b/mallowpond/state/tests/test_call_window.py
@@ -1,8 +1,8 @@
 """The calls under way follow what is answered."""
 
 from mallowpond.state.call_window import (
+    DECREASE_PAUSE_SECONDS,
     INITIAL_CALLS,
-    LATE_PAUSE_SECONDS,
     MAX_CALLS,
     MIN_CALLS,
     CallWindow,
@@ -21,7 +21,7 @@
     for _ in range(40):
         window.note_late(10.0)
     assert MIN_CALLS < window.limit < INITIAL_CALLS
-    window.note_late(10.0 + LATE_PAUSE_SECONDS)
+    window.note_late(10.0 + DECREASE_PAUSE_SECONDS)
     assert window.limit < 0.75 * INITIAL_CALLS
 
 
