--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -39,7 +39,7 @@
     def note(self, *, answered: bool) -> None:
         """Count how a call ended."""
         if answered:
-            self._window.note_answered()
+            self._window.record_success()
         else:
             self._window.note_late(self._clock.now())
 
--- a/mallowpond/state/call_window.py
+++ b/mallowpond/state/call_window.py
@@ -29,7 +29,7 @@
         """Return how many calls may be under way now."""
         return int(self._limit)
 
-    def note_answered(self) -> None:
+    def record_success(self) -> None:
         """Count a call that was answered in time."""
         self._limit = min(MAX_CALLS, self._limit + 1.0 / self._limit)
 
--- a/mallowpond/state/tests/test_call_window.py
+++ b/mallowpond/state/tests/test_call_window.py
@@ -12,7 +12,7 @@
 def test_the_window_grows_by_one_for_each_round_of_answers():
     window = CallWindow()
     for _ in range(int(INITIAL_CALLS)):
-        window.note_answered()
+        window.record_success()
     assert INITIAL_CALLS <= window.limit <= INITIAL_CALLS + 1
 
 
@@ -31,5 +31,5 @@
         window.note_late(float(second))
     assert window.limit == MIN_CALLS
     for _ in range(100_000):
-        window.note_answered()
+        window.record_success()
     assert window.limit == MAX_CALLS
