--- a/mallowpond/state/call_window.py
+++ b/mallowpond/state/call_window.py
@@ -8,20 +8,20 @@
 
 # Bounds of the window, in calls: the least still asks a large silent domain within a
 # second or two; the most bounds the connections that one host opens together.
-LEAST_CALLS = 16.0
-MOST_CALLS = 256.0
-FIRST_CALLS = 32.0
+MIN_CALLS = 16.0
+MAX_CALLS = 256.0
+INITIAL_CALLS = 32.0
 # What is left of the window after a late answer, and the pause in which others that are
 # late with it count as the same event, in seconds: calls that were under way together.
 LATE_SHARE = 0.7
-LATE_PAUSE_SECONDS = 0.2
+DECREASE_PAUSE_SECONDS = 0.2
 
 
 class CallWindow:
     """Tell how many calls may be under way."""
 
     def __init__(self) -> None:
-        self._limit = FIRST_CALLS
+        self._limit = INITIAL_CALLS
         self._shrunk_at = float("-inf")
 
     @property
@@ -29,13 +29,13 @@
         """Return how many calls may be under way now."""
         return int(self._limit)
 
-    def note_answered(self) -> None:
+    def record_success(self) -> None:
         """Count a call that was answered in time."""
-        self._limit = min(MOST_CALLS, self._limit + 1.0 / self._limit)
+        self._limit = min(MAX_CALLS, self._limit + 1.0 / self._limit)
 
     def note_late(self, now: float) -> None:
         """Count a call that no answer came to in time."""
-        if now - self._shrunk_at < LATE_PAUSE_SECONDS:
+        if now - self._shrunk_at < DECREASE_PAUSE_SECONDS:
             return
         self._shrunk_at = now
-        self._limit = max(LEAST_CALLS, LATE_SHARE * self._limit)
+        self._limit = max(MIN_CALLS, LATE_SHARE * self._limit)
