--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -193,11 +193,11 @@
         return key in self._broken
 
     def mark_broken(
-        self, group: Group, cause: BreakCause, *, is_told: bool = False
+        self, group: Group, cause: BreakCause, *, is_known_to_peers: bool = False
     ) -> None:
         """Send a formation nothing more until it is seen open anew.
 
-        With `is_told` the peers need no message about it. A report
+        With `is_known_to_peers` the peers need no message about it. A report
         about another process than the current head changes nothing.
         """
         known = self._groups.get(group.key)
@@ -205,9 +205,11 @@
             return
         if group.key in self._broken or known.head.process != group.head.process:
             return
-        self._note_broken(known, cause, is_told=is_told)
+        self._note_broken(known, cause, is_known_to_peers=is_known_to_peers)
 
-    def _note_broken(self, group: Group, cause: BreakCause, *, is_told: bool) -> None:
+    def _note_broken(
+        self, group: Group, cause: BreakCause, *, is_known_to_peers: bool
+    ) -> None:
         self._broken.add(group, self._clock.now())
         self.loads.work(group.key).forget_pace()
         log.warning(
@@ -218,7 +220,7 @@
             cause=cause.value,
         )
         for notify in self.on_broken:
-            notify(group, cause, is_told)
+            notify(group, cause, is_known_to_peers)
 
     def _is_known_to_live(self, group: Group, now: float) -> bool:
         """Tell whether a group may be sent streams although its head lapsed.
@@ -387,7 +389,7 @@
         place = target.membership
         group = place and self._groups.get((place.group, place.epoch))
         if group:
-            self._note_broken(group, BreakCause.RESTARTED, is_told=False)
+            self._note_broken(group, BreakCause.RESTARTED, is_known_to_peers=False)
 
     def count_present(self, processes: Collection[Process]) -> int:
         """Count the processes that are listed and not known to be gone."""
@@ -457,7 +459,9 @@
                 continue
             if any(member.process in self._ended for member in group.members):
                 if group.key not in self._broken:
-                    self._note_broken(group, BreakCause.RESTARTED, is_told=True)
+                    self._note_broken(
+                        group, BreakCause.RESTARTED, is_known_to_peers=True
+                    )
                 continue
             if group.head is None or group.head.id != target.id:
                 continue
@@ -510,7 +514,7 @@
         self.loads.forget_idle(self._groups)
         self._broken.keep(self._groups)
         for group in broken:
-            self._note_broken(group, BreakCause.RESTARTED, is_told=True)
+            self._note_broken(group, BreakCause.RESTARTED, is_known_to_peers=True)
         for notify in self.on_change:
             notify()
 
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -286,8 +286,12 @@
         directory.on_broken.append(lambda *told, seen=broken: seen.append(told))
         directory.apply_change(change(2, restarted(group[rank])), previous=1)
         assert serving(directory) == set()
-        ((of, cause, is_told),) = broken
-        assert (of.key, cause, is_told) == (("g", 1), BreakCause.RESTARTED, True)
+        ((of, cause, is_known_to_peers),) = broken
+        assert (of.key, cause, is_known_to_peers) == (
+            ("g", 1),
+            BreakCause.RESTARTED,
+            True,
+        )
     directory.apply_change(change(3, replace(group[0], staged=("n",))), previous=2)
     assert serving(directory) == set()
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -268,9 +268,11 @@
         if group is None or group.head is None:
             return
         if group.head.process == message.head:
-            self._directory.mark_broken(group, message.cause, is_told=True)
+            self._directory.mark_broken(group, message.cause, is_known_to_peers=True)
 
-    def _leave_broken(self, group: Group, cause: BreakCause, is_told: bool) -> None:
+    def _leave_broken(
+        self, group: Group, cause: BreakCause, is_known_to_peers: bool
+    ) -> None:
         """Move the streams of a formation that serves no more, and tell the peers.
 
         A head that closes turns streams away while those that run there end well, so
@@ -283,7 +285,7 @@
                 stream.move(Reason.RESTARTED)
         elif not self._advances(group.key, streams):
             self._move(streams)
-        if not is_told:
+        if not is_known_to_peers:
             self._peers.broadcast_group_broken(group, cause)
         self._metrics.suspicions.labels(cause.value).inc()
         for notify in self.on_suspect:
