--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -41,7 +41,7 @@
         if answered:
             self._window.record_success()
         else:
-            self._window.note_late(self._clock.now())
+            self._window.record_timeout(self._clock.now())
 
     async def _wait(self) -> None:
         turn = asyncio.get_running_loop().create_future()
--- a/mallowpond/state/call_window.py
+++ b/mallowpond/state/call_window.py
@@ -33,7 +33,7 @@
         """Count a call that was answered in time."""
         self._limit = min(MAX_CALLS, self._limit + 1.0 / self._limit)
 
-    def note_late(self, now: float) -> None:
+    def record_timeout(self, now: float) -> None:
         """Count a call that no answer came to in time."""
         if now - self._shrunk_at < DECREASE_PAUSE_SECONDS:
             return
