--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -181,11 +181,11 @@
         work = Work(
             node=self.name,
             loads=encode_loads(loads),
-            granted=self.dispatcher_client.granted,
+            grant_number=self.dispatcher_client.grant_number,
         )
         self.datagrams.send_to(work, (host,))
 
     def _hear_work(self, work: Work) -> None:
         loads = self.directory.loads
-        loads.record_peer_loads(work.node, decode_loads(work), work.granted)
+        loads.record_peer_loads(work.node, decode_loads(work), work.grant_number)
         self.dispatcher.wake()
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -149,7 +149,7 @@
                 for other in self.hosts:
                     if other is not host:
                         other.directory.loads.record_peer_loads(
-                            host.name, loads, host.dispatcher_client.granted
+                            host.name, loads, host.dispatcher_client.grant_number
                         )
             self._wake()
             await asyncio.sleep(HEARTBEAT_SECONDS)
@@ -164,7 +164,7 @@
                     loads = host.directory.loads.own_loads()
                     host.directory.loads.record_published(loads)
                     reader.directory.loads.record_peer_loads(
-                        host.name, loads, host.dispatcher_client.granted
+                        host.name, loads, host.dispatcher_client.grant_number
                     )
                 await asyncio.sleep(DIGEST_SECONDS / TELLING_TURNS)
             if self.hosts:
--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -161,16 +161,16 @@
 
     def _grant(self, asker: Asker, seek: Seek, group: Group) -> PlaceAnswer:
         self._granted[asker.node] += 1
-        granted = self._granted[asker.node]
+        grant_number = self._granted[asker.node]
         self._directory.loads.note_grant(
-            asker.node, granted, group.key, seek.prompt_tokens
+            asker.node, grant_number, group.key, seek.prompt_tokens
         )
         return self._answer(
             asker,
             PlaceVerdict.GRANTED,
             group=group.name,
             epoch=group.epoch,
-            granted=granted,
+            grant_number=grant_number,
         )
 
     def _answer(
--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -76,7 +76,7 @@
         self._silent_until = float("-inf")
         self._ends_waits = False
         # The last place that the dispatcher gave, of which peers are told.
-        self.granted = 0
+        self.grant_number = 0
         # Called when a place was given that no stream takes any more.
         self.on_unused_grant: list[Callable[[], None]] = []
         peers.on_place_answer.append(self._hear)
@@ -187,9 +187,9 @@
             return
         if answer.node == self._name:
             # The stream is counted by itself before anything else is chosen.
-            self._directory.loads.note_taken(self._name, answer.granted)
+            self._directory.loads.note_taken(self._name, answer.grant_number)
         else:
-            self.granted = answer.granted
+            self.grant_number = answer.grant_number
 
     def _usable(self, answer: PlaceAnswer, seek: Seek) -> Group | None:
         """Return the group that was named, None if this host would not use it."""
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -125,10 +125,10 @@
         self._told = loads
 
     def record_peer_loads(
-        self, name: str, loads: LoadsByGroup, granted: int = 0
+        self, name: str, loads: LoadsByGroup, grant_number: int = 0
     ) -> None:
-        """Note a peer's work by group, with the places up to number `granted`."""
-        self._peers.note(name, loads, granted, self._clock.now())
+        """Note a peer's work by group, with the places up to number `grant_number`."""
+        self._peers.note(name, loads, grant_number, self._clock.now())
 
     def note_grant(self, name: str, number: int, key: GroupKey, tokens: float) -> None:
         """Count a place that a peer was given until the peer tells of the stream."""
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -82,7 +82,7 @@
     cores: float = 0.0
     loads: LoadColumns = LoadColumns()
     # The last place that the dispatcher gave, whose stream `loads` holds.
-    granted: int = 0
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -182,12 +182,12 @@
     """Tell the readers one host's work by group.
 
     It includes the streams of all places that the dispatcher granted up to the one
-    numbered `granted`.
+    numbered `grant_number`.
     """
 
     node: Name
     loads: LoadColumns
-    granted: int = 0
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -223,7 +223,7 @@
 class PlaceAnswer:
     """Answer a question for a place.
 
-    A granted place is on `group`; `granted` counts the places granted to that host
+    A granted place is on `group`; `grant_number` counts the places granted to that host
     so far. A refused stream would have to wait for `wait` seconds.
     """
 
@@ -232,7 +232,7 @@
     verdict: PlaceVerdict
     group: str = ""
     epoch: int = 0
-    granted: int = 0
+    grant_number: int = 0
     wait: float = 0.0
 
 
--- a/mallowpond/node/peer_work.py
+++ b/mallowpond/node/peer_work.py
@@ -50,14 +50,16 @@
         self._forget_given(now)
         return self._running[key], max(0.0, self._reading[key])
 
-    def note(self, name: str, loads: LoadsByGroup, granted: int, now: float) -> None:
-        """Take a peer's figures, which hold the places up to number `granted`."""
+    def note(
+        self, name: str, loads: LoadsByGroup, grant_number: int, now: float
+    ) -> None:
+        """Take a peer's figures, which hold the places up to number `grant_number`."""
         self._drop(name)
         # Least lately heard first.
         self._peers[name] = PeerLoad(heard_at=now, loads=loads)
         for key, (running, reading) in loads.items():
             self._add(key, running, reading)
-        self.settle(name, granted, now)
+        self.settle(name, grant_number, now)
 
     def grant(self, name: str, grant: Grant) -> None:
         """Count a place that is given to a peer until the peer tells of it."""
@@ -65,11 +67,11 @@
         self._given.append((grant.at, name))
         self._add(grant.key, 1, grant.tokens)
 
-    def settle(self, name: str, granted: int, now: float) -> None:
+    def settle(self, name: str, grant_number: int, now: float) -> None:
         """Count the places up to a number no more, nor those given long ago."""
         grants = self._grants[name]
         while grants and (
-            grants[0].number <= granted or now - grants[0].at > GRANT_SECONDS
+            grants[0].number <= grant_number or now - grants[0].at > GRANT_SECONDS
         ):
             grant = grants.popleft()
             self._add(grant.key, -1, -grant.tokens)
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -90,7 +90,7 @@
         self._told_work: LoadsByGroup = {}
         self._store_was_reached = True
         # The last place that this host was given, which its work holds.
-        self.granted: Callable[[], int] = lambda: 0
+        self.grant_number: Callable[[], int] = lambda: 0
         self.after_digest: list[Callable[[], None]] = []
         configuration.is_reader = lambda: self.reads
         configuration.ask_readers = self._ask
@@ -233,7 +233,9 @@
         self._send_work(loads, {host})
 
     def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
-        work = Work(node=self._name, loads=encode_loads(loads), granted=self.granted())
+        work = Work(
+            node=self._name, loads=encode_loads(loads), grant_number=self.grant_number()
+        )
         self._peers.send_to(work, hosts - {self._name})
 
     # -- the list of targets -------------------------------------------------
@@ -292,7 +294,7 @@
 
     def _note_work(self, work: Work) -> None:
         self._directory.loads.record_peer_loads(
-            work.node, decode_loads(work), work.granted
+            work.node, decode_loads(work), work.grant_number
         )
 
     # -- the configuration ---------------------------------------------------
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -90,10 +90,10 @@
         work = Work(
             node="a",
             loads=encode_loads(loads),
-            granted=self.dispatcher_client.granted,
+            grant_number=self.dispatcher_client.grant_number,
         )
         self.rig_b.directory.loads.record_peer_loads(
-            "a", decode_loads(work), work.granted
+            "a", decode_loads(work), work.grant_number
         )
         self.dispatcher.wake()
 
@@ -169,7 +169,7 @@
     site.wire_a.is_cut = False
     await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     assert len(site.wire_a.sent) == 2
-    assert site.dispatcher_client.granted == 1
+    assert site.dispatcher_client.grant_number == 1
 
 
 async def test_a_place_that_nobody_takes_is_free_again():
@@ -188,7 +188,7 @@
     site.dispatcher.wake()
     given = site.wire_b.sent[-1]
     assert given.verdict is PlaceVerdict.GRANTED
-    assert site.dispatcher_client.granted == given.granted
+    assert site.dispatcher_client.grant_number == given.grant_number
     assert site.rig_b.directory.loads.load(GROUP).running == 0
 
 
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -237,7 +237,7 @@
         removed=("u",),
         unreadable=("v",),
     ),
-    Work(node="b", loads=encode_loads(LOADS), granted=2),
+    Work(node="b", loads=encode_loads(LOADS), grant_number=2),
     PlaceQuestion(
         node="b",
         number=3,
@@ -257,7 +257,7 @@
         verdict=PlaceVerdict.GRANTED,
         group="g",
         epoch=1,
-        granted=2,
+        grant_number=2,
         wait=0.5,
     ),
     VersionQuestion(node="b", number=3),
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -133,7 +133,7 @@
             verdict=PlaceVerdict.GRANTED,
             group="a",
             epoch=1,
-            granted=1,
+            grant_number=1,
         )
 
     site.dispatcher.ask = lambda asker, seek, claim: grant(asker.number)
