--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -197,7 +197,7 @@
         the same; without any that can tell, its own finding counts.
         """
         now = self._clock.now()
-        self._doubt.note_silent(target.id, target.domain, now)
+        self._doubt.record_silence(target.id, target.domain, now)
         if not self._doubt.is_doubtful(now):
             return True
         if not await self._others.sees(target.id):
--- a/mallowpond/state/observer_doubt.py
+++ b/mallowpond/state/observer_doubt.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._silent: deque[tuple[float, str, str]] = deque()
 
-    def note_silent(self, target: str, domain: str, now: float) -> None:
+    def record_silence(self, target: str, domain: str, now: float) -> None:
         """Note that a target does not answer."""
         self._silent.append((now, target, domain))
 
--- a/mallowpond/state/tests/test_observer_doubt.py
+++ b/mallowpond/state/tests/test_observer_doubt.py
@@ -11,7 +11,7 @@
     """Have targets of some domains fall silent."""
     doubt = ObserverDoubt()
     for number in range(count):
-        doubt.note_silent(f"t{number}", f"d{number % domains}", now)
+        doubt.record_silence(f"t{number}", f"d{number % domains}", now)
     return doubt
 
 
@@ -27,7 +27,7 @@
 def test_one_target_that_is_asked_again_and_again_counts_once():
     doubt = ObserverDoubt()
     for number in range(20):
-        doubt.note_silent("t", f"d{number % 2}", 10.0)
+        doubt.record_silence("t", f"d{number % 2}", 10.0)
     assert not doubt.is_doubtful(10.0)
 
 
