--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -198,7 +198,7 @@
         """
         now = self._clock.now()
         self._doubt.record_silence(target.id, target.domain, now)
-        if not self._doubt.is_doubtful(now):
+        if not self._doubt.is_suspect(now):
             return True
         if not await self._others.sees(target.id):
             return True
--- a/mallowpond/state/observer_doubt.py
+++ b/mallowpond/state/observer_doubt.py
@@ -25,7 +25,7 @@
         """Note that a target does not answer."""
         self._silent.append((now, target, domain))
 
-    def is_doubtful(self, now: float) -> bool:
+    def is_suspect(self, now: float) -> bool:
         """Tell whether what fell silent of late says more of the observer."""
         while self._silent and now - self._silent[0][0] > DOUBT_SECONDS:
             self._silent.popleft()
--- a/mallowpond/state/tests/test_observer_doubt.py
+++ b/mallowpond/state/tests/test_observer_doubt.py
@@ -16,20 +16,20 @@
 
 
 def test_many_of_several_domains_make_the_observer_doubtful():
-    assert silent(DOUBTED_TARGETS, 2).is_doubtful(10.0)
+    assert silent(DOUBTED_TARGETS, 2).is_suspect(10.0)
 
 
 def test_a_few_targets_or_one_domain_are_believed():
-    assert not silent(DOUBTED_TARGETS - 1, 3).is_doubtful(10.0)
-    assert not silent(73, 1).is_doubtful(10.0)
+    assert not silent(DOUBTED_TARGETS - 1, 3).is_suspect(10.0)
+    assert not silent(73, 1).is_suspect(10.0)
 
 
 def test_one_target_that_is_asked_again_and_again_counts_once():
     doubt = ObserverDoubt()
     for number in range(20):
         doubt.record_silence("t", f"d{number % 2}", 10.0)
-    assert not doubt.is_doubtful(10.0)
+    assert not doubt.is_suspect(10.0)
 
 
 def test_what_fell_silent_long_ago_counts_no_more():
-    assert not silent(40, 5).is_doubtful(10.0 + DOUBT_SECONDS + 0.1)
+    assert not silent(40, 5).is_suspect(10.0 + DOUBT_SECONDS + 0.1)
