--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -16,7 +16,7 @@
 from mallowpond.node.ports import EngineReport, Targets
 from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.observer_doubt import ObserverDoubt
+from mallowpond.state.observer_doubt import ObserverHealth
 from mallowpond.state.order_book import OrderBook
 from mallowpond.state.processes import CurrentProcesses
 
@@ -69,7 +69,7 @@
         self._running_probes: dict[Process, asyncio.Task[bool]] = {}
         self._lapse_probed: dict[Process, float] = {}
         self._unhealthy: dict[Process, int] = {}
-        self._doubt = ObserverDoubt()
+        self._doubt = ObserverHealth()
         self._others = IndirectProbe(
             peers=peers, look=self._probe_for_peer, spawn=spawn
         )
--- a/mallowpond/state/observer_doubt.py
+++ b/mallowpond/state/observer_doubt.py
@@ -15,7 +15,7 @@
 DOUBT_SECONDS = 1.0
 
 
-class ObserverDoubt:
+class ObserverHealth:
     """Count what fell silent for this observer of late."""
 
     def __init__(self) -> None:
--- a/mallowpond/state/tests/test_observer_doubt.py
+++ b/mallowpond/state/tests/test_observer_doubt.py
@@ -3,13 +3,13 @@
 from mallowpond.state.observer_doubt import (
     DOUBT_SECONDS,
     DOUBTED_TARGETS,
-    ObserverDoubt,
+    ObserverHealth,
 )
 
 
 def silent(count, domains, *, now=10.0):
     """Have targets of some domains fall silent."""
-    doubt = ObserverDoubt()
+    doubt = ObserverHealth()
     for number in range(count):
         doubt.record_silence(f"t{number}", f"d{number % domains}", now)
     return doubt
@@ -25,7 +25,7 @@
 
 
 def test_one_target_that_is_asked_again_and_again_counts_once():
-    doubt = ObserverDoubt()
+    doubt = ObserverHealth()
     for number in range(20):
         doubt.record_silence("t", f"d{number % 2}", 10.0)
     assert not doubt.is_suspect(10.0)
