--- a/mallowpond/state/tests/test_observer_doubt.py
+++ b/mallowpond/state/tests/test_observer_doubt.py
@@ -2,7 +2,7 @@
 
 from mallowpond.state.observer_doubt import (
     DOUBT_SECONDS,
-    DOUBTED_TARGETS,
+    MIN_SILENT_TARGETS,
     ObserverHealth,
 )
 
@@ -16,11 +16,11 @@
 
 
 def test_many_of_several_domains_make_the_observer_doubtful():
-    assert silent(DOUBTED_TARGETS, 2).is_suspect(10.0)
+    assert silent(MIN_SILENT_TARGETS, 2).is_suspect(10.0)
 
 
 def test_a_few_targets_or_one_domain_are_believed():
-    assert not silent(DOUBTED_TARGETS - 1, 3).is_suspect(10.0)
+    assert not silent(MIN_SILENT_TARGETS - 1, 3).is_suspect(10.0)
     assert not silent(73, 1).is_suspect(10.0)
 
 
