--- a/mallowpond/state/observer_doubt.py
+++ b/mallowpond/state/observer_doubt.py
@@ -11,7 +11,7 @@
 # Targets that fall silent within a time in seconds, and the domains that they are of,
 # from which the observer asks another one: more than die together by chance.
 MIN_SILENT_TARGETS = 8
-DOUBTED_DOMAINS = 2
+MIN_SILENT_DOMAINS = 2
 DOUBT_SECONDS = 1.0
 
 
@@ -31,4 +31,4 @@
             self._silent.popleft()
         targets = {target for _, target, _ in self._silent}
         domains = {domain for _, _, domain in self._silent}
-        return len(targets) >= MIN_SILENT_TARGETS and len(domains) >= DOUBTED_DOMAINS
+        return len(targets) >= MIN_SILENT_TARGETS and len(domains) >= MIN_SILENT_DOMAINS
