--- a/mallowpond/state/observer_doubt.py
+++ b/mallowpond/state/observer_doubt.py
@@ -12,7 +12,7 @@
 # from which the observer asks another one: more than die together by chance.
 MIN_SILENT_TARGETS = 8
 MIN_SILENT_DOMAINS = 2
-DOUBT_SECONDS = 1.0
+SILENCE_WINDOW_SECONDS = 1.0
 
 
 class ObserverHealth:
@@ -27,7 +27,7 @@
 
     def is_suspect(self, now: float) -> bool:
         """Tell whether what fell silent of late says more of the observer."""
-        while self._silent and now - self._silent[0][0] > DOUBT_SECONDS:
+        while self._silent and now - self._silent[0][0] > SILENCE_WINDOW_SECONDS:
             self._silent.popleft()
         targets = {target for _, target, _ in self._silent}
         domains = {domain for _, _, domain in self._silent}
--- a/mallowpond/state/tests/test_observer_doubt.py
+++ b/mallowpond/state/tests/test_observer_doubt.py
@@ -1,8 +1,8 @@
 """An observer for whom too much falls silent doubts itself."""
 
 from mallowpond.state.observer_doubt import (
-    DOUBT_SECONDS,
     MIN_SILENT_TARGETS,
+    SILENCE_WINDOW_SECONDS,
     ObserverHealth,
 )
 
@@ -32,4 +32,4 @@
 
 
 def test_what_fell_silent_long_ago_counts_no_more():
-    assert not silent(40, 5).is_suspect(10.0 + DOUBT_SECONDS + 0.1)
+    assert not silent(40, 5).is_suspect(10.0 + SILENCE_WINDOW_SECONDS + 0.1)
