--- a/bench/limits.py
+++ b/bench/limits.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from bench.report import Report
-from mallowpond.state.limits import FairQueue, ServiceTime, judge_wait
+from mallowpond.state.limits import FairQueue, ServiceTime, refuse_if_late
 from mallowpond.state.quota import Chunk, chunk_size, grant
 from mallowpond.state.retry import RetryBudget
 
@@ -124,7 +124,7 @@
     def _is_refused(self, ask: Ask, now: float) -> bool:
         match self.policy:
             case "ours":
-                refused = judge_wait(
+                refused = refuse_if_late(
                     ahead=self._queue.ahead_of(str(ask.workspace), 1.0),
                     places=self.places,
                     service_seconds=self._service.cautious,
--- a/mallowpond/gateway/gate.py
+++ b/mallowpond/gateway/gate.py
@@ -11,7 +11,7 @@
     Refused,
     ServiceTime,
     Ticket,
-    judge_wait,
+    refuse_if_late,
 )
 from mallowpond.state.rows import GroupRow
 
@@ -71,7 +71,7 @@
             group = self._choose(prefix, avoid)
             if group is not None:
                 return self._take(group)
-        refused = judge_wait(
+        refused = refuse_if_late(
             ahead=self._queue.ahead_of(workspace, share),
             places=len(self._serving()) * self._limit,
             service_seconds=self._service.cautious,
--- a/mallowpond/state/limits.py
+++ b/mallowpond/state/limits.py
@@ -117,7 +117,7 @@
     return (ahead + 1) * service_seconds / places
 
 
-def judge_wait(
+def refuse_if_late(
     *, ahead: int, places: int, service_seconds: float, remaining: float
 ) -> Refused | None:
     """Refuse a request at once when its deadline cannot be met in the queue."""
--- a/mallowpond/state/tests/test_limits.py
+++ b/mallowpond/state/tests/test_limits.py
@@ -1,6 +1,6 @@
 """Queueing and early refusal."""
 
-from mallowpond.state.limits import FairQueue, judge_wait, spread_retry_after
+from mallowpond.state.limits import FairQueue, refuse_if_late, spread_retry_after
 
 
 def test_queue_shares_between_a_large_and_a_small_workspace():
@@ -33,17 +33,19 @@
 
 
 def test_request_that_cannot_be_served_in_time_is_refused_at_once():
-    refused = judge_wait(ahead=100, places=10, service_seconds=1.0, remaining=5.0)
+    refused = refuse_if_late(ahead=100, places=10, service_seconds=1.0, remaining=5.0)
     assert refused.reason == "overloaded"
     assert refused.retry_after >= 1.0
 
 
 def test_request_that_can_wait_is_kept():
-    assert judge_wait(ahead=10, places=10, service_seconds=1.0, remaining=5.0) is None
+    assert (
+        refuse_if_late(ahead=10, places=10, service_seconds=1.0, remaining=5.0) is None
+    )
 
 
 def test_no_places_means_refusal():
-    assert judge_wait(ahead=0, places=0, service_seconds=1.0, remaining=5.0)
+    assert refuse_if_late(ahead=0, places=0, service_seconds=1.0, remaining=5.0)
 
 
 def test_callers_refused_together_come_back_apart():
