--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -97,7 +97,7 @@
 
     async def serve(self, work: CallWork) -> ServeOutcome:
         """Serve one request to its end."""
-        self._budget(work.service).note_first(self._clock.now())
+        self._budget(work.service).record_first_send(self._clock.now())
         held = self._quarantine.refuse(work.fingerprint, work.request.id)
         if held is not None:
             return held
@@ -130,7 +130,7 @@
         used = set(work.sent_to) | set(work.turned_away)
         targets = [
             target
-            for target in self._directory.of_service(work.service)
+            for target in self._directory.usable_targets(work.service)
             if self._records[target.process].misdirected is not target
             and self._intake.may_send(target)
         ]
@@ -152,7 +152,7 @@
 
     def _unused(self, work: CallWork) -> list[Target]:
         """Return the targets to which a request was not sent."""
-        targets = self._directory.of_service(work.service)
+        targets = self._directory.usable_targets(work.service)
         return [target for target in targets if target.process not in work.sent_to]
 
     async def _send(self, work: CallWork, target: Target) -> WholeReply | NoReply:
@@ -165,7 +165,7 @@
             limit = FIRST_SEND_SHARE * left
         record = self._records[target.process]
         record.running += 1
-        self._intake.note_sent(target)
+        self._intake.record_sent(target)
         work.sent_to.append(target.process)
         log.info(
             "call: sent",
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -14,7 +14,7 @@
 from mallowpond.state.codec import to_compact
 from mallowpond.state.crash_ledger import CrashRecord
 from mallowpond.state.decoding import (
-    Fault,
+    DecodeFault,
     Identifier,
     Name,
     Positive,
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class WorkFigures:
+class LoadColumns:
     """Tell work by group, in a column for each figure.
 
     With a data class for each group they would take several times as long to decode.
@@ -80,9 +80,9 @@
     interval: float = HEARTBEAT_SECONDS
     data_centre: str = ""
     cores: float = 0.0
-    loads: WorkFigures = WorkFigures()
+    loads: LoadColumns = LoadColumns()
     # The last place that the dispatcher gave, whose stream `loads` holds.
-    granted: int = 0
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -154,7 +154,7 @@
     node: Name
     version: int
     changed: int
-    loads: WorkFigures = WorkFigures()
+    loads: LoadColumns = LoadColumns()
     pass_on: bool = False
 
 
@@ -181,12 +181,13 @@
 class Work:
     """Tell the readers one host's work by group.
 
-    It holds the streams of all places that the dispatcher gave up to `granted`.
+    It includes the streams of all places that the dispatcher granted up to the one
+    numbered `grant_number`.
     """
 
     node: Name
-    loads: WorkFigures
-    granted: int = 0
+    loads: LoadColumns
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -222,8 +223,8 @@
 class PlaceAnswer:
     """Answer a question for a place.
 
-    A granted place is on `group`, and `granted` counts those given to that host. One
-    that is refused would have to wait for `wait` seconds.
+    A granted place is on `group`; `grant_number` counts the places granted to that host
+    so far. A refused stream would have to wait for `wait` seconds.
     """
 
     node: Name
@@ -231,7 +232,7 @@
     verdict: PlaceVerdict
     group: str = ""
     epoch: int = 0
-    granted: int = 0
+    grant_number: int = 0
     wait: float = 0.0
 
 
@@ -351,26 +352,26 @@
 def read_message(data: bytes) -> Message | Unreadable:
     """Decode a datagram, whatever it holds."""
     if len(data) > LARGEST_DATAGRAM:
-        return Unreadable(fault=Fault.RANGE)
+        return Unreadable(fault=DecodeFault.RANGE)
     if data[:1] == COMPRESSED_MARK:
         unpacked = unpack(data, LARGEST_UNPACKED)
         if unpacked is None:
-            return Unreadable(fault=Fault.BYTES)
+            return Unreadable(fault=DecodeFault.BYTES)
         data = unpacked
     content = _parse(data)
     if isinstance(content, Unreadable):
         return content
     if not isinstance(content, list) or len(content) != 2:
-        return Unreadable(fault=Fault.TYPE)
+        return Unreadable(fault=DecodeFault.TYPE)
     name, plain = content
     if not isinstance(name, str) or name not in MESSAGES:
-        return Unreadable(fault=Fault.UNKNOWN)
+        return Unreadable(fault=DecodeFault.UNKNOWN)
     message = decode_compact(plain, MESSAGES[name])
     if isinstance(message, Heartbeat):
         if not 0.0 < message.interval <= LONGEST_INTERVAL_SECONDS:
-            return Unreadable(fault=Fault.RANGE, field="interval")
+            return Unreadable(fault=DecodeFault.RANGE, field="interval")
     if isinstance(message, Heartbeat | Digest | Work) and not message.loads.is_whole:
-        return Unreadable(fault=Fault.MISSING, field="loads")
+        return Unreadable(fault=DecodeFault.MISSING, field="loads")
     return message
 
 
@@ -390,14 +391,14 @@
     # Tagged values are built by the constructors of many types, each with errors of
     # its own.
     except Exception:
-        return Unreadable(fault=Fault.BYTES)
+        return Unreadable(fault=DecodeFault.BYTES)
 
 
-def heartbeat_loads(
+def encode_loads(
     loads: dict[GroupKey, tuple[int, float]],
-) -> WorkFigures:
+) -> LoadColumns:
     """Return a host's work by group as messages carry it."""
-    return WorkFigures(
+    return LoadColumns(
         groups=tuple(group for group, _ in loads),
         epochs=tuple(epoch for _, epoch in loads),
         running=tuple(running for running, _ in loads.values()),
@@ -406,7 +407,7 @@
     )
 
 
-def loads_of(
+def decode_loads(
     message: Heartbeat | Work | Digest,
 ) -> dict[GroupKey, tuple[int, float]]:
     """Return the work by group that a message tells."""
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -242,7 +242,7 @@
             profile=profile,
             targets=tuple(
                 self._with_latest_state(target)
-                for target in self._directory.all_of_service(service)
+                for target in self._directory.all_targets(service)
             ),
             now=now,
             demand=demand(self._directory, profile),
@@ -252,9 +252,9 @@
             busy=self._book.busy,
             formations=self._formations,
             first_seen=self._first_seen,
-            unheld=self._processes.unheld,
+            disclaimed=self._processes.disclaimed,
             seen={key: frozenset(seen) for key, seen in self._seen_processes.items()},
-            distrusted=frozenset(
+            repeatedly_suspected=frozenset(
                 key
                 for key, times in self._cleared_at.items()
                 if sum(now - at < CLEARED_SECONDS for at in times) >= CLEARED_SUSPICIONS
@@ -263,7 +263,7 @@
             leaving_since={p.id: at for p, at in self._leaving_since.items()},
             loads_begun=tuple(self._loads_begun),
             loading=self._book.loading,
-            before_traffic=not self._traffic_seen.seen,
+            is_before_traffic=not self._traffic_seen.seen,
             is_settled=self._directory.is_settled,
             newest_target_at=self._directory.newest_target_at,
         )
@@ -343,7 +343,7 @@
         self._log_restarted(current)
         self._loads_begun = [at for at in self._loads_begun if now - at < 10.0]
         self._probes.probe_due()
-        if self._directory.is_lost:
+        if self._directory.is_list_lost:
             self._poll_pending(now)
 
     def _log_restarted(self, current: dict[str, Target]) -> None:
@@ -534,7 +534,7 @@
         answers = await asyncio.gather(*(self._probes.probe(m) for m in members))
         if not all(answers) or len(members) < len(group.members):
             return
-        if group.key in self._processes.unheld:
+        if group.key in self._processes.disclaimed:
             return
         self._cleared_at.setdefault(group.key, []).append(self._clock.now())
         log.info(
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -22,7 +22,7 @@
 from mallowpond.node.ingress import Ingress
 from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
-from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
+from mallowpond.node.messages import Heartbeat, decode_loads, encode_loads
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.planner import GroupPlanner
@@ -91,7 +91,7 @@
             address=f"{settings.address}:{settings.peer_port}",
             table=ports.table,
             clock=clock,
-            describe=self._describe,
+            make_heartbeat=self._describe,
             notes=notes,
         )
         quarantine = Quarantine(clock=clock, metrics=self.metrics)
@@ -155,7 +155,7 @@
             rng=self._rng,
             checks_fencing=settings.bounds.checks_fencing,
             cores=settings.cores,
-            may_plan=self._may_plan,
+            can_plan=self._can_plan,
             notes=notes,
         )
         self.planner = GroupPlanner(
@@ -208,7 +208,7 @@
         self.streams.placement.dispatcher_client = self.dispatcher_client
         self.streams.on_end.append(self._on_slot_freed)
         self.dispatcher_client.on_unused_grant.append(self._on_slot_freed)
-        self.readers.granted = lambda: self.dispatcher_client.granted
+        self.readers.grant_number = lambda: self.dispatcher_client.grant_number
         self.sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
@@ -216,8 +216,8 @@
             fanout=self.fanout,
             configuration=self.configuration,
         )
-        self.readers.on_news.append(self.streams.placement.wake_all)
-        self.configuration.on_newer.append(self._publish_version)
+        self.readers.after_digest.append(self.streams.placement.wake_all)
+        self.configuration.on_new_version.append(self._publish_version)
         self.leadership.on_acquired.append(
             lambda: self.peers.broadcast(self._describe())
         )
@@ -231,7 +231,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new callers should come to this node."""
-        return self.configuration.is_sure and not self.ingress.is_stopping
+        return self.configuration.is_confirmed and not self.ingress.is_stopping
 
     async def start(self) -> None:
         """Listen, and follow the platform."""
@@ -247,8 +247,8 @@
         await self._listen(self.ingress.server, self._settings.callers, self._listener)
         for work in (
             self.peers.run_heartbeats(),
-            self.peers.run_senior_heartbeats(),
-            self.peers.run_rows(),
+            self.peers.run_candidate_heartbeats(),
+            self.peers.run_node_rows(),
             self.watch.run(),
             self.leadership.run(),
             self.readers.run(),
@@ -313,7 +313,7 @@
         While the store is away none can, and groups that lose a member would stay
         down until it is back.
         """
-        if self.configuration.store_answers:
+        if self.configuration.is_store_reachable:
             await self.leadership.release()
 
     async def close(self) -> None:
@@ -342,8 +342,8 @@
             # Serving callers goes before being watched.
             log.warning("node: no metrics address", error=str(error))
 
-    def _may_plan(self) -> bool:
-        return self.configuration.store_answers and not self.ingress.is_stopping
+    def _can_plan(self) -> bool:
+        return self.configuration.is_store_reachable and not self.ingress.is_stopping
 
     def _budget(self, service: str) -> RetryWindow:
         bounds = self._settings.bounds
@@ -362,16 +362,16 @@
             incarnation=self._incarnation,
             address=f"{self._settings.address}:{self._settings.peer_port}",
             version=known.version if known else 0,
-            sure=self.configuration.is_sure,
-            store=self.configuration.store_answers,
+            sure=self.configuration.is_confirmed,
+            store=self.configuration.is_store_reachable,
             stopping=self.ingress.is_stopping,
             planning=self.leadership.fence,
             traffic=self._traffic.seen,
             interval=self.peers.interval,
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
-            loads=heartbeat_loads(self.directory.loads.own_loads()),
-            granted=self.dispatcher_client.granted,
+            loads=encode_loads(self.directory.loads.own_loads()),
+            grant_number=self.dispatcher_client.grant_number,
         )
 
     def _find_model(self, service: str, model: str) -> ServedModel | None:
@@ -385,12 +385,12 @@
 
     def _on_slot_freed(self) -> None:
         """Tell whoever counts places that this host holds one less."""
-        self.readers.tell_dispatcher()
+        self.readers.send_work_to_dispatcher()
         self.dispatcher.wake()
 
     def _publish_version(self) -> None:
         """Tell a newer version at once; in a large fleet only the readers do."""
-        if not self.peers.is_large:
+        if not self.peers.is_large_fleet:
             self.peers.broadcast(self._describe())
         elif self.readers.reads:
             self.readers.step()
@@ -398,7 +398,7 @@
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
         self.directory.loads.record_peer_loads(
-            heartbeat.node, loads_of(heartbeat), heartbeat.granted
+            heartbeat.node, decode_loads(heartbeat), heartbeat.grant_number
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -23,6 +23,7 @@
     ListChange,
     LivenessAnswer,
     LivenessQuestion,
+    LoadColumns,
     PlaceAnswer,
     PlaceQuestion,
     PlaceVerdict,
@@ -33,9 +34,8 @@
     VersionQuestion,
     Vouch,
     Work,
-    WorkFigures,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
     read_message,
     write_message,
 )
@@ -85,7 +85,7 @@
         store=True,
         stopping=False,
         planning=0,
-        loads=heartbeat_loads(LOADS),
+        loads=encode_loads(LOADS),
         **more,
     )
 
@@ -104,7 +104,7 @@
         address="127.0.0.1:8",
         table=table or MemoryTable(),
         clock=clock,
-        describe=lambda: beat("a"),
+        make_heartbeat=lambda: beat("a"),
     )
     return peers, clock
 
@@ -118,7 +118,7 @@
     suspicion = Suspicion(node="b", group="g", epoch=3, closing=True)
     for message in (beat(), suspicion, Vouch(node="b", targets=("t",))):
         peers.datagram_received(encode(message), SENDER)
-    assert loads_of(heard[0]) == LOADS
+    assert decode_loads(heard[0]) == LOADS
     assert suspected == [suspicion]
     assert vouched == ["t"]
     assert peers.hosts == 2
@@ -155,7 +155,7 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        describe=beat,
+        make_heartbeat=beat,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
@@ -169,7 +169,7 @@
     """
     peers, _ = network()
     few = peers.interval
-    peers.is_senior = False
+    peers.is_candidate = False
     for number in range(380):
         peers._addresses[str(number)] = "127.0.0.1:1"
     assert peers.interval > 5.0
@@ -188,7 +188,7 @@
     seldom = 1 / SENIOR_HEARTBEATS_PER_SECOND
     assert peers.interval == 380 * seldom
     often = 4 / peers.interval
-    peers.is_senior = False
+    peers.is_candidate = False
     assert often + 376 / peers.interval < HEARTBEATS_PER_SECOND / 2
 
 
@@ -228,7 +228,7 @@
     Vouch(node="b", targets=("t",)),
     SilenceQuestion(node="b", group="g", epoch=3, silent=0.5),
     Advance(node="b", group="g", epoch=3),
-    Digest(node="b", version=3, changed=4, loads=heartbeat_loads(LOADS)),
+    Digest(node="b", version=3, changed=4, loads=encode_loads(LOADS)),
     ListChange(
         node="b",
         previous=3,
@@ -237,7 +237,7 @@
         removed=("u",),
         unreadable=("v",),
     ),
-    Work(node="b", loads=heartbeat_loads(LOADS), granted=2),
+    Work(node="b", loads=encode_loads(LOADS), grant_number=2),
     PlaceQuestion(
         node="b",
         number=3,
@@ -257,7 +257,7 @@
         verdict=PlaceVerdict.GRANTED,
         group="g",
         epoch=1,
-        granted=2,
+        grant_number=2,
         wait=0.5,
     ),
     VersionQuestion(node="b", number=3),
@@ -284,7 +284,7 @@
     bytes: ("4", None, True, 7, [], {}),
     float: ("4", None, True, -0.5, float("nan"), float("inf"), 1e300, []),
     tuple: (7, None, True, "x", {}, [7], [None], [[]]),
-    WorkFigures: (7, None, True, "x", [], [["g"], [1], [1]], [["g"], [1], [1], []]),
+    LoadColumns: (7, None, True, "x", [], [["g"], [1], [1]], [["g"], [1], [1], []]),
     PlaceVerdict: (7, None, True, [], "", "gone"),
     BreakCause: (7, None, True, [], "", "gone"),
     Process: (7, None, True, "x", [], ["t"], ["t", "5"], ["t", True], [None, 5]),
@@ -401,7 +401,7 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        describe=beat,
+        make_heartbeat=beat,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
@@ -466,7 +466,7 @@
 
 
 def test_a_sum_of_work_just_below_nothing_leaves_the_message_readable():
-    loads = heartbeat_loads({("g", 3): (1, -0.7)})
+    loads = encode_loads({("g", 3): (1, -0.7)})
     message = Work(node="b", loads=loads)
     assert read_message(encode(message)) == message
 
@@ -515,16 +515,16 @@
 
 def test_a_node_that_was_never_heard_is_not_known_to_be_gone():
     peers, clock = network()
-    assert not peers.is_gone("b", "1")
+    assert not peers.has_stopped_planning("b", "1")
     peers.datagram_received(encode(beat()), SENDER)
-    assert not peers.is_gone("b", beat().incarnation)
-    assert peers.is_gone("b", "another")
+    assert not peers.has_stopped_planning("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", "another")
     clock.time += GONE_SECONDS + 0.1
-    assert peers.is_gone("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", beat().incarnation)
 
 
 @pytest.mark.parametrize("said", [{"store": False}, {"stopping": True}])
 def test_a_node_that_cannot_plan_is_gone_for_the_lease(said):
     peers, _ = network()
     peers.datagram_received(encode(replace(beat(), **said)), SENDER)
-    assert peers.is_gone("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", beat().incarnation)
--- a/mallowpond/state/place_line.py
+++ b/mallowpond/state/place_line.py
@@ -12,7 +12,7 @@
 from typing import Generic, TypeVar
 
 # Streams that wait in one line, at most: beyond them nobody could be served in time.
-MOST_WAITING = 5_000
+MAX_WAITING = 5_000
 # Share of its patience, the last part, in which a late stream goes before others.
 AGED_SHARE = 0.3
 
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Claim:
+class QueueEntry:
     """Say what a waiting stream is owed; times are of the dispatcher's clock.
 
     One that `has_begun` needs a place for its rest only, and its caller has part of
@@ -28,32 +28,32 @@
     """
 
     priority: int
-    on_time_until: float
-    since: float
-    until: float
+    objective_deadline: float
+    queued_at: float
+    deadline: float
     has_begun: bool = False
 
     @property
     def patience(self) -> float:
         """Return for how many seconds it waits at most."""
-        return self.until - self.since
+        return self.deadline - self.queued_at
 
     def rank(self, number: int, now: float) -> tuple[bool, int, int, int]:
         """Return the order of who came as `number`, lower first.
 
         Begun; late with little patience left; on time, the newest first; late.
         """
-        if self.on_time_until > now:
+        if self.objective_deadline > now:
             return (not self.has_begun, 1, self.priority, -number)
-        is_aged = self.until - now <= AGED_SHARE * self.patience
+        is_aged = self.deadline - now <= AGED_SHARE * self.patience
         return (not self.has_begun, 0 if is_aged else 2, self.priority, number)
 
 
 @dataclass(kw_only=True)
-class PlaceLine(Generic[Asker]):
+class PlacementQueue(Generic[Asker]):
     """Hold the streams of one model that wait, each by whom to tell."""
 
-    _claims: dict[Asker, tuple[int, Claim]] = field(default_factory=dict)
+    _claims: dict[Asker, tuple[int, QueueEntry]] = field(default_factory=dict)
     _next_number: int = 0
 
     def __len__(self) -> int:
@@ -62,13 +62,13 @@
     def __contains__(self, asker: Asker) -> bool:
         return asker in self._claims
 
-    def join(self, asker: Asker, claim: Claim) -> None:
+    def join(self, asker: Asker, claim: QueueEntry) -> None:
         """Let a stream wait, or wait on where it stands."""
         if asker not in self._claims:
             self._claims[asker] = (self._next_number, claim)
             self._next_number += 1
 
-    def goes_before(self, claim: Claim, now: float) -> bool:
+    def goes_before(self, claim: QueueEntry, now: float) -> bool:
         """Tell whether some stream that waits goes before a new one."""
         new = claim.rank(self._next_number, now)
         return any(known.rank(n, now) < new for n, known in self._claims.values())
@@ -79,9 +79,9 @@
 
     def over(self, now: float) -> list[Asker]:
         """Return those whose time is over."""
-        return [a for a, (_, claim) in self._claims.items() if claim.until <= now]
+        return [a for a, (_, claim) in self._claims.items() if claim.deadline <= now]
 
-    def ahead_of(self, claim: Claim) -> int:
+    def ahead_of(self, claim: QueueEntry) -> int:
         """Return how many streams go before one that would be late."""
         claims = (known for _, known in self._claims.values())
         if claim.has_begun:
