--- a/mallowpond/state/limits.py
+++ b/mallowpond/state/limits.py
@@ -125,10 +125,10 @@
     if wait + service_seconds <= remaining:
         return None
     late_by = wait + service_seconds - remaining
-    return Refused(reason="overloaded", retry_after=bounded_retry_after(late_by))
+    return Refused(reason="overloaded", retry_after=clamp_retry_after(late_by))
 
 
-def bounded_retry_after(seconds: float) -> float:
+def clamp_retry_after(seconds: float) -> float:
     """Keep a time to come back within what a caller can use."""
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
 
