--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -11,7 +11,7 @@
 from mallowpond.node.ports import CallerRequest, Headers
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.limits import spread_retry_after
+from mallowpond.state.limits import jittered_retry_after
 from mallowpond.state.site_configuration import RepeatPolicy, Route
 from mallowpond.transport.http_client import CallFailed
 from mallowpond.transport.http_server import Exchange
@@ -277,7 +277,7 @@
             return Refusal(status=status, reason=reason)
         wait = self._intake.retry_seconds(self._unused(work))
         wait = wait or NO_TARGET_RETRY_SECONDS
-        after = spread_retry_after(wait, self._rng.random())
+        after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
 
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -16,7 +16,7 @@
 from mallowpond.node.waiting import WaitQueue
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
-from mallowpond.state.limits import expected_wait, spread_retry_after
+from mallowpond.state.limits import expected_wait, jittered_retry_after
 from mallowpond.state.place_line import Claim
 from mallowpond.state.placement import (
     Candidate,
@@ -293,7 +293,7 @@
 
     def refuse(self, reason: Reason, wait: float) -> Refusal:
         """Refuse a stream that did not run, to come back after about `wait` seconds."""
-        after = spread_retry_after(wait, self._rng.random())
+        after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
     def wake(self, model: str) -> None:
--- a/mallowpond/state/limits.py
+++ b/mallowpond/state/limits.py
@@ -133,7 +133,7 @@
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
 
 
-def spread_retry_after(seconds: float, draw: float) -> float:
+def jittered_retry_after(seconds: float, draw: float) -> float:
     """Return a time to come back around `seconds`; `draw` is uniform in [0, 1)."""
     least, most = SHORT_RETRY_AFTER_SECONDS
     low, high = RETRY_SPREAD
--- a/mallowpond/state/tests/test_limits.py
+++ b/mallowpond/state/tests/test_limits.py
@@ -1,6 +1,6 @@
 """Queueing and early refusal."""
 
-from mallowpond.state.limits import FairQueue, refuse_if_late, spread_retry_after
+from mallowpond.state.limits import FairQueue, jittered_retry_after, refuse_if_late
 
 
 def test_queue_shares_between_a_large_and_a_small_workspace():
@@ -54,12 +54,12 @@
     Sequence: a hundred callers are refused in a moment, all with the same time.
     Cause: the time to come back had no spread.
     """
-    times = {spread_retry_after(1.0, draw / 10) for draw in range(10)}
+    times = {jittered_retry_after(1.0, draw / 10) for draw in range(10)}
     assert len(times) == 10
     assert max(times) <= 1.4
     assert min(times) >= 0.6
 
 
 def test_a_time_to_come_back_is_one_that_a_short_request_can_use():
-    assert spread_retry_after(float("inf"), 0.5) <= 3.0
-    assert spread_retry_after(0.0, 0.5) > 0
+    assert jittered_retry_after(float("inf"), 0.5) <= 3.0
+    assert jittered_retry_after(0.0, 0.5) > 0
