--- a/mallowpond/state/limits.py
+++ b/mallowpond/state/limits.py
@@ -11,7 +11,7 @@
 # Bounds of the time to come back for callers whose own time is a few seconds, and its
 # spread: callers refused together return apart instead of all at once.
 SHORT_RETRY_AFTER_SECONDS = (0.1, 3.0)
-RETRY_SPREAD = (0.6, 1.4)
+RETRY_JITTER = (0.6, 1.4)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -136,6 +136,6 @@
 def jittered_retry_after(seconds: float, draw: float) -> float:
     """Return a time to come back around `seconds`; `draw` is uniform in [0, 1)."""
     least, most = SHORT_RETRY_AFTER_SECONDS
-    low, high = RETRY_SPREAD
+    low, high = RETRY_JITTER
     bounded = min(most, max(least, seconds))
     return round(bounded * (low + (high - low) * draw), 2)
