--- a/bench/limits.py
+++ b/bench/limits.py
@@ -127,7 +127,7 @@
                 refused = refuse_if_late(
                     ahead=self._queue.ahead_of(str(ask.workspace), 1.0),
                     places=self.places,
-                    service_seconds=self._service.cautious,
+                    service_seconds=self._service.upper_bound,
                     remaining=ask.deadline - now,
                 )
                 return refused is not None
@@ -171,7 +171,7 @@
             ask = self._next()
             if ask is None:
                 return
-            if self.policy == "ours" and now + self._service.cautious > ask.deadline:
+            if self.policy == "ours" and now + self._service.upper_bound > ask.deadline:
                 self.out.refused += 1
             else:
                 self._send(ask, now)
--- a/mallowpond/gateway/gate.py
+++ b/mallowpond/gateway/gate.py
@@ -74,7 +74,7 @@
         refused = refuse_if_late(
             ahead=self._queue.ahead_of(workspace, share),
             places=len(self._serving()) * self._limit,
-            service_seconds=self._service.cautious,
+            service_seconds=self._service.upper_bound,
             remaining=deadline - now,
         )
         if refused is not None:
@@ -110,7 +110,7 @@
         self._waiting[ticket.number] = _Waiting(ticket=ticket, turn=turn, prefix=prefix)
         # Waiting ends while there is still time to be served, so that a refusal goes
         # out at once and not at the deadline.
-        latest = deadline - self._service.cautious
+        latest = deadline - self._service.upper_bound
         try:
             async with asyncio.timeout(max(0.0, latest - self._clock.now())):
                 return await asyncio.shield(turn)
--- a/mallowpond/state/limits.py
+++ b/mallowpond/state/limits.py
@@ -92,7 +92,7 @@
     _samples: int = 1
 
     @property
-    def cautious(self) -> float:
+    def upper_bound(self) -> float:
         """Return a time within which most requests end.
 
         Going by the mean alone, half of the requests that were let in at the last
