--- a/bench/limits.py
+++ b/bench/limits.py
@@ -62,7 +62,7 @@
 
     policy: str
     rng: random.Random
-    places: int = PLACES
+    slots: int = PLACES
     free: int = PLACES
     out: Outcome = field(default_factory=Outcome)
     _queue: FairQueue = field(default_factory=FairQueue)
@@ -86,7 +86,7 @@
             now, _, event = heapq.heappop(self._events)
             match event:
                 case LoseGroups():
-                    self.places -= PLACES // 3
+                    self.slots -= PLACES // 3
                     self.free -= PLACES // 3
                 case Ask():
                     self._take_in(event, now)
@@ -126,7 +126,7 @@
             case "ours":
                 refused = refuse_if_late(
                     ahead=self._queue.ahead_of(str(ask.workspace), 1.0),
-                    places=self.places,
+                    slots=self.slots,
                     service_seconds=self._service.upper_bound,
                     remaining=ask.deadline - now,
                 )
--- a/mallowpond/gateway/gate.py
+++ b/mallowpond/gateway/gate.py
@@ -73,7 +73,7 @@
                 return self._take(group)
         refused = refuse_if_late(
             ahead=self._queue.ahead_of(workspace, share),
-            places=len(self._serving()) * self._limit,
+            slots=len(self._serving()) * self._limit,
             service_seconds=self._service.upper_bound,
             remaining=deadline - now,
         )
--- a/mallowpond/state/limits.py
+++ b/mallowpond/state/limits.py
@@ -110,18 +110,18 @@
         self.deviation += weight * (abs(error) - self.deviation)
 
 
-def expected_wait(*, ahead: int, places: int, service_seconds: float) -> float:
+def expected_wait(*, ahead: int, slots: int, service_seconds: float) -> float:
     """Return the seconds until a place frees for one behind `ahead` others."""
-    if places <= 0:
+    if slots <= 0:
         return float("inf")
-    return (ahead + 1) * service_seconds / places
+    return (ahead + 1) * service_seconds / slots
 
 
 def refuse_if_late(
-    *, ahead: int, places: int, service_seconds: float, remaining: float
+    *, ahead: int, slots: int, service_seconds: float, remaining: float
 ) -> Refused | None:
     """Refuse a request at once when its deadline cannot be met in the queue."""
-    wait = expected_wait(ahead=ahead, places=places, service_seconds=service_seconds)
+    wait = expected_wait(ahead=ahead, slots=slots, service_seconds=service_seconds)
     if wait + service_seconds <= remaining:
         return None
     late_by = wait + service_seconds - remaining
--- a/mallowpond/state/tests/test_limits.py
+++ b/mallowpond/state/tests/test_limits.py
@@ -33,19 +33,19 @@
 
 
 def test_request_that_cannot_be_served_in_time_is_refused_at_once():
-    refused = refuse_if_late(ahead=100, places=10, service_seconds=1.0, remaining=5.0)
+    refused = refuse_if_late(ahead=100, slots=10, service_seconds=1.0, remaining=5.0)
     assert refused.reason == "overloaded"
     assert refused.retry_after >= 1.0
 
 
 def test_request_that_can_wait_is_kept():
     assert (
-        refuse_if_late(ahead=10, places=10, service_seconds=1.0, remaining=5.0) is None
+        refuse_if_late(ahead=10, slots=10, service_seconds=1.0, remaining=5.0) is None
     )
 
 
 def test_no_places_means_refusal():
-    assert refuse_if_late(ahead=0, places=0, service_seconds=1.0, remaining=5.0)
+    assert refuse_if_late(ahead=0, slots=0, service_seconds=1.0, remaining=5.0)
 
 
 def test_callers_refused_together_come_back_apart():
