--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -25,7 +25,7 @@
     commit_settled,
     transaction,
 )
-from mallowpond.state.lease import LapseWatch
+from mallowpond.state.lease import ExpiryWatch
 from mallowpond.state.proposal import next_epoch
 from mallowpond.state.rows import CellRow, HeartbeatRow, MemberRow, MemberState
 
@@ -71,8 +71,8 @@
         self._lease_seconds = lease_seconds
         self._draw_id = draw_id
         self._cell_view = TableView(table=table, prefix=cell_prefix(identity.cell))
-        self._watch = LapseWatch(lease_seconds=lease_seconds)
-        self._gone_watch = LapseWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
+        self._watch = ExpiryWatch(lease_seconds=lease_seconds)
+        self._gone_watch = ExpiryWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
         self._state = MemberState.JOINING
         self._counter = 0
         self._joined_at: float | None = None
--- a/mallowpond/state/lease.py
+++ b/mallowpond/state/lease.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(kw_only=True)
-class LapseWatch:
+class ExpiryWatch:
     """Remember when each watched counter was last seen to move."""
 
     lease_seconds: float
--- a/mallowpond/state/tests/test_lease.py
+++ b/mallowpond/state/tests/test_lease.py
@@ -1,10 +1,10 @@
 """Leases compare no clocks across hosts."""
 
-from mallowpond.state.lease import HeldLease, LapseWatch
+from mallowpond.state.lease import ExpiryWatch, HeldLease
 
 
 def test_lease_lapses_when_counter_stands_still():
-    watch = LapseWatch(lease_seconds=3.0)
+    watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=10.0)
     watch.observe("a", 1, now=12.9)
     assert not watch.is_lapsed("a", now=12.9)
@@ -12,14 +12,14 @@
 
 
 def test_lease_stays_while_counter_moves():
-    watch = LapseWatch(lease_seconds=3.0)
+    watch = ExpiryWatch(lease_seconds=3.0)
     for tick in range(10):
         watch.observe("a", tick, now=float(tick))
     assert not watch.is_lapsed("a", now=11.9)
 
 
 def test_never_observed_holder_is_not_lapsed():
-    assert not LapseWatch(lease_seconds=3.0).is_lapsed("a", now=100.0)
+    assert not ExpiryWatch(lease_seconds=3.0).is_lapsed("a", now=100.0)
 
 
 def test_outage_of_the_table_lapses_nobody():
@@ -28,7 +28,7 @@
     Events: the table is dark for a minute; the first read shows counters that could
     not move. Cause: time in which nothing could be seen counted as standing still.
     """
-    watch = LapseWatch(lease_seconds=3.0)
+    watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=0.0)
     watch.postpone(60.0)
     watch.observe("a", 1, now=60.5)
@@ -39,7 +39,7 @@
 def test_holder_stops_before_observer_takes_over():
     asked_at, seen_at = 10.0, 10.4
     held = HeldLease(fence=1, version=1, valid_until=asked_at + 3.0)
-    watch = LapseWatch(lease_seconds=3.0)
+    watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=seen_at)
     first_lapse = seen_at + 3.0
     assert watch.is_lapsed("a", now=first_lapse)
