--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -124,7 +124,7 @@
         return {
             name: member
             for name, member in rows.items()
-            if not self._watch.is_lapsed((name, member.incarnation), now)
+            if not self._watch.is_expired((name, member.incarnation), now)
         }
 
     def is_gone(self, member: str, incarnation: str) -> bool:
@@ -137,7 +137,7 @@
         key = (member, incarnation)
         if not self._watch.is_watched(key):
             self._watch.observe(key, "holder", now)
-        return self._watch.is_lapsed(key, now)
+        return self._watch.is_expired(key, now)
 
     def takers(self) -> list[str]:
         """Return the members that may take ownership."""
@@ -289,5 +289,5 @@
             for name in cell.members
             if name not in rows
             or rows[name].state is MemberState.LEAVING
-            or self._gone_watch.is_lapsed(name, now)
+            or self._gone_watch.is_expired(name, now)
         )
--- a/mallowpond/state/lease.py
+++ b/mallowpond/state/lease.py
@@ -39,7 +39,7 @@
         """Tell whether anything was observed of `key`."""
         return key in self._seen
 
-    def is_lapsed(self, key: Hashable, now: float) -> bool:
+    def is_expired(self, key: Hashable, now: float) -> bool:
         """Tell whether the counter of `key` has stood still for the lease time."""
         known = self._seen.get(key)
         return known is not None and now - known[1] >= self.lease_seconds
--- a/mallowpond/state/tests/test_lease.py
+++ b/mallowpond/state/tests/test_lease.py
@@ -7,19 +7,19 @@
     watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=10.0)
     watch.observe("a", 1, now=12.9)
-    assert not watch.is_lapsed("a", now=12.9)
-    assert watch.is_lapsed("a", now=13.0)
+    assert not watch.is_expired("a", now=12.9)
+    assert watch.is_expired("a", now=13.0)
 
 
 def test_lease_stays_while_counter_moves():
     watch = ExpiryWatch(lease_seconds=3.0)
     for tick in range(10):
         watch.observe("a", tick, now=float(tick))
-    assert not watch.is_lapsed("a", now=11.9)
+    assert not watch.is_expired("a", now=11.9)
 
 
 def test_never_observed_holder_is_not_lapsed():
-    assert not ExpiryWatch(lease_seconds=3.0).is_lapsed("a", now=100.0)
+    assert not ExpiryWatch(lease_seconds=3.0).is_expired("a", now=100.0)
 
 
 def test_outage_of_the_table_lapses_nobody():
@@ -32,8 +32,8 @@
     watch.observe("a", 1, now=0.0)
     watch.postpone(60.0)
     watch.observe("a", 1, now=60.5)
-    assert not watch.is_lapsed("a", now=60.5)
-    assert watch.is_lapsed("a", now=63.0)
+    assert not watch.is_expired("a", now=60.5)
+    assert watch.is_expired("a", now=63.0)
 
 
 def test_holder_stops_before_observer_takes_over():
@@ -42,5 +42,5 @@
     watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=seen_at)
     first_lapse = seen_at + 3.0
-    assert watch.is_lapsed("a", now=first_lapse)
+    assert watch.is_expired("a", now=first_lapse)
     assert not held.is_valid(first_lapse)
