--- a/mallowpond/state/first_event.py
+++ b/mallowpond/state/first_event.py
@@ -15,7 +15,7 @@
 SAMPLES = 64
 # First events below which nothing is known yet: a host sees as many in two seconds, and
 # the median of fewer may be that of a single group that died.
-LEAST_SAMPLES = 8
+MIN_SAMPLES = 8
 # Share of the samples that come later than the longest delay that counts as usual: two
 # of them, so that a stream moved from a dead group does not set the limit.
 LATE_SHARE = 0.04
@@ -47,7 +47,7 @@
 
     @property
     def _is_known(self) -> bool:
-        return len(self._errors) >= LEAST_SAMPLES
+        return len(self._errors) >= MIN_SAMPLES
 
     def note(self, *, observed: float, predicted: float, slowness: float = 1.0) -> None:
         """Add one first event: the seconds that it took, and those predicted.
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mallowpond.state.first_event import (
-    LEAST_SAMPLES,
+    MIN_SAMPLES,
     SAMPLES,
     UNKNOWN_SECONDS,
     FirstEventDelay,
@@ -52,13 +52,13 @@
     Cause: what sound groups taught was expected of them unchanged.
     """
     delay = FirstEventDelay()
-    for _ in range(LEAST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         delay.note(observed=PREDICTED + 0.3, predicted=PREDICTED, slowness=2.5)
     assert delay.usual == pytest.approx(0.12)
 
 
 def test_nothing_is_said_on_a_few_samples():
-    delay = seen(0.12, count=LEAST_SAMPLES - 1)
+    delay = seen(0.12, count=MIN_SAMPLES - 1)
     assert delay.usual == 0.0
     assert delay.longest == UNKNOWN_SECONDS
 
