--- a/mallowpond/state/first_event.py
+++ b/mallowpond/state/first_event.py
@@ -21,7 +21,7 @@
 LATE_SHARE = 0.04
 # Longest delay that is assumed while nothing is known, in seconds: with less, a host
 # that has just started would take slow engines for dead.
-UNKNOWN_SECONDS = 1.0
+DEFAULT_UPPER_BOUND_SECONDS = 1.0
 
 
 @dataclass(kw_only=True)
@@ -41,7 +41,7 @@
     def longest(self) -> float:
         """Return the delay in seconds that few first events exceed."""
         if not self._is_known:
-            return UNKNOWN_SECONDS
+            return DEFAULT_UPPER_BOUND_SECONDS
         ranked = sorted(self._errors, reverse=True)
         return max(0.0, ranked[int(LATE_SHARE * len(ranked))])
 
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -5,9 +5,9 @@
 import pytest
 
 from mallowpond.state.first_event import (
+    DEFAULT_UPPER_BOUND_SECONDS,
     MIN_SAMPLES,
     SAMPLES,
-    UNKNOWN_SECONDS,
     FirstEventDelay,
 )
 from mallowpond.state.silence import (
@@ -60,7 +60,7 @@
 def test_nothing_is_said_on_a_few_samples():
     delay = seen(0.12, count=MIN_SAMPLES - 1)
     assert delay.usual == 0.0
-    assert delay.longest == UNKNOWN_SECONDS
+    assert delay.longest == DEFAULT_UPPER_BOUND_SECONDS
 
 
 def waiting(delay, silent, has_running=False):
