--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -60,7 +60,7 @@
 def test_nothing_is_said_on_a_few_samples():
     delay = seen(0.12, count=MIN_SAMPLES - 1)
     assert delay.usual == 0.0
-    assert delay.longest == DEFAULT_UPPER_BOUND_SECONDS
+    assert delay.upper_bound == DEFAULT_UPPER_BOUND_SECONDS
 
 
 def waiting(delay, silent, has_running=False):
@@ -69,7 +69,7 @@
         silent_seconds=silent,
         predicted_gap=0.03,
         allowed_gap=OBJECTIVE,
-        first_event_seconds=PREDICTED + delay.longest,
+        first_event_seconds=PREDICTED + delay.upper_bound,
         has_running=has_running,
     )
 
