--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -23,7 +23,7 @@
 QUARANTINE_SECONDS = 600.0
 # Time after which a request's endings are forgotten, in seconds: until then one more
 # ending holds it back again.
-FORGET_SECONDS = 3600.0
+RECORD_EXPIRY_SECONDS = 3600.0
 # Time for which an answered request counts as harmless, in seconds: a request that many
 # callers send alike stands on several targets of a fabric domain that fails.
 ANSWERED_SECONDS = 60.0
@@ -263,7 +263,7 @@
         """Drop what is too old, from the least lately changed on."""
         while self._entries:
             oldest = next(iter(self._entries))
-            if now - self._entries[oldest].last_at <= FORGET_SECONDS:
+            if now - self._entries[oldest].last_at <= RECORD_EXPIRY_SECONDS:
                 return
             self._drop(oldest)
 
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -10,11 +10,11 @@
     ANSWERED_SECONDS,
     ENDED_SECONDS,
     ENDINGS_TO_QUARANTINE,
-    FORGET_SECONDS,
     MAX_ANSWERED,
     MAX_ENDINGS,
     MAX_REQUESTS,
     QUARANTINE_SECONDS,
+    RECORD_EXPIRY_SECONDS,
     CrashLedger,
     CrashRecord,
     Ending,
@@ -172,7 +172,7 @@
     assert ledger.quarantine_seconds_left("bad", QUARANTINE_SECONDS + 1.0) == 0.0
     ledger.record_ending("bad", ending("d"), QUARANTINE_SECONDS + 1.0)
     assert ledger.held(QUARANTINE_SECONDS + 1.0) == {"bad"}
-    later = QUARANTINE_SECONDS + FORGET_SECONDS + 2.0
+    later = QUARANTINE_SECONDS + RECORD_EXPIRY_SECONDS + 2.0
     ledger.record_ending("bad", ending("e"), later)
     assert not ledger.held(later)
 
