--- a/mallowpond/gateway/pools.py
+++ b/mallowpond/gateway/pools.py
@@ -90,7 +90,7 @@
     def note_load(self, place: Place, in_flight: int) -> None:
         """Note the load that rode on a response."""
         now = self.clock.now()
-        self.balancer.report(place.target, in_flight=in_flight, now=now)
+        self.balancer.record_reported_load(place.target, in_flight=in_flight, now=now)
 
     async def note_failure(self, place: Place, reason: str) -> None:
         """Stop using a group whose failure may mean that it broke, and report it."""
--- a/mallowpond/state/tests/test_balancer.py
+++ b/mallowpond/state/tests/test_balancer.py
@@ -20,7 +20,7 @@
 
 def test_reported_load_of_others_fades():
     balancer = make()
-    balancer.report("g0", in_flight=10, now=0.0)
+    balancer.record_reported_load("g0", in_flight=10, now=0.0)
     assert balancer.choose(["g0"], now=0.0, limit=5) is None
     assert balancer.choose(["g0"], now=10.0, limit=5) == "g0"
 
