--- a/mallowpond/state/broken_groups.py
+++ b/mallowpond/state/broken_groups.py
@@ -1,7 +1,8 @@
-"""Remember formations that serve no more, until they are seen open anew.
+"""Track formations that no longer serve until the target list shows them open again.
 
-The list shows a head open for seconds after it started again behind a cut. Having no
-streams, it would look like the least loaded group and draw every new one.
+The list can show a head as open for seconds after it has restarted, behind a network
+partition. As that head has no streams, it would look like the least loaded group and
+attract every new stream.
 """
 
 from collections.abc import Container
@@ -9,22 +10,23 @@
 
 from mallowpond.state.fleet import Group, GroupKey, GroupPhase, Target
 
-# Time after which a whole read of the list that still holds an entry shows that its
-# engine goes on writing it, in seconds: a silent one's goes after three heartbeats.
+# Upper bound on how long the list keeps the entry of a silent engine, in seconds: an
+# entry expires after three missed heartbeats. A full read of the list that still holds
+# an entry after this time shows that its engine renews it.
 STALE_ENTRY_SECONDS = 5.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class BrokenGroup:
-    """Hold what was known of a formation when it was found broken."""
+    """State of a formation at the time when it was found broken."""
 
-    at: float
+    broken_at: float
     head: Target | None
     size: int
 
 
 class BrokenGroups:
-    """Tell which formations get no streams."""
+    """The formations that must not get streams."""
 
     def __init__(self) -> None:
         self._broken: dict[GroupKey, BrokenGroup] = {}
@@ -33,22 +35,23 @@
         return key in self._broken
 
     def add(self, group: Group, now: float) -> None:
-        """Note that a formation serves no more."""
+        """Record that a formation no longer serves."""
         self._broken[group.key] = BrokenGroup(
-            at=now, head=group.head, size=len(group.members)
+            broken_at=now, head=group.head, size=len(group.members)
         )
 
     def readmit(self, group: Group, *, is_change: bool, asked_at: float) -> bool:
-        """Take a formation back that was listed anew; tell whether it was taken back.
+        """Readmit a formation that the list shows open again; return whether it was.
 
-        An entry in a list of changes is of a later version than what was known. A whole
-        read repeats what is old, so there the entry must say something else, or have
-        been read so late that its engine still writes it.
+        An entry from a list of changes (`is_change`) is newer than the known one. A
+        full read repeats old entries, so there the head's entry must differ from the
+        known one, or the read must have been requested (`asked_at`) so late that its
+        engine must have renewed the entry.
         """
         broken = self._broken.get(group.key)
         if broken is None or group.phase is not GroupPhase.OPEN:
             return False
-        is_late = asked_at - broken.at > STALE_ENTRY_SECONDS
+        is_late = asked_at - broken.broken_at > STALE_ENTRY_SECONDS
         if not (is_change or is_late or group.head != broken.head):
             return False
         if len(group.members) < broken.size:
@@ -57,5 +60,5 @@
         return True
 
     def keep(self, keys: Container[GroupKey]) -> None:
-        """Forget the formations that are not listed any more."""
+        """Drop the formations that are not in `keys`, which are those still listed."""
         self._broken = {k: b for k, b in self._broken.items() if k in keys}
--- a/mallowpond/state/codec.py
+++ b/mallowpond/state/codec.py
@@ -1,4 +1,4 @@
-"""Turn data classes into plain values and back."""
+"""Convert data classes to plain values and JSON, and trusted values back."""
 
 import json
 from typing import Any, TypeVar
@@ -9,22 +9,28 @@
 T = TypeVar("T")
 
 _converter = make_converter()
-# Without the names of fields a datagram with 33 groups' figures takes a third.
+# Without field names, a datagram with the loads of 33 groups shrinks to a third.
 _compact = Converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
 
 
 def to_plain(value: Any) -> Any:
-    """Turn a data class into maps, lists, texts and numbers."""
+    """Convert a data class to maps, lists, strings and numbers."""
     return _converter.unstructure(value)
 
 
 def from_plain(value: Any, kind: type[T]) -> T:
-    """Build a data class from plain values of our own making."""
+    """Build a data class from plain values that this project wrote itself.
+
+    Values from others must go through `decoding.decode`, which checks them.
+    """
     return _converter.structure(value, kind)
 
 
 def to_compact(value: Any) -> Any:
-    """Turn a data class into lists, texts and numbers, by the order of its fields."""
+    """Convert a data class to lists, strings and numbers, in the order of its fields.
+
+    `decoding.decode_compact` is the inverse.
+    """
     return _compact.unstructure(value)
 
 
@@ -34,5 +40,5 @@
 
 
 def from_json(data: bytes, kind: type[T]) -> T:
-    """Decode a data class of our own making from JSON."""
+    """Decode a data class from JSON that this project wrote itself."""
     return from_plain(json.loads(data), kind)
--- a/mallowpond/state/declarations.py
+++ b/mallowpond/state/declarations.py
@@ -1,11 +1,15 @@
-"""What operators declare: deployments, workspaces, services, request kinds."""
+"""Data classes of the declaration that operators apply as a configuration version."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, kw_only=True)
 class Weights:
-    """Weigh a second of group downtime against a stranded accelerator-second."""
+    """Cost of a second of group downtime and of a stranded accelerator-second.
+
+    An accelerator is stranded when it is usable but in no serving group while
+    groups are missing.
+    """
 
     group_downtime: float = 1.0
     stranded_accelerators: float = 0.01
@@ -13,7 +17,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """Describe one model and the shape of the groups that serve it."""
+    """One model and the shape of the groups that serve it.
+
+    hosts_per_group: hosts that together run one replica.
+    spares: free hosts to keep for repairs.
+    span_domains: a group may use hosts of several fabric domains.
+    requests_per_group: concurrent requests that one group accepts.
+    expected_seconds: service time of a request, used until one is measured.
+    load_seconds: time to load the weights on a host.
+    checks_fencing: the engines themselves reject orders with an old fencing number.
+    """
 
     name: str
     model: str
@@ -30,7 +43,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Workspace:
-    """Describe one tenant; only the hash of its API key is declared."""
+    """One tenant; only the SHA-256 of its API key is declared, in hexadecimal.
+
+    `share` is its weight in fair queueing; `units_per_day` is its quota.
+    """
 
     name: str
     key_sha256: str
@@ -40,7 +56,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlainService:
-    """Describe a service that is routed to by path and holds no model."""
+    """A service that runs no model and gets its requests by path prefix.
+
+    `targets` are addresses as IP:PORT. A request may be sent again only if the service
+    is `repeatable`.
+    """
 
     name: str
     path: str
@@ -52,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestKind:
-    """Name a kind of request and say whether it may run more than once."""
+    """A kind of request; a `repeatable` one may run more than once."""
 
     name: str
     repeatable: bool = True
@@ -60,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Declaration:
-    """Hold everything that one configuration version declares."""
+    """Everything that one configuration version declares."""
 
     deployments: tuple[Deployment, ...] = ()
     workspaces: tuple[Workspace, ...] = ()
@@ -70,21 +90,24 @@
     stopped_groups: tuple[str, ...] = ()
 
     def deployment_for_model(self, model: str) -> Deployment | None:
-        """Return the deployment that serves `model`."""
+        """Return the deployment that serves `model`, or None."""
         return next((d for d in self.deployments if d.model == model), None)
 
     def workspace_for_key(self, key_sha256: str) -> Workspace | None:
-        """Return the workspace whose API key has this hash."""
+        """Return the workspace whose API key has this hash, or None."""
         found = (w for w in self.workspaces if w.key_sha256 == key_sha256)
         return next(found, None)
 
     def service_for_path(self, path: str) -> PlainService | None:
-        """Return the service with the longest declared prefix of `path`."""
-        fitting = [s for s in self.services if _is_below(path, s.path)]
-        return max(fitting, key=lambda s: len(s.path), default=None)
+        """Return the service with the longest declared prefix of `path`, or None."""
+        matches = [s for s in self.services if _is_below(path, s.path)]
+        return max(matches, key=lambda s: len(s.path), default=None)
 
     def is_repeatable(self, kind: str | None) -> bool:
-        """Tell whether a request of this kind may run more than once."""
+        """Return whether a request of this kind may run more than once.
+
+        A kind that is not declared, and a request without one, is repeatable.
+        """
         return next((k.repeatable for k in self.kinds if k.name == kind), True)
 
 
--- a/mallowpond/state/decoding.py
+++ b/mallowpond/state/decoding.py
@@ -1,8 +1,8 @@
-"""Decode what others wrote into data classes: checked whole, and never raising.
+"""Decode untrusted input into data classes; invalid input never raises.
 
-A field that is missing, of another type or out of range makes the whole document
-unreadable, and says which field it was. Fields that a class does not have are
-ignored; an optional field that is null counts as missing.
+A field that is missing, of the wrong type or out of range makes the whole document
+unreadable: the result is an `Unreadable` that names the field. Unknown fields are
+ignored; a null counts as missing, so an optional field gets its default.
 """
 
 import json
@@ -25,13 +25,13 @@
 
 T = TypeVar("T")
 
-# Largest number that is read: up to here JSON readers of every language keep whole
-# numbers exact, and times of day in milliseconds stay far below.
+# Up to here JSON parsers of every language keep integers exact, and times of day in
+# milliseconds are far smaller.
 LARGEST_NUMBER = 2**53
-# Longest text that is read, in characters: five of the platform's longest names; a
-# longer one would fill logs and datagrams.
+# In characters: five times the platform's longest names; longer ones would fill logs
+# and datagrams.
 LONGEST_TEXT = 1000
-# An identifier goes into headers, logs and keys of rows, which take 200 bytes; those
+# Identifiers go into headers, logs and row keys, which are limited to 200 bytes. Those
 # in use are a tenth as long.
 IDENTIFIER = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._:-]{0,126}[A-Za-z0-9])?")
 PORT = re.compile(r"[0-9]{1,5}")
@@ -39,25 +39,28 @@
 VISIBLE = re.compile(r"[!-~]([ -~]*[!-~])?")
 PATH = re.compile(r"(/[!-~]*)?")
 LARGEST_PORT = 65535
-# Addresses of which it is kept whether they are IP addresses: some fleets' worth.
-KEPT_ADDRESSES = 8192
+# Enough for the addresses of several fleets.
+ADDRESS_CACHE_SIZE = 8192
 
-# Values that are narrower than their type, for the fields of data classes.
+# Types for fields of data classes that accept only some values of their base type.
 Name = NewType("Name", str)
 Identifier = NewType("Identifier", str)
 Address = NewType("Address", str)
-# What can be a header's value, and what can be asked for in a request's first line:
-# another one makes each request that carries it fail.
+# Text that is valid as a header value, and as the path in a request line. Any other
+# text would make each request that carries it fail.
 HeaderText = NewType("HeaderText", str)
 Path = NewType("Path", str)
-# An address whose host is an IP address: a name would have to be looked up, and a
-# datagram socket does that while the loop stands still.
+# An address whose host is an IP address. A datagram socket would resolve a name
+# synchronously, which blocks the event loop.
 SocketAddress = NewType("SocketAddress", str)
 Positive = NewType("Positive", int)
 
 
 class DecodeFault(str, Enum):
-    """Name what is wrong with a document."""
+    """What is wrong with a document.
+
+    BYTES: it cannot be parsed. UNKNOWN: not a value of the enum. ID: not an identifier.
+    """
 
     BYTES = "bytes"
     MISSING = "missing"
@@ -69,18 +72,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Unreadable:
-    """Say why a document cannot be read; `field` is empty if it is no one field's."""
+    """Result of decoding an invalid document.
+
+    `field` is the dotted path of the invalid field, empty when the fault is not in one
+    field.
+    """
 
     fault: DecodeFault
     field: str = ""
 
     def __str__(self) -> str:
-        """Return the reason in a few words."""
+        """Return the fault and the field as a short message."""
         return f"unreadable: {self.fault.value} {self.field}".rstrip()
 
 
-class Unfit(Exception):  # noqa: N818
-    """Carry a fault from a decoder of one value to `decode`, which returns it."""
+class InvalidValue(Exception):  # noqa: N818
+    """Raised by the decoder of one value; `decode` turns it into `Unreadable`."""
 
     def __init__(self, fault: DecodeFault, field: str = "") -> None:
         super().__init__(fault)
@@ -89,108 +96,108 @@
 
 
 def decode(value: Any, kind: type[T]) -> T | Unreadable:
-    """Build a data class from maps, lists, texts and numbers."""
-    return _checked(_by_name, value, kind)
+    """Build a data class from maps, lists, strings and numbers, by field names."""
+    return _decode(_by_name, value, kind)
 
 
 def decode_compact(value: Any, kind: type[T]) -> T | Unreadable:
-    """Build a data class from lists, texts and numbers, by the order of its fields."""
-    return _checked(_by_order, value, kind)
+    """Build a data class from lists, strings and numbers, by the order of its fields."""
+    return _decode(_by_order, value, kind)
 
 
 def parse_json(data: bytes | str) -> Any | Unreadable:
-    """Parse JSON, whatever it holds."""
+    """Parse JSON; return `Unreadable` for any input that is not valid JSON."""
     try:
         return json.loads(data)
-    # A value nested too deep ends in a RecursionError.
+    # Input that is nested too deeply raises RecursionError.
     except (ValueError, RecursionError):
         return Unreadable(fault=DecodeFault.BYTES)
 
 
-def _checked(converter: Converter, value: Any, kind: type[T]) -> T | Unreadable:
+def _decode(converter: Converter, value: Any, kind: type[T]) -> T | Unreadable:
     try:
         return converter.structure(value, kind)
-    except Unfit as unfit:
-        return Unreadable(fault=unfit.fault, field=unfit.field)
+    except InvalidValue as error:
+        return Unreadable(fault=error.fault, field=error.field)
 
 
 # -- scalars -----------------------------------------------------------------
 
 
-def _text(value: Any, kind: type[str]) -> str:
-    # Nearly every value is a plain one of its type, so that is looked at first.
-    if kind is str and type(value) is str and _is_fit_text(value):
+def _string(value: Any, kind: type[str]) -> str:
+    # Fast path: nearly every value is a plain string.
+    if kind is str and type(value) is str and _is_valid_text(value):
         return value
     if not isinstance(value, str):
-        raise Unfit(DecodeFault.TYPE)
+        raise InvalidValue(DecodeFault.TYPE)
     if issubclass(kind, Enum):
-        return _member(value, kind)
-    # Half of a surrogate pair, which JSON can hold, cannot be sent or logged; it is
-    # not printable either.
-    if not _is_fit_text(value):
-        raise Unfit(DecodeFault.RANGE)
+        return _enum_member(value, kind)
+    # The check for printable text also rejects a lone surrogate, which JSON can hold
+    # but which cannot be encoded for sending or logging.
+    if not _is_valid_text(value):
+        raise InvalidValue(DecodeFault.RANGE)
     return value
 
 
-def _is_fit_text(value: str) -> bool:
+def _is_valid_text(value: str) -> bool:
     return len(value) <= LONGEST_TEXT and value.isprintable()
 
 
-def _blob(value: Any, _: type) -> bytes:
+def _bytes(value: Any, _: type) -> bytes:
     if not isinstance(value, bytes):
-        raise Unfit(DecodeFault.TYPE)
+        raise InvalidValue(DecodeFault.TYPE)
     return value
 
 
 def _name(value: Any, _: type) -> str:
-    if _text(value, str) == "":
-        raise Unfit(DecodeFault.RANGE)
+    if _string(value, str) == "":
+        raise InvalidValue(DecodeFault.RANGE)
     return value
 
 
 def _identifier(value: Any, _: type) -> str:
-    if not IDENTIFIER.fullmatch(_text(value, str)):
-        raise Unfit(DecodeFault.ID)
+    if not IDENTIFIER.fullmatch(_string(value, str)):
+        raise InvalidValue(DecodeFault.ID)
     return value
 
 
-def _matching(pattern: re.Pattern[str], value: Any) -> str:
-    if not pattern.fullmatch(_text(value, str)):
-        raise Unfit(DecodeFault.RANGE)
+def _matching_string(pattern: re.Pattern[str], value: Any) -> str:
+    if not pattern.fullmatch(_string(value, str)):
+        raise InvalidValue(DecodeFault.RANGE)
     return value
 
 
 def _header_text(value: Any, _: type) -> str:
-    return _matching(VISIBLE, value)
+    return _matching_string(VISIBLE, value)
 
 
 def _path(value: Any, _: type) -> str:
-    return _matching(PATH, value)
+    return _matching_string(PATH, value)
 
 
 def _address(value: Any, _: type) -> str:
     host = _host_of(value)
     if not _is_ip(host):
         for label in host.split("."):
-            _matching(HOST_LABEL, label)
+            _matching_string(HOST_LABEL, label)
     return value
 
 
 def _socket_address(value: Any, _: type) -> str:
     if not _is_ip(_host_of(value)):
-        raise Unfit(DecodeFault.RANGE)
+        raise InvalidValue(DecodeFault.RANGE)
     return value
 
 
 def _host_of(address: Any) -> str:
-    host, _, port = _text(address, str).rpartition(":")
-    if not 1 <= int(_matching(PORT, port)) <= LARGEST_PORT:
-        raise Unfit(DecodeFault.RANGE)
+    host, _, port = _string(address, str).rpartition(":")
+    if not 1 <= int(_matching_string(PORT, port)) <= LARGEST_PORT:
+        raise InvalidValue(DecodeFault.RANGE)
     return host
 
 
-# Hosts' addresses come again with each heartbeat and each change of the list.
-@lru_cache(maxsize=KEPT_ADDRESSES)
+# Cached: the same addresses arrive with each heartbeat and each change of the list.
+@lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def _is_ip(host: str) -> bool:
     try:
         ip_address(host)
@@ -199,107 +206,107 @@
     return True
 
 
-def _whole_number(value: Any, _: type) -> int:
+def _integer(value: Any, _: type) -> int:
     if type(value) is int and 0 <= value <= LARGEST_NUMBER:
         return value
     if isinstance(value, bool) or not isinstance(value, int):
-        raise Unfit(DecodeFault.TYPE)
+        raise InvalidValue(DecodeFault.TYPE)
     return _in_range(value)
 
 
 def _positive(value: Any, _: type) -> int:
-    if _whole_number(value, int) == 0:
-        raise Unfit(DecodeFault.RANGE)
+    if _integer(value, int) == 0:
+        raise InvalidValue(DecodeFault.RANGE)
     return value
 
 
-def _number(value: Any, _: type) -> float:
+def _float(value: Any, _: type) -> float:
     if type(value) is float and 0 <= value <= LARGEST_NUMBER:
         return value
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise Unfit(DecodeFault.TYPE)
+        raise InvalidValue(DecodeFault.TYPE)
     return float(_in_range(value))
 
 
 def _in_range(value: T) -> T:
-    # A comparison with what is not a number is false.
+    # Comparisons with NaN are false, so this rejects NaN as well.
     if not 0 <= value <= LARGEST_NUMBER:
-        raise Unfit(DecodeFault.RANGE)
+        raise InvalidValue(DecodeFault.RANGE)
     return value
 
 
-def _truth(value: Any, _: type) -> bool:
+def _boolean(value: Any, _: type) -> bool:
     if not isinstance(value, bool):
-        raise Unfit(DecodeFault.TYPE)
+        raise InvalidValue(DecodeFault.TYPE)
     return value
 
 
-def _member(value: str, kind: type[Enum]) -> Enum:
+def _enum_member(value: str, kind: type[Enum]) -> Enum:
     try:
         return kind(value)
     except ValueError:
-        raise Unfit(DecodeFault.UNKNOWN) from None
+        raise InvalidValue(DecodeFault.UNKNOWN) from None
 
 
 # -- containers --------------------------------------------------------------
 
 
-def _tuples(converter: Converter, kind: type[T]) -> Callable[[Any, type[T]], T]:
+def _tuple_decoder(converter: Converter, kind: type[T]) -> Callable[[Any, type[T]], T]:
     item = get_args(kind)[0]
-    read = converter.get_structure_hook(item)
+    decode_value = converter.get_structure_hook(item)
 
     def build(values: Any, _: type[T]) -> T:
-        # Also a text and a map can be gone through item by item.
+        # Strings and maps are iterable too, but are no lists.
         if not isinstance(values, list | tuple):
-            raise Unfit(DecodeFault.TYPE)
-        return tuple(read(value, item) for value in values)
+            raise InvalidValue(DecodeFault.TYPE)
+        return tuple(decode_value(value, item) for value in values)
 
     return build
 
 
-def _classes_by_name(
+def _decoder_by_name(
     converter: Converter, kind: type[T]
 ) -> Callable[[Any, type[T]], T]:
-    readers = _readers(converter, kind)
+    decoders = _field_decoders(converter, kind)
     optional = {f.name for f in fields(kind) if _has_default(f)}
 
     def build(values: Any, _: type[T]) -> T:
         if not isinstance(values, dict):
-            raise Unfit(DecodeFault.TYPE)
-        found = {}
-        for name, read in readers.items():
+            raise InvalidValue(DecodeFault.TYPE)
+        decoded = {}
+        for name, decode_value in decoders.items():
             value = values.get(name)
             if value is not None:
-                found[name] = read(value)
+                decoded[name] = decode_value(value)
             elif name not in optional:
-                raise Unfit(
+                raise InvalidValue(
                     DecodeFault.TYPE if name in values else DecodeFault.MISSING, name
                 )
-        return kind(**found)
+        return kind(**decoded)
 
     return build
 
 
-def _classes_by_order(
+def _decoder_by_order(
     converter: Converter, kind: type[T]
 ) -> Callable[[Any, type[T]], T]:
-    readers = _readers(converter, kind)
-    names = tuple(readers)
+    decoders = _field_decoders(converter, kind)
+    names = tuple(decoders)
     hooks = [(converter.get_structure_hook(h), h) for h in _hints(kind)]
 
     def build(values: Any, _: type[T]) -> T:
         if not isinstance(values, list | tuple):
-            raise Unfit(DecodeFault.TYPE)
+            raise InvalidValue(DecodeFault.TYPE)
         if len(values) != len(names):
-            raise Unfit(DecodeFault.MISSING)
+            raise InvalidValue(DecodeFault.MISSING)
         try:
-            found = [hook(v, h) for (hook, h), v in zip(hooks, values, strict=True)]
-        except Unfit:
-            # Once more, to find out which field it was.
-            for read, value in zip(readers.values(), values, strict=True):
-                read(value)
+            decoded = [hook(v, h) for (hook, h), v in zip(hooks, values, strict=True)]
+        except InvalidValue:
+            # Decode field by field, so that the error names the field.
+            for decode_value, value in zip(decoders.values(), values, strict=True):
+                decode_value(value)
             raise
-        return kind(**dict(zip(names, found, strict=True)))
+        return kind(**dict(zip(names, decoded, strict=True)))
 
     return build
 
@@ -308,26 +315,28 @@
     return field.default is not MISSING or field.default_factory is not MISSING
 
 
-def _readers(converter: Converter, kind: type) -> dict[str, Callable[[Any], Any]]:
-    """Return what decodes each field of a class."""
-    return {n: _reader(converter, n, h) for n, h in get_type_hints(kind).items()}
+def _field_decoders(
+    converter: Converter, kind: type
+) -> dict[str, Callable[[Any], Any]]:
+    """Return the decoder of each field of a class, by field name."""
+    return {n: _field_decoder(converter, n, h) for n, h in get_type_hints(kind).items()}
 
 
 def _hints(kind: type) -> list[Any]:
     return list(get_type_hints(kind).values())
 
 
-def _reader(converter: Converter, name: str, hint: Any) -> Callable[[Any], Any]:
+def _field_decoder(converter: Converter, name: str, hint: Any) -> Callable[[Any], Any]:
     structure = converter.get_structure_hook(hint)
 
-    def read(value: Any) -> Any:
+    def decode_value(value: Any) -> Any:
         try:
             return structure(value, hint)
-        except Unfit as unfit:
-            path = f"{name}.{unfit.field}" if unfit.field else name
-            raise Unfit(unfit.fault, path) from None
+        except InvalidValue as error:
+            path = f"{name}.{error.field}" if error.field else name
+            raise InvalidValue(error.fault, path) from None
 
-    return read
+    return decode_value
 
 
 def _is_tuple(kind: Any) -> bool:
@@ -335,11 +344,11 @@
 
 
 SCALARS = {
-    str: _text,
-    bytes: _blob,
-    int: _whole_number,
-    float: _number,
-    bool: _truth,
+    str: _string,
+    bytes: _bytes,
+    int: _integer,
+    float: _float,
+    bool: _boolean,
     Name: _name,
     HeaderText: _header_text,
     Path: _path,
@@ -352,14 +361,14 @@
 
 def _converter(classes: Callable[..., Any]) -> Converter:
     converter = Converter(detailed_validation=False)
-    for scalar, read in SCALARS.items():
-        converter.register_structure_hook(scalar, read)
-    for applies, build in ((_is_tuple, _tuples), (is_dataclass, classes)):
+    for scalar, decode_value in SCALARS.items():
+        converter.register_structure_hook(scalar, decode_value)
+    for applies, build in ((_is_tuple, _tuple_decoder), (is_dataclass, classes)):
         converter.register_structure_hook_factory(
             applies, lambda kind, build=build: build(converter, kind)
         )
     return converter
 
 
-_by_name = _converter(_classes_by_name)
-_by_order = _converter(_classes_by_order)
+_by_name = _converter(_decoder_by_name)
+_by_order = _converter(_decoder_by_order)
--- a/mallowpond/state/ended_processes.py
+++ b/mallowpond/state/ended_processes.py
@@ -1,7 +1,7 @@
-"""Remember the processes of targets that others have followed.
+"""Track the processes of targets that a later process has replaced.
 
-A report or an entry of such a process may still arrive: reports are under way for a
-moment, and the list holds the entry until the new process writes its own.
+A report or a list entry of such a process may still arrive: reports are in flight for
+a moment, and the list holds the old entry until the new process writes its own.
 """
 
 from collections.abc import Iterable
@@ -9,13 +9,13 @@
 from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
 
-# Time for which an ended process is remembered, in seconds: many times what a report
-# takes on its way, also through a host that stood still.
-REMEMBERED_SECONDS = 60.0
+# Time for which an ended process is remembered, in seconds: many times the delay of a
+# report, even one that passed through a host that was paused.
+RETENTION_SECONDS = 60.0
 
 
 class EndedProcesses:
-    """Tell which processes are gone."""
+    """The processes that are known to have ended."""
 
     def __init__(self) -> None:
         self._ended_at: dict[Process, float] = {}
@@ -24,21 +24,25 @@
         return process in self._ended_at
 
     def add(self, process: Process, now: float) -> None:
-        """Note that a process is gone."""
+        """Record that a process has ended."""
         self._ended_at[process] = now
 
     def replace(self, earlier: Process, later: Process, now: float) -> None:
-        """Take the list's word that another process follows: its versions decide."""
-        limit = now - REMEMBERED_SECONDS
+        """Record that `later` replaced `earlier` in the list.
+
+        The list's versions decide the order, so `later` runs even if it was recorded
+        as ended.
+        """
+        limit = now - RETENTION_SECONDS
         self._ended_at = {p: t for p, t in self._ended_at.items() if t > limit}
         self._ended_at.pop(later, None)
         self._ended_at[earlier] = now
 
     def readmit(self, listed: Iterable[Target], *, asked_at: float) -> None:
-        """Believe a whole read that shows a process long after its supposed end.
+        """Readmit processes that a full read lists long after their supposed end.
 
-        Entries go after a few heartbeats of silence, so what was said of that process
-        was a late word of another one.
+        An entry expires after a few missed heartbeats, so the process still writes it:
+        the message that reported its end was late and meant another process.
         """
         for target in listed:
             ended_at = self._ended_at.get(target.process)
--- a/mallowpond/state/leaving.py
+++ b/mallowpond/state/leaving.py
@@ -1,37 +1,37 @@
-"""Remember targets whose answers said that they are about to stop."""
+"""Track the processes that announced in their answers that they will stop soon."""
 
 from collections.abc import Container
 
 from mallowpond.state.fleet import Process
 
-# Time for which a target that is not listed any more is remembered, in seconds: an
-# entry that lapsed while the store was away may come back, and the target serves on.
-REMEMBERED_SECONDS = 60.0
+# Time for which an unlisted process is remembered, in seconds: an entry that lapsed
+# during a store outage may come back while its process still runs.
+RETENTION_SECONDS = 60.0
 
 
 class LeavingTargets:
-    """Tell which processes are about to stop."""
+    """The processes that announced their stop."""
 
     def __init__(self) -> None:
-        self._heard_at: dict[Process, float] = {}
+        self._last_seen: dict[Process, float] = {}
 
     def __contains__(self, process: Process) -> bool:
-        return process in self._heard_at
+        return process in self._last_seen
 
     def __len__(self) -> int:
-        return len(self._heard_at)
+        return len(self._last_seen)
 
     def add(self, process: Process, now: float) -> bool:
-        """Note that a process leaves; tell whether that is news."""
-        is_new = process not in self._heard_at
-        self._heard_at[process] = now
+        """Record that a process will stop; return whether it was unknown before."""
+        is_new = process not in self._last_seen
+        self._last_seen[process] = now
         return is_new
 
     def keep(self, listed: Container[Process], now: float) -> None:
-        """Forget what has not been listed or heard of for long."""
-        limit = now - REMEMBERED_SECONDS
-        self._heard_at = {
-            process: now if process in listed else heard_at
-            for process, heard_at in self._heard_at.items()
-            if process in listed or heard_at > limit
+        """Drop processes neither listed nor announced for `RETENTION_SECONDS`."""
+        limit = now - RETENTION_SECONDS
+        self._last_seen = {
+            process: now if process in listed else last_seen
+            for process, last_seen in self._last_seen.items()
+            if process in listed or last_seen > limit
         }
--- a/mallowpond/state/target_notice.py
+++ b/mallowpond/state/target_notice.py
@@ -1,14 +1,15 @@
-"""What a target says of itself in its answers."""
+"""What a target announces about itself in the headers of its answers."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class TargetNotice:
-    """Hold what one answer says.
+    """Announcements in one answer of a target.
 
-    `rate_limit` is in requests a second of all hosts. For `backoff_seconds` the target
-    wants no request of the host that it answers. With `is_leaving` it stops soon.
+    rate_limit: requests per second that the target accepts from all hosts together.
+    backoff_seconds: time for which this host must send the target no request.
+    is_leaving: the target will stop soon.
     """
 
     rate_limit: float | None = None
--- a/mallowpond/state/tests/test_leaving.py
+++ b/mallowpond/state/tests/test_leaving.py
@@ -1,7 +1,7 @@
 """How long a target that leaves is remembered."""
 
 from mallowpond.state.fleet import Process
-from mallowpond.state.leaving import REMEMBERED_SECONDS, LeavingTargets
+from mallowpond.state.leaving import RETENTION_SECONDS, LeavingTargets
 
 TARGET = Process(id="t", born=1)
 
@@ -20,8 +20,8 @@
     leaving = LeavingTargets()
     leaving.add(TARGET, 10.0)
     leaving.keep({TARGET}, 100.0)
-    leaving.keep((), 100.0 + 0.9 * REMEMBERED_SECONDS)
+    leaving.keep((), 100.0 + 0.9 * RETENTION_SECONDS)
     assert TARGET in leaving
-    leaving.keep((), 100.0 + 1.1 * REMEMBERED_SECONDS)
+    leaving.keep((), 100.0 + 1.1 * RETENTION_SECONDS)
     assert TARGET not in leaving
     assert not leaving
