--- a/mallowpond/state/decoding.py
+++ b/mallowpond/state/decoding.py
@@ -101,7 +101,7 @@
 
 
 def decode_compact(value: Any, kind: type[T]) -> T | Unreadable:
-    """Build a data class from lists, strings and numbers, by the order of its fields."""
+    """Build a data class from lists, strings and numbers, by the order of fields."""
     return _decode(_by_order, value, kind)
 
 
