--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -17,7 +17,7 @@
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait, jittered_retry_after
-from mallowpond.state.place_line import Claim
+from mallowpond.state.place_line import QueueEntry
 from mallowpond.state.placement import (
     Candidate,
     GroupLoad,
@@ -174,7 +174,7 @@
         patience = min(self._patience(work), work.deadline - now)
         if self.dispatcher_client is None or patience <= LEAST_SECONDS:
             return None
-        claim = Claim(
+        claim = QueueEntry(
             priority=work.priority,
             on_time_until=self._on_time_until(work),
             since=now,
