--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -111,7 +111,7 @@
             if answer is not None and answer.verdict is PlaceVerdict.WAITING:
                 answer = await self._wait(asker, claim)
                 if answer is None:
-                    left = claim.until - self._clock.now()
+                    left = claim.deadline - self._clock.now()
                     if left <= 0.0:
                         return WaitedInVain()
                     continue
@@ -148,7 +148,7 @@
             prompt_tokens=round(seek.prompt_tokens),
             objective=seek.objective,
             on_time=max(0.0, claim.on_time_until - now),
-            patience=claim.until - now,
+            patience=claim.deadline - now,
             priority=claim.priority,
             has_begun=claim.has_begun,
             avoided=tuple(sorted(self._with_avoided(seek).avoided)),
@@ -172,7 +172,7 @@
         return seek.without(known - usable)
 
     async def _wait(self, asker: Asker, claim: QueueEntry) -> PlaceAnswer | None:
-        left = claim.until - self._clock.now()
+        left = claim.deadline - self._clock.now()
         return await self._next_answer(asker, min(left, RENEW_SECONDS))
 
     async def _next_answer(self, asker: Asker, seconds: float) -> PlaceAnswer | None:
