--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -147,7 +147,7 @@
             model=seek.model.name,
             prompt_tokens=round(seek.prompt_tokens),
             objective=seek.objective,
-            on_time=max(0.0, claim.on_time_until - now),
+            on_time=max(0.0, claim.objective_deadline - now),
             patience=claim.deadline - now,
             priority=claim.priority,
             has_begun=claim.has_begun,
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -176,7 +176,7 @@
             return None
         claim = QueueEntry(
             priority=work.priority,
-            on_time_until=self._on_time_until(work),
+            objective_deadline=self._on_time_until(work),
             since=now,
             until=now + patience,
             has_begun=work.has_begun,
@@ -212,7 +212,7 @@
         try:
             came = await line.wait(
                 priority=work.priority,
-                on_time_until=self._on_time_until(work),
+                objective_deadline=self._on_time_until(work),
                 seconds=patience,
                 has_begun=work.has_begun,
             )
