--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -177,7 +177,7 @@
         claim = QueueEntry(
             priority=work.priority,
             objective_deadline=self._on_time_until(work),
-            since=now,
+            queued_at=now,
             until=now + patience,
             has_begun=work.has_begun,
         )
