--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -178,7 +178,7 @@
             priority=work.priority,
             objective_deadline=self._on_time_until(work),
             queued_at=now,
-            until=now + patience,
+            deadline=now + patience,
             has_begun=work.has_begun,
         )
         self._metrics.waiting.inc()
