--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -197,7 +197,7 @@
         line = self._lines.setdefault(work.model.name, WaitQueue())
         wait = expected_wait(
             ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
-            places=len(groups) * work.profile.slots,
+            slots=len(groups) * work.profile.slots,
             # Every host gets its part of the places that free.
             service_seconds=self.selector.hold_seconds(work.profile, work.model)
             * self._hosts(),
