--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -25,7 +25,7 @@
     commit_settled,
     transaction,
 )
-from mallowpond.state.lease import LapseWatch
+from mallowpond.state.lease import ExpiryWatch
 from mallowpond.state.proposal import next_epoch
 from mallowpond.state.rows import CellRow, HeartbeatRow, MemberRow, MemberState
 
@@ -71,8 +71,8 @@
         self._lease_seconds = lease_seconds
         self._draw_id = draw_id
         self._cell_view = TableView(table=table, prefix=cell_prefix(identity.cell))
-        self._watch = LapseWatch(lease_seconds=lease_seconds)
-        self._gone_watch = LapseWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
+        self._watch = ExpiryWatch(lease_seconds=lease_seconds)
+        self._gone_watch = ExpiryWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
         self._state = MemberState.JOINING
         self._counter = 0
         self._joined_at: float | None = None
@@ -124,7 +124,7 @@
         return {
             name: member
             for name, member in rows.items()
-            if not self._watch.is_lapsed((name, member.incarnation), now)
+            if not self._watch.is_expired((name, member.incarnation), now)
         }
 
     def is_gone(self, member: str, incarnation: str) -> bool:
@@ -137,7 +137,7 @@
         key = (member, incarnation)
         if not self._watch.is_watched(key):
             self._watch.observe(key, "holder", now)
-        return self._watch.is_lapsed(key, now)
+        return self._watch.is_expired(key, now)
 
     def takers(self) -> list[str]:
         """Return the members that may take ownership."""
@@ -289,5 +289,5 @@
             for name in cell.members
             if name not in rows
             or rows[name].state is MemberState.LEAVING
-            or self._gone_watch.is_lapsed(name, now)
+            or self._gone_watch.is_expired(name, now)
         )
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -11,7 +11,7 @@
 from mallowpond.node.ports import CallerRequest, Headers
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.limits import spread_retry_after
+from mallowpond.state.limits import jittered_retry_after
 from mallowpond.state.site_configuration import RepeatPolicy, Route
 from mallowpond.transport.http_client import CallFailed
 from mallowpond.transport.http_server import Exchange
@@ -97,7 +97,7 @@
 
     async def serve(self, work: CallWork) -> ServeOutcome:
         """Serve one request to its end."""
-        self._budget(work.service).note_first(self._clock.now())
+        self._budget(work.service).record_first_send(self._clock.now())
         held = self._quarantine.refuse(work.fingerprint, work.request.id)
         if held is not None:
             return held
@@ -165,7 +165,7 @@
             limit = FIRST_SEND_SHARE * left
         record = self._records[target.process]
         record.running += 1
-        self._intake.note_sent(target)
+        self._intake.record_sent(target)
         work.sent_to.append(target.process)
         log.info(
             "call: sent",
@@ -277,7 +277,7 @@
             return Refusal(status=status, reason=reason)
         wait = self._intake.retry_seconds(self._unused(work))
         wait = wait or NO_TARGET_RETRY_SECONDS
-        after = spread_retry_after(wait, self._rng.random())
+        after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
 
--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -73,7 +73,7 @@
         self._broken = BrokenGroups()
         self._release_at = inf
         self._revision = 0
-        self._whole_at = float("-inf")
+        self._full_read_at = float("-inf")
         self._lost_at: float | None = None
         self._regained_at = float("-inf")
         self._doubted: set[str] = set()
@@ -153,7 +153,7 @@
             and self._is_known_to_live(group, now)
         ]
 
-    def count_open(self, service: str) -> int:
+    def count_open_groups(self, service: str) -> int:
         """Return how many groups of a service are open, whatever their model."""
         return sum(
             group.phase is GroupPhase.OPEN
@@ -163,19 +163,19 @@
             for group in self._groups.values()
         )
 
-    def withhold(self, key: GroupKey, until: float) -> None:
+    def suspend_group(self, key: GroupKey, until: float) -> None:
         """Send a group no new streams until a time."""
         work = self.loads.work(key)
         work.excluded_until = max(work.excluded_until, until)
         self._release_at = min(self._release_at, work.excluded_until)
 
-    def release(self, key: GroupKey) -> None:
+    def resume_group(self, key: GroupKey) -> None:
         """Send a group new streams again that was withheld."""
         work, now = self.loads.work(key), self._clock.now()
         work.excluded_until = min(work.excluded_until, now)
         self._release_at = min(self._release_at, now)
 
-    def take_releases(self) -> bool:
+    def consume_resumed(self) -> bool:
         """Tell whether a group may get streams again since this was last asked.
 
         Nothing else tells those that wait: without it, streams that a suspicion had
@@ -192,22 +192,24 @@
         """Tell whether a formation was found to serve no more."""
         return key in self._broken
 
-    def break_group(
-        self, group: Group, cause: BreakCause, *, is_told: bool = False
+    def mark_broken(
+        self, group: Group, cause: BreakCause, *, is_known_to_peers: bool = False
     ) -> None:
         """Send a formation nothing more until it is seen open anew.
 
-        `is_told` says that the peers know of it. News of another process than the
-        head that is known now change nothing.
+        With `is_known_to_peers` the peers need no message about it. A report
+        about another process than the current head changes nothing.
         """
         known = self._groups.get(group.key)
         if known is None or known.head is None or group.head is None:
             return
         if group.key in self._broken or known.head.process != group.head.process:
             return
-        self._note_broken(known, cause, is_told=is_told)
+        self._note_broken(known, cause, is_known_to_peers=is_known_to_peers)
 
-    def _note_broken(self, group: Group, cause: BreakCause, *, is_told: bool) -> None:
+    def _note_broken(
+        self, group: Group, cause: BreakCause, *, is_known_to_peers: bool
+    ) -> None:
         self._broken.add(group, self._clock.now())
         self.loads.work(group.key).forget_pace()
         log.warning(
@@ -218,7 +220,7 @@
             cause=cause.value,
         )
         for notify in self.on_broken:
-            notify(group, cause, is_told)
+            notify(group, cause, is_known_to_peers)
 
     def _is_known_to_live(self, group: Group, now: float) -> bool:
         """Tell whether a group may be sent streams although its head lapsed.
@@ -265,7 +267,7 @@
             return True
         if now - self._heard_at > READERS_SILENCE_SECONDS:
             return True
-        return now - self._whole_at > FOLLOWER_WHOLE_READ_SECONDS
+        return now - self._full_read_at > FOLLOWER_WHOLE_READ_SECONDS
 
     @property
     def _pause_seconds(self) -> float:
@@ -290,14 +292,14 @@
         if loads and not self.is_reader():
             self.loads.record_totals(loads)
 
-    def hear_change(self, read: TargetsRead, *, previous: int) -> None:
+    def apply_change(self, read: TargetsRead, *, previous: int) -> None:
         """Take a change of the list that a reader passes on.
 
         It holds all changes after `previous`: one who misses some before reads.
         """
         if previous > self._revision or read.revision <= self._revision:
             return
-        if self._whole_at == float("-inf"):
+        if self._full_read_at == float("-inf"):
             return
         self._apply(read)
         self._revision = read.revision
@@ -309,7 +311,7 @@
         self._read_at = now
         self._drop_doubted()
         limit = WHOLE_READ_SECONDS if self.is_reader() else FOLLOWER_WHOLE_READ_SECONDS
-        due = now - self._whole_at > limit
+        due = now - self._full_read_at > limit
         answer = await self._source.targets(0 if due else self._revision)
         match answer:
             case Unavailable(reason=reason):
@@ -319,7 +321,7 @@
                 return False
             case HistoryLost():
                 log.warning("targets: history lost", revision=self._revision)
-                self._whole_at = float("-inf")
+                self._full_read_at = float("-inf")
                 self._regained_at = now
                 return False
         self._note_regained(now)
@@ -328,7 +330,7 @@
             # answer would bring back the state before that change.
             return True
         if answer.whole:
-            self._whole_at = now
+            self._full_read_at = now
         before = self._targets
         self._apply(answer)
         self._revision = answer.revision
@@ -355,7 +357,7 @@
             for notify in self.on_read:
                 notify(answer, previous)
 
-    def learn(self, target: Target) -> None:
+    def apply_report(self, target: Target) -> None:
         """Take what a target says of itself while the list cannot be read.
 
         That it started again counts at once: the list shows the entry of before for
@@ -387,7 +389,7 @@
         place = target.membership
         group = place and self._groups.get((place.group, place.epoch))
         if group:
-            self._note_broken(group, BreakCause.RESTARTED, is_told=False)
+            self._note_broken(group, BreakCause.RESTARTED, is_known_to_peers=False)
 
     def count_present(self, processes: Collection[Process]) -> int:
         """Count the processes that are listed and not known to be gone."""
@@ -396,7 +398,7 @@
         return sum(p in present and p not in self._ended for p in processes)
 
     @property
-    def is_lost(self) -> bool:
+    def is_list_lost(self) -> bool:
         """Tell whether the list cannot be read now."""
         return self._lost_at is not None
 
@@ -457,7 +459,9 @@
                 continue
             if any(member.process in self._ended for member in group.members):
                 if group.key not in self._broken:
-                    self._note_broken(group, BreakCause.RESTARTED, is_told=True)
+                    self._note_broken(
+                        group, BreakCause.RESTARTED, is_known_to_peers=True
+                    )
                 continue
             if group.head is None or group.head.id != target.id:
                 continue
@@ -510,7 +514,7 @@
         self.loads.forget_idle(self._groups)
         self._broken.keep(self._groups)
         for group in broken:
-            self._note_broken(group, BreakCause.RESTARTED, is_told=True)
+            self._note_broken(group, BreakCause.RESTARTED, is_known_to_peers=True)
         for notify in self.on_change:
             notify()
 
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -155,7 +155,7 @@
             rng=self._rng,
             checks_fencing=settings.bounds.checks_fencing,
             cores=settings.cores,
-            may_plan=self._may_plan,
+            can_plan=self._can_plan,
             notes=notes,
         )
         self.planner = GroupPlanner(
@@ -208,7 +208,7 @@
         self.streams.placement.dispatcher_client = self.dispatcher_client
         self.streams.on_end.append(self._on_slot_freed)
         self.dispatcher_client.on_unused_grant.append(self._on_slot_freed)
-        self.readers.granted = lambda: self.dispatcher_client.granted
+        self.readers.grant_number = lambda: self.dispatcher_client.grant_number
         self.sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
@@ -216,7 +216,7 @@
             fanout=self.fanout,
             configuration=self.configuration,
         )
-        self.readers.on_news.append(self.streams.placement.wake_all)
+        self.readers.after_digest.append(self.streams.placement.wake_all)
         self.configuration.on_new_version.append(self._publish_version)
         self.leadership.on_acquired.append(
             lambda: self.peers.broadcast(self._describe())
@@ -342,7 +342,7 @@
             # Serving callers goes before being watched.
             log.warning("node: no metrics address", error=str(error))
 
-    def _may_plan(self) -> bool:
+    def _can_plan(self) -> bool:
         return self.configuration.is_store_reachable and not self.ingress.is_stopping
 
     def _budget(self, service: str) -> RetryWindow:
@@ -371,7 +371,7 @@
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
             loads=encode_loads(self.directory.loads.own_loads()),
-            granted=self.dispatcher_client.granted,
+            grant_number=self.dispatcher_client.grant_number,
         )
 
     def _find_model(self, service: str, model: str) -> ServedModel | None:
@@ -385,7 +385,7 @@
 
     def _on_slot_freed(self) -> None:
         """Tell whoever counts places that this host holds one less."""
-        self.readers.tell_dispatcher()
+        self.readers.send_work_to_dispatcher()
         self.dispatcher.wake()
 
     def _publish_version(self) -> None:
@@ -398,7 +398,7 @@
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
         self.directory.loads.record_peer_loads(
-            heartbeat.node, decode_loads(heartbeat), heartbeat.granted
+            heartbeat.node, decode_loads(heartbeat), heartbeat.grant_number
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -133,7 +133,7 @@
             verdict=PlaceVerdict.GRANTED,
             group="a",
             epoch=1,
-            granted=1,
+            grant_number=1,
         )
 
     site.dispatcher.ask = lambda asker, seek, claim: grant(asker.number)
@@ -286,7 +286,7 @@
     rig.targets.script("b0", answer(2))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await settle()
-    rig.directory.break_group(rig.directory.groups["a", 1], BreakCause.RESTARTED)
+    rig.directory.mark_broken(rig.directory.groups["a", 1], BreakCause.RESTARTED)
     end.set_result(None)
     await settle()
     assert not serving.done()
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -310,7 +310,7 @@
         changed = {t.id: t for t in self.platform.listed[known:until]}
         self.take(changed.values(), is_whole=False)
         change = listing(*changed.values(), revision=until, whole=False)
-        self.directory.hear_change(change, previous=known)
+        self.directory.apply_change(change, previous=known)
         self.settle()
 
     @rule()
@@ -331,7 +331,7 @@
             until = data.draw(st.integers(1, known))
             previous = until - 1
         change = listing(self.platform.listed[until - 1], revision=until, whole=False)
-        self.directory.hear_change(change, previous=previous)
+        self.directory.apply_change(change, previous=previous)
         assert self.directory.targets == before
 
     @rule()
@@ -345,16 +345,16 @@
     @rule(data=st.data())
     def read_in_vain(self, data):
         """Get a whole list that is older than the changes heard meanwhile."""
-        before, read_at = dict(self.directory.targets), self.directory._whole_at
+        before, read_at = dict(self.directory.targets), self.directory._full_read_at
         until = data.draw(st.integers(0, self.directory._revision - 1))
         self.read(self.platform.entries(until).values(), until)
-        self.directory._whole_at = read_at
+        self.directory._full_read_at = read_at
         assert self.directory.targets == before
 
     def read(self, entries, version):
         """Let the node read a whole list."""
         self.rig.source.listed.append(listing(*entries, revision=version))
-        self.directory._whole_at = float("-inf")
+        self.directory._full_read_at = float("-inf")
         self.loop.run_until_complete(self.directory.refresh())
 
     @rule(engine=engines, is_late=st.booleans())
@@ -403,14 +403,14 @@
             return
         if answered.process in self.ended:
             serving = self.directory.serving_groups("engines", "m")
-            self.directory.learn(answered)
+            self.directory.apply_report(answered)
             assert self.directory.serving_groups("engines", "m") == serving
             return
         if asked.process != listed.process:
             return
         if answered.process != listed.process and answered.process not in self.ended:
             self.ended.setdefault(listed.process, self.rig.clock.now())
-        self.directory.learn(answered)
+        self.directory.apply_report(answered)
         self.settle()
 
     @rule(group=groups, epoch=st.integers(1, 5))
--- a/mallowpond/state/observer_doubt.py
+++ b/mallowpond/state/observer_doubt.py
@@ -10,25 +10,25 @@
 
 # Targets that fall silent within a time in seconds, and the domains that they are of,
 # from which the observer asks another one: more than die together by chance.
-DOUBTED_TARGETS = 8
-DOUBTED_DOMAINS = 2
-DOUBT_SECONDS = 1.0
+MIN_SILENT_TARGETS = 8
+MIN_SILENT_DOMAINS = 2
+SILENCE_WINDOW_SECONDS = 1.0
 
 
-class ObserverDoubt:
+class ObserverHealth:
     """Count what fell silent for this observer of late."""
 
     def __init__(self) -> None:
         self._silent: deque[tuple[float, str, str]] = deque()
 
-    def note_silent(self, target: str, domain: str, now: float) -> None:
+    def record_silence(self, target: str, domain: str, now: float) -> None:
         """Note that a target does not answer."""
         self._silent.append((now, target, domain))
 
-    def is_doubtful(self, now: float) -> bool:
+    def is_suspect(self, now: float) -> bool:
         """Tell whether what fell silent of late says more of the observer."""
-        while self._silent and now - self._silent[0][0] > DOUBT_SECONDS:
+        while self._silent and now - self._silent[0][0] > SILENCE_WINDOW_SECONDS:
             self._silent.popleft()
         targets = {target for _, target, _ in self._silent}
         domains = {domain for _, _, domain in self._silent}
-        return len(targets) >= DOUBTED_TARGETS and len(domains) >= DOUBTED_DOMAINS
+        return len(targets) >= MIN_SILENT_TARGETS and len(domains) >= MIN_SILENT_DOMAINS
--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -15,20 +15,20 @@
 
 # Hosts that share a rate, at least; beyond them one for each request a second. Each may
 # send at any moment within its part, so many of them would exceed a low rate together.
-LEAST_SHARERS = 3
+MIN_SHARERS = 3
 # Lowest rate that is kept, in requests a second: a target that gets nothing has no
 # answer in which to say that its limit is over.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 # Time for which an unused part adds up, in seconds: one request may always add up.
-CREDIT_SECONDS = 1.0
+BUCKET_SECONDS = 1.0
 # Time without any word of a target after which its limit is forgotten, in seconds.
-FORGOTTEN_SECONDS = 60.0
+LIMIT_EXPIRY_SECONDS = 60.0
 # Time for which a part of a rate is kept although hosts come and go, in seconds.
-SHARED_OUT_SECONDS = 1.0
+RESHARE_SECONDS = 1.0
 # Relative change of a limit from which others are told of it.
-NEWS_SHARE = 0.1
+SIGNIFICANT_CHANGE = 0.1
 # Targets of which limits are kept, at most.
-MOST_TARGETS = 1000
+MAX_TARGETS = 1000
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -59,21 +59,23 @@
 
     def settle(self, now: float) -> None:
         """Add what has come up since the last look."""
-        most = max(1.0, self.rate * CREDIT_SECONDS)
+        most = max(1.0, self.rate * BUCKET_SECONDS)
         gained = self.rate * max(0.0, now - self.counted_at)
         self.credit = min(most, self.credit + gained)
         self.counted_at = now
 
 
-def rate_of(host: str, process: Process, hosts: Collection[str], limit: float) -> float:
+def host_rate(
+    host: str, process: Process, hosts: Collection[str], limit: float
+) -> float:
     """Return the part of a target's rate that one of its hosts keeps."""
-    rate = max(LEAST_RATE, limit)
-    count = max(LEAST_SHARERS, floor(rate))
+    rate = max(MIN_RATE, limit)
+    count = max(MIN_SHARERS, floor(rate))
     sharers = first_owners(process.id, hosts, count)
     return rate / len(sharers) if host in sharers else 0.0
 
 
-class LimitShares:
+class RateLimitShares:
     """Tell when one host may send to targets that named a rate limit."""
 
     def __init__(self, *, host: str) -> None:
@@ -95,7 +97,7 @@
         known = self._shares.get(said.process)
         said_at = now - said.age
         if known is None:
-            if len(self._shares) >= MOST_TARGETS:
+            if len(self._shares) >= MAX_TARGETS:
                 return False
             # Nothing may be sent at once: what was sent just before counts too.
             self._shares[said.process] = _Share(
@@ -113,7 +115,7 @@
         known.shared_out_at = -inf
         if before is None or said.limit is None:
             return True
-        return abs(said.limit - before) > NEWS_SHARE * before
+        return abs(said.limit - before) > SIGNIFICANT_CHANGE * before
 
     def is_limited(self, process: Process) -> bool:
         """Tell whether a target names a limit."""
@@ -130,11 +132,11 @@
         share = self._shares.get(process)
         if share is None or share.limit is None:
             return 0.0
-        if now - share.heard_at > FORGOTTEN_SECONDS:
+        if now - share.heard_at > LIMIT_EXPIRY_SECONDS:
             del self._shares[process]
             return 0.0
-        if now - share.shared_out_at > SHARED_OUT_SECONDS:
-            share.rate = rate_of(self._host, process, hosts(), share.limit)
+        if now - share.shared_out_at > RESHARE_SECONDS:
+            share.rate = host_rate(self._host, process, hosts(), share.limit)
             share.shared_out_at = now
         share.settle(now)
         if share.credit >= 1.0:
@@ -146,9 +148,9 @@
         share = self._shares.get(process)
         if share is None or share.limit is None:
             return 0.0
-        return 1.0 / max(LEAST_RATE, share.limit)
+        return 1.0 / max(MIN_RATE, share.limit)
 
-    def note_sent(self, process: Process, now: float) -> None:
+    def record_sent(self, process: Process, now: float) -> None:
         """Count a request that this host sends to a target."""
         share = self._shares.get(process)
         if share is not None:
@@ -169,5 +171,5 @@
             process: share
             for process, share in self._shares.items()
             if process in listed
-            and (share.limit is not None or now - share.heard_at < FORGOTTEN_SECONDS)
+            and (share.limit is not None or now - share.heard_at < LIMIT_EXPIRY_SECONDS)
         }
