--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -13,7 +13,7 @@
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import Group, GroupPhase
-from mallowpond.state.place_line import QueueEntry
+from mallowpond.state.placement_queue import QueueEntry
 
 log = structlog.get_logger()
 
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -17,7 +17,6 @@
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait, jittered_retry_after
-from mallowpond.state.place_line import QueueEntry
 from mallowpond.state.placement import (
     Candidate,
     GroupLoad,
@@ -25,6 +24,7 @@
     first_event_seconds,
     pass_seconds,
 )
+from mallowpond.state.placement_queue import QueueEntry
 
 # Share of a caller's patience that a stream may wait here for a place: the rest is
 # for reading the prompt and the first pass.
--- a/mallowpond/state/tests/test_place_line.py
+++ b/mallowpond/state/tests/test_place_line.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from mallowpond.state.place_line import PlacementQueue, QueueEntry
+from mallowpond.state.placement_queue import PlacementQueue, QueueEntry
 
 CLAIM = QueueEntry(priority=1, objective_deadline=10.0, queued_at=0.0, deadline=20.0)
 
