--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -16,7 +16,7 @@
 from mallowpond.node.ports import EngineReport, Targets
 from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.observer_doubt import ObserverHealth
+from mallowpond.state.observer_health import ObserverHealth
 from mallowpond.state.order_book import OrderBook
 from mallowpond.state.processes import CurrentProcesses
 
--- a/mallowpond/state/tests/test_observer_doubt.py
+++ b/mallowpond/state/tests/test_observer_doubt.py
@@ -1,6 +1,6 @@
 """An observer for whom too much falls silent doubts itself."""
 
-from mallowpond.state.observer_doubt import (
+from mallowpond.state.observer_health import (
     MIN_SILENT_TARGETS,
     SILENCE_WINDOW_SECONDS,
     ObserverHealth,
