--- a/bench/limits.py
+++ b/bench/limits.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from bench.report import Report
-from mallowpond.state.limits import FairQueue, ServiceTime, refuse_if_late
+from mallowpond.state.admission import FairQueue, ServiceTime, refuse_if_late
 from mallowpond.state.quota import Chunk, chunk_size, grant
 from mallowpond.state.retry import RetryBudget
 
--- a/mallowpond/gateway/gate.py
+++ b/mallowpond/gateway/gate.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 
 from mallowpond.coordination.ports import Clock
-from mallowpond.state.balancer import Balancer
-from mallowpond.state.limits import (
+from mallowpond.state.admission import (
     FairQueue,
     Refused,
     ServiceTime,
     Ticket,
     refuse_if_late,
 )
+from mallowpond.state.balancer import Balancer
 from mallowpond.state.rows import GroupRow
 
 NO_GROUP_RETRY_SECONDS = 5.0
--- a/mallowpond/gateway/pools.py
+++ b/mallowpond/gateway/pools.py
@@ -17,9 +17,9 @@
 from mallowpond.gateway.link import ControllerLink
 from mallowpond.gateway.routes import RouteTable
 from mallowpond.gateway.serving import Place
+from mallowpond.state.admission import Refused
 from mallowpond.state.balancer import Balancer
 from mallowpond.state.declarations import Deployment, PlainService, Workspace
-from mallowpond.state.limits import Refused
 from mallowpond.transport.http_client import HttpClient
 
 SUSPECT_REASONS = ("connect_failed", "engine_refused", "cut_before_head", "cut_body")
--- a/mallowpond/gateway/service.py
+++ b/mallowpond/gateway/service.py
@@ -31,7 +31,7 @@
 )
 from mallowpond.protocol.problems import CONTENT_TYPE, Outcome, Problem
 from mallowpond.settings import GatewaySettings
-from mallowpond.state.limits import Refused
+from mallowpond.state.admission import Refused
 from mallowpond.state.retry import RetryBudget
 from mallowpond.transport.http_client import HttpClient
 from mallowpond.transport.http_server import (
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -24,7 +24,7 @@
 )
 from mallowpond.protocol.engine import LOAD_HEADER
 from mallowpond.protocol.problems import Outcome, Problem
-from mallowpond.state.limits import Refused
+from mallowpond.state.admission import Refused
 from mallowpond.state.retry import RetryBudget
 from mallowpond.transport.http_client import HttpResponse
 from mallowpond.transport.http_server import Exchange
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -10,8 +10,8 @@
 from mallowpond.node.outcomes import Answered, Reason, Refusal, ServeOutcome
 from mallowpond.node.ports import CallerRequest, Headers
 from mallowpond.node.serving_parts import ServingParts
+from mallowpond.state.admission import jittered_retry_after
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.limits import jittered_retry_after
 from mallowpond.state.site_configuration import RepeatPolicy, Route
 from mallowpond.transport.http_client import CallFailed
 from mallowpond.transport.http_server import Exchange
--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -15,8 +15,8 @@
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.streams import StreamService
 from mallowpond.node.traffic import TrafficSeen
+from mallowpond.state.admission import jittered_retry_after
 from mallowpond.state.fleet import EngineProfile, ModelSpec
-from mallowpond.state.limits import jittered_retry_after
 from mallowpond.state.site_configuration import (
     RepeatPolicy,
     Route,
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -14,9 +14,9 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.waiting import WaitQueue
+from mallowpond.state.admission import expected_wait, jittered_retry_after
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
-from mallowpond.state.limits import expected_wait, jittered_retry_after
 from mallowpond.state.placement import (
     Candidate,
     GroupLoad,
--- a/mallowpond/state/tests/test_limits.py
+++ b/mallowpond/state/tests/test_limits.py
@@ -1,6 +1,6 @@
 """Queueing and early refusal."""
 
-from mallowpond.state.limits import FairQueue, jittered_retry_after, refuse_if_late
+from mallowpond.state.admission import FairQueue, jittered_retry_after, refuse_if_late
 
 
 def test_queue_shares_between_a_large_and_a_small_workspace():
