--- a/mallowpond/state/__init__.py
+++ b/mallowpond/state/__init__.py
@@ -1,13 +1,13 @@
 """Pure data and decisions: no input or output, time is an argument."""
 
 __all__ = [
+    "admission",
     "assurance",
     "balancer",
     "claims",
     "codec",
     "declarations",
     "lease",
-    "limits",
     "ownership",
     "planner",
     "proposal",
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "vouches",
+    "peer_answers",
     [
         pytest.param([], id="cut off from all"),
         pytest.param([vouch("b")], id="minority"),
