--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -1,4 +1,4 @@
-"""Model engines, their groups, and the timing that their operator declares."""
+"""Data classes for targets, their processes and groups, and for engine profiles."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -8,17 +8,17 @@
 
 from mallowpond.state.decoding import Address, Identifier, Name, Positive
 
-# A group's name and epoch, which tell one formation from every other.
+# A group's name and epoch; unique for each formation of a group.
 GroupKey = tuple[str, int]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Process:
-    """Name one process of a back end: a restart keeps `id` and changes `born`.
+    """Identity of one process of a back end: a restart keeps `id` and changes `born`.
 
-    `born` is a time of day, which may be stepped: two values tell two processes
-    apart, and never which of them is the later one. It is None where back ends do not
-    tell it.
+    `born` is the start time by the host's clock, which may be stepped. So values of
+    `born` can only be compared for equality: the larger one need not be the later
+    process. It is None where back ends do not report it.
     """
 
     id: str
@@ -27,7 +27,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ModelSpec:
-    """Describe a model; times are those of a whole group of `size` engines."""
+    """A model; its times are those of a whole group of `size` engines.
+
+    share: the model's declared share of all work, counted in engines.
+    pace: factor on the time of a step, relative to the profile's `step_seconds`.
+    load_seconds: time to join with weights that must be loaded from their store.
+    warm_seconds: time to join with weights that are staged on the host.
+    """
 
     name: str
     size: int
@@ -39,7 +45,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineProfile:
-    """Hold the declared timing and limits of a service's engines."""
+    """Declared timing and limits of a service's engines.
+
+    slots: requests that a group runs at the same time.
+    stride: decoding steps per event of a stream, hence tokens per event.
+    step_seconds: base time of a decoding step.
+    request_seconds: time that each running request adds to a step.
+    context_seconds_per_k: time that a running request adds per 1000 context tokens.
+    prefill_tokens_per_second: speed at which prompts are read.
+    loads_per_second, loads_at_once: limits on weight loads of all engines together.
+    cross_domain_factor: slowdown of a group whose members are in several domains.
+    """
 
     slots: int
     models: tuple[ModelSpec, ...] = ()
@@ -55,12 +71,12 @@
     cross_domain_factor: float = 1.0
 
     def model(self, name: str) -> ModelSpec | None:
-        """Return the model called `name`."""
+        """Return the model called `name`, or None."""
         return next((m for m in self.models if m.name == name), None)
 
 
 class GroupPhase(str, Enum):
-    """Say how far an engine is in its group; only heads are open or closing."""
+    """State of an engine in its group; only heads are open or closing."""
 
     JOINING = "joining"
     READY = "ready"
@@ -70,17 +86,17 @@
 
 
 class BreakCause(str, Enum):
-    """Say how it became known that a formation serves no more."""
+    """How it became known that a formation no longer serves."""
 
-    # Its head answered that it is another engine, or holds no open group.
+    # The head answered that it is another engine, or has no open group.
     REFUSED = "refused"
-    # A member is another process now, which holds nothing of the formation.
+    # A member restarted, and its new process has no state of the formation.
     RESTARTED = "restarted"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Membership:
-    """Place an engine in one formation of a group; rank 0 is the head."""
+    """Place of an engine in one formation of a group; rank 0 is the head."""
 
     group: Name
     epoch: int
@@ -90,10 +106,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Target:
-    """Describe one process of a back end as the platform lists it.
-
-    `born` tells it from other processes under the same `id` (see `Process`). A
-    `lapsed` target fell out of the list by its silence, without having left.
+    """One process of a back end as the platform lists it.
+
+    id, born: identity of the process, see `Process`.
+    slots: requests that it runs at the same time.
+    draining: it has announced that it will stop.
+    lapsed: its entry expired because it fell silent, without an announced stop.
+    domain: its fabric domain.
+    model: the model that the process has loaded or is loading, empty if none.
+    staged: models whose weights are on its host.
     """
 
     id: Identifier
@@ -109,25 +130,25 @@
     membership: Membership | None = None
     born: int | None = None
 
-    # Kept: it is asked for each target at each change of the list.
+    # Cached: it is used for every target at each change of the list.
     @cached_property
     def process(self) -> Process:
-        """Return which process this is."""
+        """Return the identity of the process."""
         return Process(id=self.id, born=self.born)
 
     @cached_property
     def group_key(self) -> GroupKey | None:
-        """Return the formation that it stands in, None if in none."""
+        """Return the key of the formation that it is a member of, or None."""
         member = self.membership
         return None if member is None else (member.group, member.epoch)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Group:
-    """Gather the members of one formation that are listed now, by rank.
+    """The members of one formation that are listed now, by rank.
 
-    What follows from the members is kept, since each placing of a stream asks it of all
-    groups, which may have 32 members each.
+    Derived properties are cached, because each placement of a stream reads them for
+    all groups, which may have 32 members each.
     """
 
     name: str
@@ -137,29 +158,29 @@
 
     @cached_property
     def key(self) -> tuple[str, int]:
-        """Return what tells this formation from every other."""
+        """Return the unique key of this formation."""
         return (self.name, self.epoch)
 
     @cached_property
     def head(self) -> Target | None:
-        """Return the member that requests are sent to, None when it is not listed."""
+        """Return the member that gets the requests, None when it is not listed."""
         first = self.members[0]
         return first if _membership(first).rank == 0 else None
 
     @cached_property
     def phase(self) -> GroupPhase | None:
-        """Return what the head reports, None when the head is not listed."""
+        """Return the phase that the head reports, None when it is not listed."""
         head = self.head
         return None if head is None else _membership(head).phase
 
     @cached_property
     def spans_domains(self) -> bool:
-        """Tell whether the members stand in different fabric domains."""
+        """Return whether the members are in different fabric domains."""
         return len({member.domain for member in self.members}) > 1
 
     @cached_property
     def is_leaving(self) -> bool:
-        """Tell whether a member is about to stop."""
+        """Return whether a member has announced that it will stop."""
         return any(member.draining for member in self.members)
 
 
@@ -169,27 +190,28 @@
 
 
 def assemble_groups(targets: Iterable[Target]) -> dict[tuple[str, int], Group]:
-    """Gather targets that report the same group and epoch.
+    """Assemble the targets that report the same group and epoch, by formation key.
 
-    A formation belongs to the service of most of its members: an entry of another one
-    that names it is of another writer, and would take the place of a member.
+    A formation belongs to the service of most of its members. An entry of another
+    service that names the formation comes from another writer and is left out, since
+    it would take the rank of a real member.
     """
-    members: dict[tuple[str, int], list[Target]] = {}
+    reported: dict[tuple[str, int], list[Target]] = {}
     for target in targets:
         if target.membership is not None:
             key = (target.membership.group, target.membership.epoch)
-            members.setdefault(key, []).append(target)
+            reported.setdefault(key, []).append(target)
     groups = {}
-    for key, reported in members.items():
-        services = Counter(target.service for target in reported)
+    for key, candidates in reported.items():
+        services = Counter(target.service for target in candidates)
         service = max(sorted(services), key=services.__getitem__)
-        found = [target for target in reported if target.service == service]
-        found.sort(key=lambda t: _membership(t).rank)
+        members = [target for target in candidates if target.service == service]
+        members.sort(key=lambda t: _membership(t).rank)
         groups[key] = Group(
             name=key[0],
             epoch=key[1],
-            model=found[0].model,
-            members=tuple(found),
+            model=members[0].model,
+            members=tuple(members),
         )
     return groups
 
@@ -197,14 +219,15 @@
 def ids_without_start_time(
     listed: Mapping[str, Target], known: Mapping[str, Target]
 ) -> frozenset[str]:
-    """Return the listed targets whose entries lack the start that others tell.
+    """Return the ids of listed targets whose entries lack an expected `born`.
 
-    An entry of another writer may lack any field; used, it would name a back end that
-    is not there. Where back ends tell no start at all, none is missed: by the others of
-    the list, and by what was known of the same `id`.
+    An entry of another writer may lack any field; if used, it would name a back end
+    that does not exist. A start time is expected if most of the known targets have
+    one, or if the known target with the same `id` has one; so nothing is left out
+    where back ends report no start times at all.
     """
-    told = sum(t.born is not None for t in known.values())
-    is_usual = 2 * told > len(known)
+    with_start = sum(t.born is not None for t in known.values())
+    is_usual = 2 * with_start > len(known)
     return frozenset(
         target.id
         for target in listed.values()
