--- a/mallowpond/state/formation.py
+++ b/mallowpond/state/formation.py
@@ -22,7 +22,7 @@
     FormationView,
     Stage,
     Step,
-    join_of,
+    make_join,
     needs_load,
 )
 from mallowpond.state.upkeep import JOIN_PATIENCE_SECONDS, GroupUpkeep
@@ -260,7 +260,7 @@
             self._joining[target.id] = model.name
             if needs_load(target, model):
                 self._loading[target.id] = model.name
-            self._steps.append(join_of(target, formation, model))
+            self._steps.append(make_join(target, formation, model))
         return True
 
     def _stage_weights(self) -> None:
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -1,4 +1,4 @@
-"""What the planner of groups knows, and the orders that it can give."""
+"""Input of the group formation planner, and the orders that it can give."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Join:
-    """Make a target a member of a group."""
+    """Order a target to become a member of a group; `loads` if it must load weights."""
 
     target: Target
     group: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Open:
-    """Let a head serve."""
+    """Order a head to accept requests."""
 
     target: Target
     group: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Close:
-    """Stop a head from serving; `evict` hands back its work at once."""
+    """Order a head to accept no more requests; `evict` hands back the running ones."""
 
     target: Target
     group: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leave:
-    """Take a member out of a group, which breaks the group."""
+    """Order a member to leave its group, which breaks the group."""
 
     target: Target
     group: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Stage:
-    """Load a model's weights onto a target's host."""
+    """Order a target to load a model's weights onto its host."""
 
     target: Target
     model: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Formation:
-    """Remember a group that was ordered: its list, and when."""
+    """A formation that was ordered: its members by rank, and when it was ordered."""
 
     group: str
     epoch: int
@@ -68,7 +68,7 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return what tells this formation from every other."""
+        """Return the unique key of this formation."""
         return (self.group, self.epoch)
 
 
@@ -77,14 +77,15 @@
     """Input of one planning round.
 
     demand: share of the work per model; the declared share holds where it is absent.
-    pressure: utilization of each model's open groups, 1.0 when all slots are taken.
+    utilization: requests per slot of each model's open groups; above 1 they queue.
     lost: targets that do not answer.
     busy: targets with an order under way.
     formations: formations whose member lists this planner knows.
     first_seen: time at which each listed group was first seen here.
     seen: processes that were ordered into each group or listed in it.
-    unheld: groups that one of their members denies belonging to.
-    distrusted: groups that were suspected several times although all members answer.
+    disclaimed: groups of which a listed member answers that it is not in them.
+    repeatedly_suspected: groups that fell silent again and again, although all of
+        their members answer probes.
     closed: groups that were ordered to close, to be dissolved once they are idle.
     leaving_since: time at which each stopping target was first seen to be stopping.
     loads_begun: times of recent orders that load weights.
@@ -117,12 +118,12 @@
 
 
 def needs_load(target: Target, model: ModelSpec) -> bool:
-    """Tell whether a target must load a model's weights before it can serve it."""
+    """Return whether a target must load a model's weights before it can serve it."""
     return target.model != model.name and model.name not in target.staged
 
 
-def join_of(target: Target, formation: Formation, model: ModelSpec) -> Join:
-    """Write the order that brings a target into a formation."""
+def make_join(target: Target, formation: Formation, model: ModelSpec) -> Join:
+    """Return the order that makes a target join a formation."""
     return Join(
         target=target,
         group=formation.group,
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -20,7 +20,7 @@
 KEY = ("g", 1)
 
 
-def join_of(target):
+def make_join(target):
     """Write a join that loads weights."""
     return Join(
         target=target, group="g", epoch=1, model="m", members=("a", "b"), loads=True
@@ -36,7 +36,7 @@
 def book_of_first():
     """Return a book in which the first process has taken a join."""
     book = OrderBook()
-    join = join_of(FIRST)
+    join = make_join(FIRST)
     book.record_report(FIRST, 4, now=NOW)
     book.begin(join, NOW)
     book.record_begun(join, expected=4, is_sure=True)
@@ -83,7 +83,7 @@
     assert book.count(FIRST) == 4
     book.raise_min_count(FIRST, 6)
     assert book.count(FIRST) is None
-    book.record_begun(join_of(FIRST), expected=4, is_sure=True)
+    book.record_begun(make_join(FIRST), expected=4, is_sure=True)
     assert book.count(FIRST) is None
     assert not book.record_report(FIRST, 5, now=NOW)
     assert book.record_report(FIRST, 6, now=NOW)
@@ -144,7 +144,7 @@
     Cause: the report was held for a late one, each time.
     """
     book, target = OrderBook(), replace(FIRST, born=None)
-    join = join_of(target)
+    join = make_join(target)
     book.record_report(target, 4, now=NOW)
     book.record_begun(join, expected=4, is_sure=True)
     book.record_taken(join, NOW)
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -14,7 +14,7 @@
     Leave,
     Open,
     Step,
-    join_of,
+    make_join,
     needs_load,
 )
 from mallowpond.state.processes import has_restarted
@@ -252,7 +252,7 @@
                 continue
             if target.id in view.busy:
                 continue
-            self.steps.append(join_of(target, known, model))
+            self.steps.append(make_join(target, known, model))
 
     def _keep_headless(self, group: Group) -> bool:
         """Free the members of a group whose head is not listed."""
