--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -125,7 +125,7 @@
             return 0.0
         return expected_wait(
             ahead=line.ahead_of(claim),
-            places=len(groups) * seek.profile.slots,
+            slots=len(groups) * seek.profile.slots,
             service_seconds=self._choice.hold_seconds(seek.profile, seek.model),
         )
 
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -19,7 +19,7 @@
     rig_of,
 )
 from mallowpond.node.watch import SLOW_EVENTS, GroupWatch
-from mallowpond.state.first_event import LEAST_SAMPLES
+from mallowpond.state.first_event import MIN_SAMPLES
 from mallowpond.state.fleet import BreakCause, Process
 
 STALL_SECONDS = 4.0
@@ -81,7 +81,7 @@
 def learn_delay(rig, stream, seconds):
     """Let first events of the stream's model come so much later than predicted."""
     delay = rig.service.placement.delay(stream.work.service, stream.work.model.name)
-    for _ in range(LEAST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         delay.note(observed=seconds, predicted=0.0)
 
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -155,7 +155,7 @@
             predicted_gap=predicted,
             allowed_gap=min(stream.allowed_gap for stream in streams),
             first_event_seconds=max(
-                s.predicted + delay.longest * s.slowness for s in streams
+                s.predicted + delay.upper_bound * s.slowness for s in streams
             ),
             has_running=any(stream.events for stream in streams),
         )
