--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -13,7 +13,7 @@
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import Group, GroupPhase
-from mallowpond.state.place_line import Claim
+from mallowpond.state.place_line import QueueEntry
 
 log = structlog.get_logger()
 
@@ -91,7 +91,7 @@
             )
             answers.put_nowait(refused)
 
-    async def ask(self, seek: Seek, claim: Claim) -> PlaceOutcome | None:
+    async def ask(self, seek: Seek, claim: QueueEntry) -> PlaceOutcome | None:
         """Return what the dispatcher says in time, None if it does not answer."""
         self._number += 1
         asker = Asker(node=self._name, number=self._number)
@@ -102,14 +102,14 @@
             del self._answers[asker.number]
             self._dispatcher.leave(asker)
 
-    async def _ask(self, asker: Asker, seek: Seek, claim: Claim) -> PlaceOutcome | None:
+    async def _ask(self, asker: Asker, seek: Seek, claim: QueueEntry) -> PlaceOutcome | None:
         unusable = 0
         while unusable < MOST_UNUSABLE:
             answer = await self._question(asker, seek, claim)
             if answer is not None and answer.verdict is PlaceVerdict.WAITING:
                 answer = await self._wait(asker, claim)
                 if answer is None:
-                    left = claim.until - self._clock.now()
+                    left = claim.deadline - self._clock.now()
                     if left <= 0.0:
                         return WaitedInVain()
                     continue
@@ -127,7 +127,7 @@
         return None
 
     async def _question(
-        self, asker: Asker, seek: Seek, claim: Claim
+        self, asker: Asker, seek: Seek, claim: QueueEntry
     ) -> PlaceAnswer | None:
         """Ask once and return the first answer, None if there is none."""
         host = self._dispatching_host()
@@ -145,8 +145,8 @@
             model=seek.model.name,
             prompt_tokens=round(seek.prompt_tokens),
             objective=seek.objective,
-            on_time=max(0.0, claim.on_time_until - now),
-            patience=claim.until - now,
+            on_time=max(0.0, claim.objective_deadline - now),
+            patience=claim.deadline - now,
             priority=claim.priority,
             has_begun=claim.has_begun,
             avoided=tuple(sorted(self._with_avoided(seek).avoided)),
@@ -169,8 +169,8 @@
         }
         return seek.without(known - usable)
 
-    async def _wait(self, asker: Asker, claim: Claim) -> PlaceAnswer | None:
-        left = claim.until - self._clock.now()
+    async def _wait(self, asker: Asker, claim: QueueEntry) -> PlaceAnswer | None:
+        left = claim.deadline - self._clock.now()
         return await self._next_answer(asker, min(left, RENEW_SECONDS))
 
     async def _next_answer(self, asker: Asker, seconds: float) -> PlaceAnswer | None:
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -17,7 +17,7 @@
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.limits import expected_wait, jittered_retry_after
-from mallowpond.state.place_line import Claim
+from mallowpond.state.place_line import QueueEntry
 from mallowpond.state.placement import (
     Candidate,
     GroupLoad,
@@ -174,11 +174,11 @@
         patience = min(self._patience(work), work.deadline - now)
         if self.dispatcher_client is None or patience <= LEAST_SECONDS:
             return None
-        claim = Claim(
+        claim = QueueEntry(
             priority=work.priority,
-            on_time_until=self._on_time_until(work),
-            since=now,
-            until=now + patience,
+            objective_deadline=self._on_time_until(work),
+            queued_at=now,
+            deadline=now + patience,
             has_begun=work.has_begun,
         )
         self._metrics.waiting.inc()
@@ -197,7 +197,7 @@
         line = self._lines.setdefault(work.model.name, WaitQueue())
         wait = expected_wait(
             ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
-            places=len(groups) * work.profile.slots,
+            slots=len(groups) * work.profile.slots,
             # Every host gets its part of the places that free.
             service_seconds=self.selector.hold_seconds(work.profile, work.model)
             * self._hosts(),
