--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -18,9 +18,9 @@
 from mallowpond.node.group_selector import GroupSelector, Seek
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
+from mallowpond.state.admission import expected_wait
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
-from mallowpond.state.limits import expected_wait
-from mallowpond.state.place_line import MAX_WAITING, PlacementQueue, QueueEntry
+from mallowpond.state.placement_queue import MAX_WAITING, PlacementQueue, QueueEntry
 
 # Longest time that a stream waits in the line, in seconds, whatever its asker says.
 MOST_PATIENCE_SECONDS = 60.0
--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -13,7 +13,7 @@
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.fleet import Group, GroupPhase
-from mallowpond.state.place_line import QueueEntry
+from mallowpond.state.placement_queue import QueueEntry
 
 log = structlog.get_logger()
 
@@ -102,7 +102,9 @@
             del self._answers[asker.number]
             self._dispatcher.leave(asker)
 
-    async def _ask(self, asker: Asker, seek: Seek, claim: QueueEntry) -> PlaceOutcome | None:
+    async def _ask(
+        self, asker: Asker, seek: Seek, claim: QueueEntry
+    ) -> PlaceOutcome | None:
         unusable = 0
         while unusable < MOST_UNUSABLE:
             answer = await self._question(asker, seek, claim)
--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -74,14 +74,14 @@
 
     def by_news(self, seek: Seek) -> Group | None:
         """Choose by news of the others' work that is some tenths of a second old."""
-        unseen = unreported_streams(
+        unreported = unreported_streams(
             own_per_second=self._budget(seek.service).first_sends_per_second,
             hosts=self._hosts(),
             age_seconds=self._directory.loads.load_age,
             groups=self._directory.count_open_groups(seek.service),
         )
         groups = self._groups(seek)
-        if unseen < UNREPORTED_STREAMS:
+        if unreported < UNREPORTED_STREAMS:
             candidates = list(self._candidates(seek, groups))
         else:
             candidates = self._drawn(seek, groups, DRAWN_GROUPS)
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -14,10 +14,9 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.waiting import WaitQueue
+from mallowpond.state.admission import expected_wait, jittered_retry_after
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
-from mallowpond.state.limits import expected_wait, jittered_retry_after
-from mallowpond.state.place_line import QueueEntry
 from mallowpond.state.placement import (
     Candidate,
     GroupLoad,
@@ -25,6 +24,7 @@
     first_event_seconds,
     pass_seconds,
 )
+from mallowpond.state.placement_queue import QueueEntry
 
 # Share of a caller's patience that a stream may wait here for a place: the rest is
 # for reading the prompt and the first pass.
@@ -212,7 +212,7 @@
         try:
             came = await line.wait(
                 priority=work.priority,
-                on_time_until=self._on_time_until(work),
+                objective_deadline=self._on_time_until(work),
                 seconds=patience,
                 has_begun=work.has_begun,
             )
--- a/mallowpond/node/tests/test_waiting.py
+++ b/mallowpond/node/tests/test_waiting.py
@@ -9,10 +9,10 @@
     """Let streams wait, free one place after the other, return their order."""
     order = []
 
-    async def wait(name, priority, on_time_until, has_begun=False):
+    async def wait(name, priority, objective_deadline, has_begun=False):
         if await line.wait(
             priority=priority,
-            on_time_until=on_time_until,
+            objective_deadline=objective_deadline,
             seconds=60.0,
             has_begun=has_begun,
         ):
@@ -48,7 +48,9 @@
 
 async def test_a_stream_that_gives_up_leaves_the_line():
     line = WaitQueue()
-    task = asyncio.create_task(line.wait(priority=1, on_time_until=1.0, seconds=60.0))
+    task = asyncio.create_task(
+        line.wait(priority=1, objective_deadline=1.0, seconds=60.0)
+    )
     await asyncio.sleep(0)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
@@ -70,7 +72,7 @@
     line = WaitQueue()
     turns = [
         asyncio.create_task(
-            line.wait(priority=1, on_time_until=1.0, seconds=60.0, has_begun=begun)
+            line.wait(priority=1, objective_deadline=1.0, seconds=60.0, has_begun=begun)
         )
         for begun in (False, False, True)
     ]
@@ -94,7 +96,7 @@
 
     def wait():
         return asyncio.create_task(
-            line.wait(priority=0, on_time_until=0.0, seconds=5.0)
+            line.wait(priority=0, objective_deadline=0.0, seconds=5.0)
         )
 
     leaving, staying = wait(), wait()
@@ -109,7 +111,9 @@
 async def test_a_turn_that_comes_as_the_time_runs_out_has_come():
     """A stream was refused although a place had been found for it in the same pass."""
     line = WaitQueue()
-    waiting = asyncio.create_task(line.wait(priority=0, on_time_until=0.0, seconds=0.0))
+    waiting = asyncio.create_task(
+        line.wait(priority=0, objective_deadline=0.0, seconds=0.0)
+    )
     await asyncio.sleep(0)
     line.wake(lambda: True, 1.0)
     assert await waiting
--- a/mallowpond/node/waiting.py
+++ b/mallowpond/node/waiting.py
@@ -15,7 +15,7 @@
 class _Turn:
     has_begun: bool
     priority: int
-    on_time_until: float
+    objective_deadline: float
     number: int
     future: asyncio.Future[bool]
 
@@ -49,7 +49,7 @@
         self,
         *,
         priority: int,
-        on_time_until: float,
+        objective_deadline: float,
         seconds: float,
         has_begun: bool = False,
     ) -> bool:
@@ -57,7 +57,7 @@
         turn = _Turn(
             has_begun=has_begun,
             priority=priority,
-            on_time_until=on_time_until,
+            objective_deadline=objective_deadline,
             number=next(self._numbers),
             future=asyncio.get_running_loop().create_future(),
         )
@@ -85,7 +85,7 @@
             return
 
         def order(turn: _Turn) -> tuple[bool, bool, int, int]:
-            late = turn.on_time_until <= now
+            late = turn.objective_deadline <= now
             return (not turn.has_begun, late, turn.priority, turn.number)
 
         first = min(waiting, key=order)
