--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -136,7 +136,7 @@
             grant_number=1,
         )
 
-    site.dispatcher.ask = lambda asker, seek, claim: grant(asker.number)
+    site.dispatcher.request_slot = lambda asker, seek, claim: grant(asker.number)
     outcome = await serving
     assert (outcome.status, outcome.reason) == (503, Reason.RATE_LIMITED)
     assert rig.targets.sends == []
