--- a/mallowpond/node/configuration_sharing.py
+++ b/mallowpond/node/configuration_sharing.py
@@ -1,8 +1,8 @@
-"""Pass a configuration on among hosts, so that few read it from the store.
+"""Distribute the configuration among hosts, so that few read it from the store.
 
-The load pattern: each version was read by each host, 195 calls to the store a version,
-and a dozen versions come within four seconds at times. A host that the store turns
-away, or that starts while it is away, had none of it for as long as that lasted.
+If every host read every version, a fleet of 195 hosts would make 195 calls to the store
+per version, and at times a dozen versions come within four seconds. A host that the
+store rejects, or that starts during an outage, would have no configuration until then.
 """
 
 import zlib
@@ -21,16 +21,16 @@
 
 log = structlog.get_logger()
 
-# Bytes of a compressed configuration in one datagram: below what UDP carries, and small
-# enough for a link's queue.
+# Bytes of a compressed configuration per datagram: below the limit of UDP, and small
+# enough for the queue of a link.
 PART_BYTES = 16 * 1024
-# Largest configuration that is unpacked, in bytes: four times the largest that the
-# store takes; a datagram made to cost much would decompress to more.
+# Largest configuration that is decompressed: four times the largest that the store
+# accepts. A malicious datagram could decompress to more.
 MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
 
 
 class ConfigurationSharing:
-    """Tell newer configurations, and take what other hosts tell."""
+    """Broadcast newer configurations, and adopt those that other hosts send."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
                 self._fanout.broadcast(part)
 
     def _request_document(self) -> None:
-        """Ask the top_ranked_peers hosts for the configuration that this one lacks."""
+        """Ask the top-ranked hosts for the configuration that this one lacks."""
         question = ConfigurationQuestion(node=self._name)
         self._peers.send_to(question, self._readers.top_ranked_peers)
 
@@ -67,7 +67,7 @@
             self._peers.send_to(part, (question.node,))
 
     def _split(self) -> list[ConfigurationPart]:
-        """Return the configuration in datagrams, none if it is too large for them."""
+        """Return the configuration in parts; none if it needs too many of them."""
         known = self._configuration.configuration
         if known is None or not self._configuration.document:
             return []
--- a/mallowpond/node/fanout.py
+++ b/mallowpond/node/fanout.py
@@ -1,7 +1,7 @@
-"""Tell a whole fleet, each other data centre through one of its hosts.
+"""Broadcast messages to a fleet, through one relay host per remote data centre.
 
-Told to each host by the readers alone, the sums of work of a large fleet would fill the
-readers' links, most of it between data centres.
+If the readers sent the load of a large fleet to each host themselves, it would fill
+their links, mostly those between data centres.
 """
 
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.ownership import ranked_by_capacity
 
-# What orders the hosts of a data centre that have the same processor time.
+# Key that ranks the hosts of a data centre that have the same processor time.
 RELAY_KEY = "relay"
-# Silence after which a host is not asked to tell others on, in seconds: three times the
-# pause between two tellings of its work.
+# Silence after which a host is not chosen as relay, in seconds: three times the interval
+# at which it sends its load.
 RELAY_SILENCE_SECONDS = 0.7
-# Changes of which parts are kept while others are missing.
+# Messages that may wait for missing parts at one time.
 MAX_INCOMPLETE_MESSAGES = 4
-# Parts of one message, at most: 2,400 targets, or 640 KB of a configuration.
+# Maximum parts of one message: 2,400 targets, or 640 KB of a configuration.
 MAX_PARTS = 40
 
 RelayedMessage = Digest | ListChange | ConfigurationPart
@@ -27,7 +27,7 @@
 
 
 class Fanout:
-    """Send a message to every host, and pass on what came for this data centre."""
+    """Broadcast messages to all hosts, and relay those sent for this data centre."""
 
     def __init__(
         self,
@@ -43,7 +43,10 @@
         self._readers = readers
 
     def broadcast(self, message: RelayedMessage) -> None:
-        """Tell every host, those of other data centres through one of theirs."""
+        """Send a message to every host.
+
+        In a large fleet, hosts of other data centres get it from a relay of their own.
+        """
         if not self._peers.is_large_fleet:
             self._peers.broadcast(message)
             return
@@ -54,40 +57,45 @@
         self._peers.send_to(replace(message, pass_on=True), relays)
 
     def choose_relay(self, nodes: list[str]) -> str:
-        """Return the host of a data centre that tells the others there.
+        """Return the host of a data centre that relays messages to the others there.
 
-        Each reader has another one, so that one death silences neither.
+        Each reader uses a different relay, so that the failure of one host does not
+        cut off both.
         """
-        heard = [
+        recent = [
             n for n in nodes if self._peers.has_heard_from(n, RELAY_SILENCE_SECONDS)
         ]
-        cores = {node: self._peers.cores_of(node) for node in heard or nodes}
+        cores = {node: self._peers.cores_of(node) for node in recent or nodes}
         ranked = ranked_by_capacity(RELAY_KEY, cores)
         readers = self._readers()
         number = readers.index(self._name) if self._name in readers else 0
         return ranked[number % len(ranked)]
 
     def relay(self, message: RelayedMessage) -> None:
-        """Tell this data centre what was sent to this host for all of it."""
+        """Send a message on to this data centre if its sender asked for that."""
         if not message.pass_on:
             return
         near = self._peers.nodes_by_data_centre().get(self._data_centre, ())
-        told = [node for node in near if node != message.node]
-        self._peers.send_to(replace(message, pass_on=False), told)
+        receivers = [node for node in near if node != message.node]
+        self._peers.send_to(replace(message, pass_on=False), receivers)
 
 
 class PartCollector:
-    """Keep the parts of messages until all of one are here.
+    """Collect the parts of split messages until a message is complete.
 
-    Taken one by one, a lost part would leave a host with a state of two moments, and it
-    would take itself for up to date.
+    If parts were applied one by one, a lost part would leave a host with a mixture of
+    two states that it takes for up to date.
     """
 
     def __init__(self) -> None:
         self._incomplete: dict[tuple[str, int], dict[int, Part]] = {}
 
     def add(self, message: Part, number: int) -> list[Part] | None:
-        """Return all parts of a numbered message once the last of them is here."""
+        """Add a part; return all parts, in order, once message `number` is complete.
+
+        `number` identifies the message among those of its sender, and the one with
+        the lowest number is dropped if too many are incomplete.
+        """
         if message.parts > MAX_PARTS or message.part >= message.parts:
             return None
         key = (message.node, number)
@@ -95,7 +103,7 @@
             key not in self._incomplete
             and len(self._incomplete) >= MAX_INCOMPLETE_MESSAGES
         ):
-            del self._incomplete[min(self._incomplete, key=lambda kept: kept[1])]
+            del self._incomplete[min(self._incomplete, key=lambda entry: entry[1])]
         known = self._incomplete.setdefault(key, {})
         known[message.part] = message
         if len(known) < message.parts:
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -1,7 +1,7 @@
-"""Say what nodes tell one another, and how a datagram holds it.
+"""Define the messages that nodes exchange, and encode and decode their datagrams.
 
-Datagrams may be lost or doubled; every message holds a whole statement, and the
-next heartbeat repeats what matters.
+Datagrams may be lost or duplicated. Every message is complete by itself, and the next
+heartbeat repeats the state that peers depend on.
 """
 
 import zlib
@@ -25,47 +25,52 @@
 from mallowpond.state.fleet import BreakCause, GroupKey, Process, Target
 from mallowpond.state.rate_limit import TargetLimit
 
-# Pause between two heartbeats, in seconds: peers' loads age by two passes or so.
+# Interval between heartbeats, in seconds: the loads known of a peer are at most about
+# two passes of a group old.
 HEARTBEAT_SECONDS = 0.1
-# Longest pause between heartbeats that a peer may announce, in seconds: beyond that of
-# the largest fleet. A longer one would keep a dead peer among the living.
+# Longest heartbeat interval that a peer may announce, in seconds: above that of the
+# largest fleet. With a longer one a dead peer would count as live for too long.
 MAX_INTERVAL_SECONDS = 60.0
-# Largest datagram that is read, in bytes: what UDP over IPv4 carries; and the largest
-# that one is unpacked to.
+# Largest datagram that is read: the limit of UDP over IPv4; and the largest size that
+# it may have when decompressed.
 MAX_DATAGRAM_BYTES = 65_507
 MAX_DECOMPRESSED_BYTES = 4 * MAX_DATAGRAM_BYTES
-# Size from which a datagram is compressed, in bytes: a change of many targets, sent in
-# full to many hosts, would fill a link, and what gets lost each host reads anew.
+# Size from which a datagram is compressed. A change of many targets, sent uncompressed
+# to many hosts, fills a link, and each host reads a lost change from the store.
 COMPRESSION_THRESHOLD_BYTES = 600
-# First byte of what is compressed; no message begins with it.
+# First byte of a zlib stream; no uncompressed message begins with it.
 ZLIB_FIRST_BYTE = b"\x78"
 
 
 @dataclass(frozen=True, kw_only=True)
 class LoadColumns:
-    """Tell work by group, in a column for each figure.
+    """Load of each group, in parallel columns.
 
-    With a data class for each group they would take several times as long to decode.
+    `running` counts streams; `prefill_tokens` counts prompt tokens that are still to
+    be processed. One data class per group would take several times as long to decode.
     """
 
     groups: tuple[Name, ...] = ()
     epochs: tuple[int, ...] = ()
     running: tuple[int, ...] = ()
-    reading: tuple[int, ...] = ()
+    prefill_tokens: tuple[int, ...] = ()
 
     @property
     def has_equal_columns(self) -> bool:
-        """Tell whether each column has a figure of each group."""
-        columns = (self.groups, self.epochs, self.running, self.reading)
+        """Return whether every column has one entry per group."""
+        columns = (self.groups, self.epochs, self.running, self.prefill_tokens)
         return len(set(map(len, columns))) == 1
 
 
 @dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """Say what a node does; `planning` is its fencing number, 0 if it plans not.
+    """State of a node, sent to its peers at intervals.
 
-    `interval` is the pause until its next heartbeat, in seconds; `cores` is the
-    processor time that it has.
+    `version` is its configuration, and `sure` says whether that is confirmed; `store`
+    says whether it reaches the store, and `traffic` whether any request has been seen.
+    `planning` is its fencing number as planner, 0 if it does not plan. `interval` is
+    the time until its next heartbeat, in seconds; `cores` is its processor time in
+    cores.
     """
 
     node: Name
@@ -81,16 +86,16 @@
     data_centre: str = ""
     cores: float = 0.0
     loads: LoadColumns = LoadColumns()
-    # The last place that the dispatcher gave, whose stream `loads` holds.
+    # Number of the dispatcher's last grant whose stream `loads` includes.
     grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Suspicion:
-    """Say that a group stands silent.
+    """Report that a group makes no progress.
 
-    With `cleared` it is sound again; with `closing` it gets no new streams, but
-    those that run may end there.
+    With `cleared` the suspicion is over. With `closing` the group gets no new streams,
+    but running ones may finish there.
     """
 
     node: Name
@@ -102,7 +107,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SilenceQuestion:
-    """Ask whether a group that is silent here, for so many seconds, advances there."""
+    """Ask whether a group makes progress for the peer.
+
+    The sender has seen no event of the group for `silent` seconds.
+    """
 
     node: Name
     group: Name
@@ -112,7 +120,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Advance:
-    """Answer that a group advances."""
+    """Answer a `SilenceQuestion`: the group makes progress."""
 
     node: Name
     group: Name
@@ -121,10 +129,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupBroken:
-    """Say that a formation serves no more, as its head or a member showed itself.
+    """Report that a formation no longer serves, as its head or a member showed.
 
-    `head` is the process that the sender took for its head: a receiver that knows
-    another one has newer or older news of the group than this.
+    `head` is the process that the sender knows as the formation's head. A receiver that
+    knows another one has newer or older information about the group.
     """
 
     node: str
@@ -136,7 +144,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Vouch:
-    """Say that targets which the list has lost were found healthy."""
+    """Report that probes found targets healthy that are missing from the list."""
 
     node: Name
     targets: tuple[Identifier, ...]
@@ -144,11 +152,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Digest:
-    """Tell, as a reader of the store, what is newest there and where work runs.
+    """Newest state of the store and the fleet's load, sent by a reader.
 
-    `changed` is the revision of the list's last change; `loads` are all hosts' work by
-    group, empty in small fleets, where heartbeats tell it. With `pass_on` the receiver
-    tells it to its own data centre.
+    `version` is the newest configuration and `changed` the revision of the last change
+    of the target list. `loads` sums the work of all hosts by group; it is empty in
+    small fleets, where heartbeats carry it. With `pass_on` the receiver relays the
+    message to its own data centre.
     """
 
     node: Name
@@ -160,10 +169,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ListChange:
-    """Pass on what a reader found changed in the list after `previous`.
+    """Changes of the target list after revision `previous`, sent by a reader.
 
-    A large change comes in several `parts`, of which this is number `part`. With
-    `pass_on` the receiver tells it to its own data centre.
+    A large change is split into several `parts`; `part` is the index of this one. With
+    `pass_on` the receiver relays the message to its own data centre.
     """
 
     node: Name
@@ -179,7 +188,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Work:
-    """Tell the readers one host's work by group.
+    """Load of one host by group, sent to the readers.
 
     It includes the streams of all places that the dispatcher granted up to the one
     numbered `grant_number`.
@@ -192,10 +201,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlaceQuestion:
-    """Ask the dispatcher for a place; times are in seconds from now.
+    """Ask the dispatcher for a place for a stream; times are in seconds from now.
 
-    A stream that starts within `on_time` can still meet its objective, and it waits
-    for `patience` at most. Groups in `avoided` are out of the question.
+    A stream that starts within `on_time` can still meet its latency `objective`; it
+    waits for `patience` at most. `has_begun` marks one whose caller already has part of
+    the answer. Groups in `avoided` must not be chosen.
     """
 
     node: Name
@@ -212,7 +222,7 @@
 
 
 class PlaceVerdict(str, Enum):
-    """Say what becomes of a stream that asked for a place."""
+    """Answer of the dispatcher to a request for a place."""
 
     GRANTED = "granted"
     WAITING = "waiting"
@@ -221,7 +231,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlaceAnswer:
-    """Answer a question for a place.
+    """Answer a `PlaceQuestion`.
 
     A granted place is on `group`; `grant_number` counts the places granted to that host
     so far. A refused stream would have to wait for `wait` seconds.
@@ -238,7 +248,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionQuestion:
-    """Ask a reader which configuration is the newest."""
+    """Ask a reader which configuration version is the newest."""
 
     node: Name
     number: int
@@ -246,7 +256,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionAnswer:
-    """Say which version was the newest `age` seconds before this was sent."""
+    """Answer a `VersionQuestion`.
+
+    `version` was confirmed as the newest `age` seconds before this was sent.
+    """
 
     node: Name
     number: int
@@ -256,9 +269,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationPart:
-    """Pass on a configuration, compressed, in several `parts` where it is large.
+    """Part of a compressed configuration; a large one is split into several `parts`.
 
-    With `pass_on` the receiver tells it to its own data centre.
+    With `pass_on` the receiver relays the message to its own data centre.
     """
 
     node: Name
@@ -271,14 +284,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationQuestion:
-    """Ask a peer for the configuration that it has."""
+    """Ask a peer for its configuration."""
 
     node: Name
 
 
 @dataclass(frozen=True, kw_only=True)
 class LivenessQuestion:
-    """Ask whether a target lives, as the asker doubts what it finds itself."""
+    """Ask a peer to probe a target, as the sender's own probe may be wrong."""
 
     node: Name
     number: int
@@ -287,7 +300,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LivenessAnswer:
-    """Say whether a target answered this host."""
+    """Answer a `LivenessQuestion`: whether the target answered this host."""
 
     node: Name
     number: int
@@ -296,7 +309,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CrashRecords:
-    """Tell under which requests targets ended; with `answer` a peer had asked."""
+    """Requests during which targets' processes ended.
+
+    With `answer` the message answers a `CrashQuestion`.
+    """
 
     node: Name
     records: tuple[CrashRecord, ...]
@@ -305,14 +321,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CrashQuestion:
-    """Ask a peer under which requests targets ended."""
+    """Ask a peer for its crash records."""
 
     node: Name
 
 
 @dataclass(frozen=True, kw_only=True)
 class RateLimitNews:
-    """Tell which rate limits targets named, or name no more."""
+    """Rate limits that targets announced or withdrew in their answers."""
 
     node: Name
     limits: tuple[TargetLimit, ...]
@@ -350,14 +366,14 @@
 
 
 def read_message(data: bytes) -> Message | Unreadable:
-    """Decode a datagram, whatever it holds."""
+    """Decode a datagram; malformed content of any kind yields `Unreadable`."""
     if len(data) > MAX_DATAGRAM_BYTES:
         return Unreadable(fault=DecodeFault.RANGE)
     if data[:1] == ZLIB_FIRST_BYTE:
-        unpacked = decompress(data, MAX_DECOMPRESSED_BYTES)
-        if unpacked is None:
+        decompressed = decompress(data, MAX_DECOMPRESSED_BYTES)
+        if decompressed is None:
             return Unreadable(fault=DecodeFault.BYTES)
-        data = unpacked
+        data = decompressed
     content = _parse(data)
     if isinstance(content, Unreadable):
         return content
@@ -379,20 +395,19 @@
 
 
 def decompress(data: bytes, max_bytes: int) -> bytes | None:
-    """Return what was compressed, None if it is damaged or larger than `max_bytes`."""
-    unpacking = zlib.decompressobj()
+    """Decompress zlib data; None if it is damaged or exceeds `max_bytes`."""
+    decompressor = zlib.decompressobj()
     try:
-        unpacked = unpacking.decompress(data, max_bytes)
+        decompressed = decompressor.decompress(data, max_bytes)
     except zlib.error:
         return None
-    return unpacked if unpacking.eof else None
+    return decompressed if decompressor.eof else None
 
 
 def _parse(data: bytes) -> Any | Unreadable:
     try:
         return cbor2.loads(data)
-    # Tagged values are built by the constructors of many types, each with errors of
-    # its own.
+    # CBOR tags invoke the constructors of many types, and each raises its own errors.
     except Exception:
         return Unreadable(fault=DecodeFault.BYTES)
 
@@ -400,20 +415,24 @@
 def encode_loads(
     loads: dict[GroupKey, tuple[int, float]],
 ) -> LoadColumns:
-    """Return a host's work by group as messages carry it."""
+    """Convert loads by group (running streams, tokens to prefill) to columns."""
     return LoadColumns(
         groups=tuple(group for group, _ in loads),
         epochs=tuple(epoch for _, epoch in loads),
         running=tuple(running for running, _ in loads.values()),
-        # Sums of parts may end just below nothing, which no peer would read.
-        reading=tuple(max(0, round(reading)) for _, reading in loads.values()),
+        # Sums of partial amounts may end just below zero, which peers would reject.
+        prefill_tokens=tuple(max(0, round(tokens)) for _, tokens in loads.values()),
     )
 
 
 def decode_loads(
     message: Heartbeat | Work | Digest,
 ) -> dict[GroupKey, tuple[int, float]]:
-    """Return the work by group that a message tells."""
-    told = message.loads
-    keys = zip(told.groups, told.epochs, strict=True)
-    return dict(zip(keys, zip(told.running, told.reading, strict=True), strict=True))
+    """Return the loads by group of a message: running streams, tokens to prefill."""
+    columns = message.loads
+    keys = zip(columns.groups, columns.epochs, strict=True)
+    return dict(
+        zip(
+            keys, zip(columns.running, columns.prefill_tokens, strict=True), strict=True
+        )
+    )
