--- a/mallowpond/state/balancer.py
+++ b/mallowpond/state/balancer.py
@@ -95,7 +95,7 @@
         load.samples += 1
         self._eject_if_outlier(target, now)
 
-    def report(self, target: str, *, in_flight: int, now: float) -> None:
+    def record_reported_load(self, target: str, *, in_flight: int, now: float) -> None:
         """Note the load that rode on a response."""
         load = self.load(target)
         load.others = max(0.0, float(in_flight - load.own))
--- a/mallowpond/state/first_event.py
+++ b/mallowpond/state/first_event.py
@@ -38,7 +38,7 @@
         return max(0.0, median(self._errors))
 
     @property
-    def longest(self) -> float:
+    def upper_bound(self) -> float:
         """Return the delay in seconds that few first events exceed."""
         if not self._is_known:
             return DEFAULT_UPPER_BOUND_SECONDS
--- a/mallowpond/state/placement_queue.py
+++ b/mallowpond/state/placement_queue.py
@@ -62,22 +62,22 @@
     def __contains__(self, asker: Asker) -> bool:
         return asker in self._claims
 
-    def join(self, asker: Asker, claim: QueueEntry) -> None:
+    def add(self, asker: Asker, claim: QueueEntry) -> None:
         """Let a stream wait, or wait on where it stands."""
         if asker not in self._claims:
             self._claims[asker] = (self._next_number, claim)
             self._next_number += 1
 
-    def goes_before(self, claim: QueueEntry, now: float) -> bool:
+    def has_entry_ahead_of(self, claim: QueueEntry, now: float) -> bool:
         """Tell whether some stream that waits goes before a new one."""
         new = claim.rank(self._next_number, now)
         return any(known.rank(n, now) < new for n, known in self._claims.values())
 
-    def leave(self, asker: Asker) -> None:
+    def discard(self, asker: Asker) -> None:
         """Take a stream out of the line, if it stands there."""
         self._claims.pop(asker, None)
 
-    def over(self, now: float) -> list[Asker]:
+    def expired(self, now: float) -> list[Asker]:
         """Return those whose time is over."""
         return [a for a, (_, claim) in self._claims.items() if claim.deadline <= now]
 
