--- a/mallowpond/state/admission.py
+++ b/mallowpond/state/admission.py
@@ -101,7 +101,7 @@
         """
         return self.seconds + CAUTION_DEVIATIONS * self.deviation
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Add one observation."""
         self._samples += 1
         weight = max(SERVICE_SMOOTHING, 1 / self._samples)
--- a/mallowpond/state/backoff.py
+++ b/mallowpond/state/backoff.py
@@ -12,11 +12,11 @@
         self._until: dict[Process, float] = {}
 
     @property
-    def is_any(self) -> bool:
+    def has_entries(self) -> bool:
         """Tell whether any target asked for a backoff that is not forgotten."""
         return bool(self._until)
 
-    def hear(self, process: Process, seconds: float, now: float) -> None:
+    def record(self, process: Process, seconds: float, now: float) -> None:
         """Take a target's word; a shorter one does not end a longer one."""
         self._until[process] = max(self._until.get(process, now), now + seconds)
 
@@ -30,7 +30,7 @@
             return 0.0
         return until - now
 
-    def keep(self, listed: Container[Process], now: float) -> None:
+    def prune(self, listed: Container[Process], now: float) -> None:
         """Forget what is over, and the processes that are not listed any more."""
         self._until = {
             process: until
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -93,7 +93,7 @@
         self._suspects: set[str] = set()
         self._held: frozenset[str] = frozenset()
 
-    def held(self, now: float) -> frozenset[str]:
+    def quarantined(self, now: float) -> frozenset[str]:
         """Return the requests that are held back."""
         return frozenset(
             r for r in self._held if self.quarantine_seconds_left(r, now) > 0.0
--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -83,7 +83,7 @@
         self._shares: dict[Process, _Share] = {}
 
     @property
-    def is_any(self) -> bool:
+    def has_entries(self) -> bool:
         """Tell whether anything is known of any limit."""
         return bool(self._shares)
 
@@ -92,7 +92,7 @@
         """Return the limits that are in force."""
         return {p: s.limit for p, s in self._shares.items() if s.limit is not None}
 
-    def hear(self, said: TargetLimit, now: float) -> bool:
+    def update(self, said: TargetLimit, now: float) -> bool:
         """Take the newest word of a target; tell whether it is news."""
         known = self._shares.get(said.process)
         said_at = now - said.age
@@ -157,7 +157,7 @@
             share.settle(now)
             share.credit -= 1.0
 
-    def word(self, process: Process, now: float) -> TargetLimit | None:
+    def latest(self, process: Process, now: float) -> TargetLimit | None:
         """Return what is known of a target, for other hosts."""
         share = self._shares.get(process)
         if share is None:
@@ -165,7 +165,7 @@
         age = max(0.0, now - share.said_at)
         return TargetLimit(process=process, limit=share.limit, age=age)
 
-    def keep(self, listed: Container[Process], now: float) -> None:
+    def prune(self, listed: Container[Process], now: float) -> None:
         """Forget the processes that are not listed any more, and what is long over."""
         self._shares = {
             process: share
--- a/mallowpond/state/store_clock.py
+++ b/mallowpond/state/store_clock.py
@@ -14,12 +14,12 @@
     def __init__(self) -> None:
         self._offset = float("-inf")
 
-    def note(self, *, asked_at: float, answered_at: float | None) -> None:
+    def record(self, *, asked_at: float, answered_at: float | None) -> None:
         """Take an answer's time by the store, in seconds of its clock."""
         if answered_at is not None:
             self._offset = max(self._offset, asked_at - answered_at)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop what was learnt: the store may be another process with another clock."""
         self._offset = float("-inf")
 
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -44,15 +44,15 @@
 def test_a_request_is_held_back_once_three_targets_ended_under_it():
     ledger = CrashLedger()
     for number in range(ENDINGS_TO_QUARANTINE):
-        assert not ledger.held(0.0)
+        assert not ledger.quarantined(0.0)
         ledger.record_ending("bad", ending(number), 0.0)
-    assert ledger.held(0.0) == {"bad"}
+    assert ledger.quarantined(0.0) == {"bad"}
     assert ledger.quarantine_seconds_left("bad", 1.0) == QUARANTINE_SECONDS - 1.0
 
 
 def test_one_target_counts_once_however_often_it_is_told():
     ledger = ledger_of(*[record("bad", "a")] * 5)
-    assert not ledger.held(0.0)
+    assert not ledger.quarantined(0.0)
 
 
 def test_a_target_that_starts_again_under_its_id_counts_again():
@@ -60,7 +60,7 @@
     for born in range(ENDINGS_TO_QUARANTINE):
         again = Ending(process=Process(id="a", born=born), ran=0.1)
         ledger.record_ending("bad", again, 0.0)
-    assert ledger.held(0.0) == {"bad"}
+    assert ledger.quarantined(0.0) == {"bad"}
 
 
 @pytest.mark.parametrize("seed", range(50))
@@ -76,7 +76,7 @@
     told += [record("other", n, ran=0.3) for n in (7, 8)]
     heard = told + rng.choices(told, k=5)
     rng.shuffle(heard)
-    assert ledger_of(*heard).held(0.0) == {"bad"}
+    assert ledger_of(*heard).quarantined(0.0) == {"bad"}
 
 
 def test_who_stood_beside_it_each_time_is_not_held_back():
@@ -89,7 +89,7 @@
     ledger = ledger_of(
         record("beside", "a", "b", "c", ran=0.4), record("bad", "a", "b", "c", ran=0.1)
     )
-    assert ledger.held(0.0) == {"bad"}
+    assert ledger.quarantined(0.0) == {"bad"}
 
 
 def test_who_came_just_before_an_end_is_not_taken_for_its_cause():
@@ -104,28 +104,28 @@
         ran("other", 0.206, 0.116, 0.116),
         ran("bad", 0.109, 0.116, 0.130),
     )
-    assert ledger.held(0.0) == {"bad"}
+    assert ledger.quarantined(0.0) == {"bad"}
 
 
 def test_a_wrong_choice_between_two_is_put_right_by_one_more_ending():
     ledger = ledger_of(
         record("beside", "a", "b", "c", ran=0.05), record("bad", "a", "b", "c", ran=0.1)
     )
-    assert ledger.held(0.0) == {"beside"}
+    assert ledger.quarantined(0.0) == {"beside"}
     ledger.merge(record("bad", "d"), 0.0)
-    assert ledger.held(0.0) == {"bad"}
+    assert ledger.quarantined(0.0) == {"bad"}
 
 
 def test_a_bystander_with_a_lost_target_of_its_own_is_not_held_back():
     ledger = ledger_of(
         record("bad", "a", "b", "c", ran=0.1), record("beside", "a", "b", "z", ran=0.4)
     )
-    assert ledger.held(0.0) == {"bad"}
+    assert ledger.quarantined(0.0) == {"bad"}
 
 
 def test_two_requests_that_end_targets_are_both_held_back():
     ledger = ledger_of(record("one", "a", "b", "c", "d"), record("two", "c", "x", "y"))
-    assert ledger.held(0.0) == {"one", "two"}
+    assert ledger.quarantined(0.0) == {"one", "two"}
 
 
 def test_a_whole_answer_clears_a_request():
@@ -133,7 +133,7 @@
     told = ledger.record_answer("fine", 1.0)
     assert all(known.refuted for known in told.endings)
     ledger.merge(record("fine", "c"), 1.0 + ANSWERED_SECONDS + 1.0)
-    assert not ledger.held(70.0)
+    assert not ledger.quarantined(70.0)
     assert ledger.record_answer("never seen", 1.0) is None
 
 
@@ -146,7 +146,7 @@
     first = ledger_of(record("fine", "a", "b", "c"))
     refuted = first.record_answer("fine", 1.0)
     second = ledger_of(refuted, record("fine", "a", "b", "c"))
-    assert not second.held(1.0)
+    assert not second.quarantined(1.0)
 
 
 def test_a_request_that_many_send_alike_is_not_held_back_for_a_domains_end():
@@ -159,22 +159,22 @@
     ledger.record_answer("popular", 0.0)
     for target in "abcd":
         ledger.record_ending("popular", ending(target), 1.0)
-    assert not ledger.held(1.0)
+    assert not ledger.quarantined(1.0)
     ledger.record_answer("untold", 0.0)
     for target in "efgh":
         ledger.record_ending("untold", ending(target), ANSWERED_SECONDS + 1.0)
-    assert ledger.held(ANSWERED_SECONDS + 1.0) == {"untold"}
+    assert ledger.quarantined(ANSWERED_SECONDS + 1.0) == {"untold"}
 
 
 def test_a_hold_ends_and_one_more_ending_begins_it_anew():
     ledger = ledger_of(record("bad", "a", "b", "c"))
-    assert not ledger.held(QUARANTINE_SECONDS)
+    assert not ledger.quarantined(QUARANTINE_SECONDS)
     assert ledger.quarantine_seconds_left("bad", QUARANTINE_SECONDS + 1.0) == 0.0
     ledger.record_ending("bad", ending("d"), QUARANTINE_SECONDS + 1.0)
-    assert ledger.held(QUARANTINE_SECONDS + 1.0) == {"bad"}
+    assert ledger.quarantined(QUARANTINE_SECONDS + 1.0) == {"bad"}
     later = QUARANTINE_SECONDS + RECORD_EXPIRY_SECONDS + 2.0
     ledger.record_ending("bad", ending("e"), later)
-    assert not ledger.held(later)
+    assert not ledger.quarantined(later)
 
 
 def test_an_age_counts_when_a_host_hears_of_it_late():
@@ -192,7 +192,7 @@
     assert len(records) == MAX_REQUESTS
     assert records[0].request == "bad"
     assert len(records[0].endings) == MAX_ENDINGS
-    assert ledger.held(1.0) == {"bad"}
+    assert ledger.quarantined(1.0) == {"bad"}
     assert len(ledger._answered) == MAX_ANSWERED
 
 
@@ -200,7 +200,7 @@
     first = ledger_of(record("bad", "a", "b", "c"))
     told = replace(next(first.records(2.0)))
     assert told.age == 2.0
-    assert ledger_of(told).held(0.0) == {"bad"}
+    assert ledger_of(told).quarantined(0.0) == {"bad"}
 
 
 def test_what_is_sent_to_a_target_that_has_ended_did_not_end_it():
@@ -261,4 +261,4 @@
     for number in range(most):
         ledger.merge(record(f"r{number}", *(f"{number}.{n}" for n in range(3))), 0.0)
     assert ledger.record_ending("new", ending("x"), 0.0) is None
-    assert len(ledger.held(0.0)) == most
+    assert len(ledger.quarantined(0.0)) == most
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -28,7 +28,7 @@
     delay = FirstEventDelay()
     for _ in range(count):
         extra = seconds + rng.uniform(-spread, spread)
-        delay.note(observed=PREDICTED + extra, predicted=PREDICTED)
+        delay.record(observed=PREDICTED + extra, predicted=PREDICTED)
     return delay
 
 
@@ -40,7 +40,7 @@
 def test_a_few_first_events_of_a_dying_group_do_not_move_the_estimate():
     delay = seen(0.12)
     for _ in range(SAMPLES // 5):
-        delay.note(observed=2.0, predicted=PREDICTED)
+        delay.record(observed=2.0, predicted=PREDICTED)
     assert delay.usual == pytest.approx(0.12, abs=0.02)
 
 
@@ -53,7 +53,7 @@
     """
     delay = FirstEventDelay()
     for _ in range(MIN_SAMPLES):
-        delay.note(observed=PREDICTED + 0.3, predicted=PREDICTED, slowness=2.5)
+        delay.record(observed=PREDICTED + 0.3, predicted=PREDICTED, slowness=2.5)
     assert delay.usual == pytest.approx(0.12)
 
 
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -41,7 +41,7 @@
     all_shares = [RateLimitShares(host=host) for host in hosts]
     sent = []
     for shares in all_shares:
-        shares.hear(named(limit), 0.0)
+        shares.update(named(limit), 0.0)
     for step in range(1200):
         now = step / 20
         for shares in all_shares:
@@ -70,32 +70,32 @@
     hosts = fleet(50)
     idle = next(h for h in hosts if host_rate(h, TARGET, hosts, 1.0) == 0.0)
     shares = RateLimitShares(host=idle)
-    shares.hear(named(1.0), 0.0)
+    shares.update(named(1.0), 0.0)
     assert wait(shares, 50.0, hosts) == inf
 
 
 def test_an_answer_asked_for_before_the_limit_does_not_end_it():
     """Guards against answers that overtake each other and lift a limit in force."""
     shares = RateLimitShares(host="n0")
-    assert shares.hear(named(1.0), 10.0)
-    assert not shares.hear(named(None, age=0.5), 10.2)
+    assert shares.update(named(1.0), 10.0)
+    assert not shares.update(named(None, age=0.5), 10.2)
     assert shares.is_limited(TARGET)
-    assert shares.hear(named(None, age=0.1), 10.3)
+    assert shares.update(named(None, age=0.1), 10.3)
     assert not shares.is_limited(TARGET)
     assert wait(shares, 10.3) == 0.0
 
 
 def test_an_old_word_of_another_host_does_not_bring_a_limit_back():
     shares = RateLimitShares(host="n0")
-    shares.hear(named(1.0), 10.0)
-    shares.hear(named(None), 11.0)
-    assert not shares.hear(named(1.0, age=1.0), 11.5)
+    shares.update(named(1.0), 10.0)
+    shares.update(named(None), 11.0)
+    assert not shares.update(named(1.0, age=1.0), 11.5)
     assert not shares.is_limited(TARGET)
 
 
 def test_nothing_is_saved_up_beyond_one_request_at_a_low_rate():
     shares = RateLimitShares(host="n0")
-    shares.hear(named(0.5), 0.0)
+    shares.update(named(0.5), 0.0)
     assert wait(shares, 50.0) == 0.0
     shares.record_sent(TARGET, 50.0)
     assert wait(shares, 50.0) == pytest.approx(2.0)
@@ -103,15 +103,15 @@
 
 def test_only_a_change_that_matters_is_news():
     shares = RateLimitShares(host="n0")
-    assert shares.hear(named(1.0), 0.0)
-    assert not shares.hear(named(1.05), 1.0)
-    assert shares.hear(named(2.0), 2.0)
+    assert shares.update(named(1.0), 0.0)
+    assert not shares.update(named(1.05), 1.0)
+    assert shares.update(named(2.0), 2.0)
     assert shares.limits == {TARGET: 2.0}
 
 
 def test_a_limit_of_which_nothing_is_heard_is_forgotten():
     shares = RateLimitShares(host="n0")
-    shares.hear(named(1.0), 0.0)
+    shares.update(named(1.0), 0.0)
     assert wait(shares, 2 * LIMIT_EXPIRY_SECONDS) == 0.0
     assert not shares.is_limited(TARGET)
 
@@ -119,7 +119,7 @@
 def test_what_is_kept_is_bounded():
     shares = RateLimitShares(host="n0")
     for number in range(MAX_TARGETS + 5):
-        shares.hear(named(1.0, process=Process(id=f"t{number}", born=1)), 0.0)
+        shares.update(named(1.0, process=Process(id=f"t{number}", born=1)), 0.0)
     assert len(shares.limits) == MAX_TARGETS
-    shares.keep({Process(id="t3", born=1)}, 0.0)
+    shares.prune({Process(id="t3", born=1)}, 0.0)
     assert list(shares.limits) == [Process(id="t3", born=1)]
