--- a/mallowpond/state/first_event.py
+++ b/mallowpond/state/first_event.py
@@ -49,7 +49,9 @@
     def _is_known(self) -> bool:
         return len(self._errors) >= MIN_SAMPLES
 
-    def record(self, *, observed: float, predicted: float, slowness: float = 1.0) -> None:
+    def record(
+        self, *, observed: float, predicted: float, slowness: float = 1.0
+    ) -> None:
         """Add one first event: the seconds that it took, and those predicted.
 
         What is missing on a slow group is counted as on one at its declared pace.
