--- a/mallowpond/controller/quarantine.py
+++ b/mallowpond/controller/quarantine.py
@@ -102,7 +102,7 @@
     def _merge(self, record: CrashRecord) -> bool:
         now = self._clock.now()
         is_new = self._ledger.merge(record, now)
-        held = self._ledger.held(now)
+        held = self._ledger.quarantined(now)
         for request in sorted(held - self._held):
             log.warning("controller: request held back", fingerprint=request)
         if held != self._held or (is_new and record.request in self._told):
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -107,7 +107,7 @@
 
     def review(self) -> None:
         """Log what is held back since the last look, and what is no more."""
-        held = self._ledger.held(self._clock.now())
+        held = self._ledger.quarantined(self._clock.now())
         for request in sorted(held - self._held):
             record = self._ledger.record(request, self._clock.now())
             log.warning(
