--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -42,7 +42,7 @@
         if notice.is_leaving and self._leaving.add(target.process, self._clock.now()):
             log.info("target: leaves", target=target.id)
         if notice.backoff_seconds is not None:
-            self._backoffs.hear(
+            self._backoffs.record(
                 target.process, notice.backoff_seconds, self._clock.now()
             )
             log.info(
