--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -99,7 +99,7 @@
         if not self.is_any:
             return
         listed = {target.process for target in self._directory.targets.values()}
-        self._backoffs.keep(listed, self._clock.now())
+        self._backoffs.prune(listed, self._clock.now())
         self._leaving.keep(listed, self._clock.now())
 
     def record_sent(self, target: Target) -> None:
