--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -33,7 +33,7 @@
     @property
     def is_any(self) -> bool:
         """Tell whether any target wants less than it could be sent."""
-        is_less = self._rate_limits.is_any or self._backoffs.is_any
+        is_less = self._rate_limits.is_any or self._backoffs.has_entries
         return is_less or len(self._leaving) > 0
 
     def hear(self, target: Target, notice: TargetNotice, asked_at: float) -> None:
