--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -98,7 +98,7 @@
 
     def _take(self, said: TargetLimit) -> bool:
         before = self._shares.limits.get(said.process)
-        if not self._shares.hear(said, self._clock.now()):
+        if not self._shares.update(said, self._clock.now()):
             return False
         self._metrics.rate_limited.set(len(self._shares.limits))
         log.info(
