--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -114,7 +114,7 @@
         if not self.is_any:
             return
         listed = {target.process for target in self._directory.targets.values()}
-        self._shares.keep(listed, self._clock.now())
+        self._shares.prune(listed, self._clock.now())
         self._told_at = {p: at for p, at in self._told_at.items() if p in listed}
         self._metrics.rate_limited.set(len(self._shares.limits))
 
