--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -74,7 +74,7 @@
     @property
     def is_any(self) -> bool:
         """Tell whether any target names a limit."""
-        return self._shares.is_any
+        return self._shares.has_entries
 
     def seconds_until(self, target: Target) -> float:
         """Return how long a target may be sent nothing by this host, in seconds."""
