--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -135,7 +135,7 @@
         now = self._clock.now()
         told = []
         for process in self._news.take_due():
-            word = self._shares.word(process, now)
+            word = self._shares.latest(process, now)
             if word is None:
                 self._news.drop(process)
                 continue
