--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -241,7 +241,7 @@
     def _answered_at(self, answer: ConfigurationRead, asked_at: float) -> float:
         """Return when the answer left the store, or a little before."""
         told = answer.answered_at
-        self.store_clock.note(asked_at=asked_at, answered_at=told)
+        self.store_clock.record(asked_at=asked_at, answered_at=told)
         return self.store_clock.answered_at(
             asked_at=asked_at, answered_at=told, received_at=self._clock.now()
         )
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -70,7 +70,7 @@
         )
         self.peers._send = self.send
         store_clock = StoreClock()
-        store_clock.note(asked_at=fleet.clock.now(), answered_at=50.0)
+        store_clock.record(asked_at=fleet.clock.now(), answered_at=50.0)
         self.sharing = QuarantineSharing(
             name=self.name,
             quarantine=self.quarantine,
