--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -336,7 +336,7 @@
             work.longest_gap = max(work.longest_gap, now - work.last_event_at)
         work.last_event_at = now
         if stream.last_event_at is None:
-            self.placement.delay(work.service, work.model.name).note(
+            self.placement.delay(work.service, work.model.name).record(
                 observed=now - stream.sent_at,
                 predicted=stream.predicted,
                 slowness=stream.slowness,
