--- a/bench/limits.py
+++ b/bench/limits.py
@@ -161,7 +161,7 @@
 
     def _end(self, served: Served, now: float) -> None:
         self.free += 1
-        self._service.note(served.took)
+        self._service.record(served.took)
         if now <= served.ask.deadline:
             self.out.useful += 1
             self._served[served.ask.workspace] += 1
--- a/mallowpond/gateway/gate.py
+++ b/mallowpond/gateway/gate.py
@@ -85,7 +85,7 @@
         """Give a place back; `latency` is seconds a token, None if it did not end."""
         self._balancer.finish(group, now=self._clock.now(), latency=latency)
         if latency is not None:
-            self._service.note(held_seconds)
+            self._service.record(held_seconds)
         self.serve_waiting()
 
     def serve_waiting(self) -> None:
