--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -9,7 +9,7 @@
 from mallowpond.node.directory import Directory
 from mallowpond.node.outcomes import Reason
 from mallowpond.node.rate_limits import RateLimits
-from mallowpond.state.backoff import Backoffs
+from mallowpond.state.backoff import TargetBackoffs
 from mallowpond.state.fleet import Group, Target
 from mallowpond.state.leaving import LeavingTargets
 from mallowpond.state.target_notice import TargetNotice
@@ -26,7 +26,7 @@
         self._rate_limits = rate_limits
         self._directory = directory
         self._clock = clock
-        self._backoffs = Backoffs()
+        self._backoffs = TargetBackoffs()
         self._leaving = LeavingTargets()
         directory.on_change.append(self._forget_ended)
 
--- a/mallowpond/state/backoff.py
+++ b/mallowpond/state/backoff.py
@@ -5,7 +5,7 @@
 from mallowpond.state.fleet import Process
 
 
-class Backoffs:
+class TargetBackoffs:
     """Tell which targets are to be left alone, and until when."""
 
     def __init__(self) -> None:
--- a/mallowpond/state/tests/test_backoff.py
+++ b/mallowpond/state/tests/test_backoff.py
@@ -1,13 +1,13 @@
 """How long a target is left alone."""
 
-from mallowpond.state.backoff import Backoffs
+from mallowpond.state.backoff import TargetBackoffs
 from mallowpond.state.fleet import Process
 
 TARGET = Process(id="t", born=1)
 
 
 def test_a_target_is_left_alone_for_as_long_as_it_asks():
-    backoffs = Backoffs()
+    backoffs = TargetBackoffs()
     backoffs.record(TARGET, 3.0, 10.0)
     assert backoffs.seconds_left(TARGET, 12.5) == 0.5
     assert backoffs.seconds_left(TARGET, 13.0) == 0.0
@@ -16,20 +16,20 @@
 
 def test_a_shorter_word_does_not_end_a_longer_one():
     """Guards against an answer that was under way and asks for less."""
-    backoffs = Backoffs()
+    backoffs = TargetBackoffs()
     backoffs.record(TARGET, 3.0, 10.0)
     backoffs.record(TARGET, 0.1, 10.2)
     assert backoffs.seconds_left(TARGET, 12.0) == 1.0
 
 
 def test_another_process_under_the_same_id_is_not_left_alone():
-    backoffs = Backoffs()
+    backoffs = TargetBackoffs()
     backoffs.record(TARGET, 3.0, 10.0)
     assert backoffs.seconds_left(Process(id="t", born=2), 10.1) == 0.0
 
 
 def test_what_is_over_or_gone_is_forgotten():
-    backoffs = Backoffs()
+    backoffs = TargetBackoffs()
     gone, over = Process(id="u", born=1), Process(id="v", born=1)
     backoffs.record(TARGET, 3.0, 10.0)
     backoffs.record(gone, 3.0, 10.0)
