--- a/mallowpond/node/fanout.py
+++ b/mallowpond/node/fanout.py
@@ -14,8 +14,8 @@
 
 # Key that ranks the hosts of a data centre that have the same processor time.
 RELAY_KEY = "relay"
-# Silence after which a host is not chosen as relay, in seconds: three times the interval
-# at which it sends its load.
+# Silence after which a host is not chosen as relay, in seconds: three times the
+# interval at which it sends its load.
 RELAY_SILENCE_SECONDS = 0.7
 # Messages that may wait for missing parts at one time.
 MAX_INCOMPLETE_MESSAGES = 4
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -1,4 +1,4 @@
-"""Talk to the other nodes by datagram, and know which of them live."""
+"""Exchange datagrams with the other nodes, and detect which of them are live."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -52,40 +52,41 @@
 
 log = structlog.get_logger()
 
-# Heartbeats that one node may send in a second; in a larger fleet each peer hears less
-# often, so that the bytes of a node do not grow with the fleet.
+# Heartbeats that one node may send per second. In a larger fleet each peer gets them
+# less often, so that a node's traffic does not grow with the fleet.
 MAX_HEARTBEATS_PER_SECOND = 60.0
-# Heartbeats a second in a large fleet: of a host that plans or reads the store, or is
-# next to, whose death is noticed after four pauses, and of any other, of which its
-# peers need only know that it lives.
+# Heartbeats that one node sends per second in a large fleet. Candidates are the hosts
+# that plan or read the store, or may be next to do so: their failure is detected after
+# four intervals. Of any other host its peers need only know that it is live.
 CANDIDATE_HEARTBEATS_PER_SECOND = 220.0
 ORDINARY_HEARTBEATS_PER_SECOND = 8.0
-# Pause between two heartbeats of a host that plans or reads, or is next to, to the
-# others of them in a large fleet, in seconds: those for all hosts are too far apart for
-# the next one to plan to notice a planner's death soon.
+# Interval between heartbeats among the candidates of a large fleet, in seconds. The
+# heartbeats to all hosts are too far apart for the next planner to detect soon that the
+# planner failed.
 CANDIDATE_HEARTBEAT_SECONDS = 0.25
-# Silence after which a peer counts as gone, in heartbeats and in seconds at least.
+# Silence after which a peer is no longer live: this many heartbeat intervals, but at
+# least this many seconds.
 GONE_HEARTBEATS = 4.0
 GONE_SECONDS = 1.0
-# Pause between two reads of the nodes' rows, in seconds: a node that starts tells
-# all others itself, so the rows only mend what was lost, and a host that reads or plans
-# next is enough to find who is missing.
+# Interval between reads of the nodes' rows, in seconds, for candidates and for other
+# hosts. A node that starts sends heartbeats to all others itself, so the rows only make
+# up for lost datagrams, and it is enough that the candidates find missing nodes.
 ROWS_SECONDS = 15.0
 ORDINARY_ROWS_SECONDS = 120.0
-# Pause before the rows are written and read again after a failure, in seconds.
+# Pause before the rows are written or read again after a failure, in seconds.
 ROWS_RETRY_SECONDS = 0.5
-# Time for which it is kept which hosts live, in seconds: each request asks for their
-# number, and several loops who they are.
+# Time for which the list of live peers is cached, in seconds: each request asks for
+# their number, and several loops for the list.
 LIVE_CACHE_SECONDS = 0.2
-# Pause between two log lines on hosts that were met, in seconds: in a fleet that
-# starts, each host meets each other one.
+# Interval between log lines about newly discovered peers, in seconds: when a fleet
+# starts, every host discovers every other one.
 MET_LOG_SECONDS = 1.0
 NODES_PREFIX = "nodes/"
 
 
 @dataclass(frozen=True, kw_only=True)
 class NodeRow:
-    """Let nodes find one another through the table service."""
+    """Row of a node in the table service, through which other nodes discover it."""
 
     address: SocketAddress
     incarnation: str
@@ -93,19 +94,24 @@
 
 @dataclass(kw_only=True)
 class Peer:
-    """Hold what is known of another node; `heard_at` is of any message of it."""
+    """Last heartbeat of another node; `heard_at` is when any message of it arrived."""
 
     heartbeat: Heartbeat
     heard_at: float
 
     def is_live(self, now: float) -> bool:
-        """Tell whether its last message is not too long ago."""
+        """Return whether its last message is recent enough."""
         silence = max(GONE_SECONDS, GONE_HEARTBEATS * self.heartbeat.interval)
         return now - self.heard_at <= silence
 
 
 class PeerNetwork(asyncio.DatagramProtocol):
-    """Exchange datagrams with every other node."""
+    """Datagram transport and failure detector among the nodes.
+
+    Others register listeners for each kind of message in the `on_` lists.
+    `is_candidate` and `candidates`, which `Readers` sets, decide how often this node
+    sends heartbeats, and to whom.
+    """
 
     def __init__(
         self,
@@ -124,7 +130,7 @@
         self._address = address
         self._table = table
         self._clock = clock
-        self._describe = make_heartbeat
+        self._make_heartbeat = make_heartbeat
         self._transport: asyncio.DatagramTransport | None = None
         self._addresses: dict[str, str] = {}
         self._peers: dict[str, Peer] = {}
@@ -159,7 +165,7 @@
 
     @property
     def live(self) -> list[Peer]:
-        """Return the peers that were heard of lately."""
+        """Return the peers whose last message is recent enough."""
         now = self._clock.now()
         if now - self._live_at > LIVE_CACHE_SECONDS:
             self._live = [p for p in self._peers.values() if p.is_live(now)]
@@ -167,40 +173,44 @@
         return self._live
 
     def has_stopped_planning(self, node: str, incarnation: str) -> bool:
-        """Tell whether a node that was heard of plans no more as this incarnation."""
+        """Return whether a known node cannot be planning under this incarnation.
+
+        It then restarted, cannot reach the store, is stopping, or is not live. A node
+        that never sent a heartbeat may still plan.
+        """
         peer = self._peers.get(node)
         if peer is None:
             return False
-        heard = peer.heartbeat
-        is_able = heard.store and not heard.stopping
-        return heard.incarnation != incarnation or not (
+        heartbeat = peer.heartbeat
+        is_able = heartbeat.store and not heartbeat.stopping
+        return heartbeat.incarnation != incarnation or not (
             is_able and peer.is_live(self._clock.now())
         )
 
     @property
     def last_planner(self) -> Peer | None:
-        """Return the peer with the highest fencing number, whether it lives or not."""
+        """Return the peer with the highest fencing number, live or not."""
         planners = [p for p in self._peers.values() if p.heartbeat.planning]
         return max(planners, key=lambda p: p.heartbeat.planning, default=None)
 
     @property
     def hosts(self) -> int:
-        """Return how many nodes serve, this one included."""
+        """Return the number of live nodes, this one included."""
         return 1 + len(self.live)
 
     def has_heard_from(self, node: str, seconds: float) -> bool:
-        """Tell whether a node was heard of within a time."""
+        """Return whether a message of a node arrived within the last `seconds`."""
         peer = self._peers.get(node)
         return peer is not None and self._clock.now() - peer.heard_at <= seconds
 
     @property
     def is_large_fleet(self) -> bool:
-        """Tell whether heartbeats are too rare to go by their work figures."""
+        """Return whether heartbeats are too rare to rely on the loads in them."""
         return len(self._addresses) / MAX_HEARTBEATS_PER_SECOND > HEARTBEAT_SECONDS
 
     @property
     def interval(self) -> float:
-        """Return the pause between two heartbeats, in seconds."""
+        """Return the interval between heartbeats to all peers, in seconds."""
         if not self.is_large_fleet:
             return HEARTBEAT_SECONDS
         rate = ORDINARY_HEARTBEATS_PER_SECOND
@@ -228,11 +238,11 @@
             await self._clock.sleep(self.interval)
 
     async def run_candidate_heartbeats(self) -> None:
-        """Send heartbeats among the hosts that plan or read next, until cancelled."""
+        """Send heartbeats among the candidates of a large fleet until cancelled."""
         while True:
             if self._uses_candidate_pace:
                 heartbeat = replace(
-                    self._describe(), interval=CANDIDATE_HEARTBEAT_SECONDS
+                    self._make_heartbeat(), interval=CANDIDATE_HEARTBEAT_SECONDS
                 )
                 self.send_to(heartbeat, self.candidates)
             await self._clock.sleep(CANDIDATE_HEARTBEAT_SECONDS)
@@ -242,8 +252,8 @@
         return self.is_large_fleet and self.is_candidate
 
     def send_heartbeat(self) -> None:
-        """Tell the fleet how this node is, but those that hear it more often."""
-        heartbeat = self._describe()
+        """Send a heartbeat to all peers but those that get more frequent ones."""
+        heartbeat = self._make_heartbeat()
         if not self._uses_candidate_pace:
             self.broadcast(heartbeat)
             return
@@ -251,7 +261,7 @@
         self.send_to(heartbeat, others)
 
     async def run_node_rows(self) -> None:
-        """Keep this node's row, and read those of others, until cancelled."""
+        """Write this node's row once, and read those of others, until cancelled."""
         written = False
         while True:
             written = written or await self._write_row()
@@ -269,7 +279,7 @@
     def broadcast_suspicion(
         self, key: tuple[str, int], *, cleared: bool = False, closing: bool = False
     ) -> None:
-        """Tell every peer that a group is silent, sound again, or closing."""
+        """Report to every peer that a group is silent, sound again, or closing."""
         self.broadcast(
             Suspicion(
                 node=self._name,
@@ -281,7 +291,7 @@
         )
 
     def broadcast_group_broken(self, group: Group, cause: BreakCause) -> None:
-        """Tell every peer that a formation serves no more."""
+        """Report to every peer that a formation no longer serves."""
         if group.head is None:
             return
         self.broadcast(
@@ -295,23 +305,23 @@
         )
 
     def ask_group_progress(self, key: GroupKey, silent: float) -> None:
-        """Ask every peer whether a group advances."""
+        """Ask every peer whether a group makes progress, after `silent` seconds."""
         self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
         )
 
     def ask_liveness(self, node: str, number: int, target: str) -> None:
-        """Ask a peer whether a target lives."""
+        """Ask a peer to probe a target; `number` identifies the answer."""
         question = LivenessQuestion(node=self._name, number=number, target=target)
         self.send_to(question, (node,))
 
     def answer_liveness(self, question: LivenessQuestion, alive: bool) -> None:
-        """Answer a peer that asked whether a target lives."""
+        """Answer a peer that asked for a probe of a target."""
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
         self.send_to(answer, (question.node,))
 
     def broadcast_target_healthy(self, target: str) -> None:
-        """Tell every peer that a target which the list has lost is healthy."""
+        """Report to every peer that a target missing from the list is healthy."""
         self.broadcast(Vouch(node=self._name, targets=(target,)))
 
     def broadcast(self, message: Message) -> None:
@@ -319,7 +329,7 @@
         self._send(message, self._addresses.values())
 
     def nodes_by_data_centre(self) -> dict[str, list[str]]:
-        """Return every known peer by its data centre, empty where it is not known."""
+        """Return all known peers by data centre; "" stands for an unknown one."""
         found: dict[str, list[str]] = {}
         for node in self._addresses:
             peer = self._peers.get(node)
@@ -328,12 +338,12 @@
         return found
 
     def cores_of(self, node: str) -> float:
-        """Return the processor time that a peer has, in cores; 0 if it is not known."""
+        """Return the processor time of a peer in cores, 0 if not known."""
         peer = self._peers.get(node)
         return peer.heartbeat.cores if peer else 0.0
 
     def send_to(self, message: Message, nodes: Iterable[str]) -> None:
-        """Send a message to some peers."""
+        """Send a message to the named peers; unknown names are skipped."""
         self._send(message, (self._addresses[n] for n in nodes if n in self._addresses))
 
     def _send(self, message: Message, addresses: Iterable[str]) -> None:
@@ -345,7 +355,7 @@
             self._transport.sendto(data, (host, int(port)))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a peer's message."""
+        """Decode a datagram and pass the message to its listeners."""
         message = read_message(data)
         if isinstance(message, Unreadable):
             self._notes.note("datagram", addr[0], message)
@@ -353,8 +363,8 @@
         try:
             self._take(message)
         except Exception:
-            # A fault of this program in what one message leads to must not reach the
-            # transport, over which all other messages come.
+            # A bug in a listener must not reach the transport, which carries all other
+            # messages.
             log.exception("peers: message failed", kind=type(message).__name__)
 
     def _take(self, message: Message) -> None:
@@ -367,23 +377,25 @@
                 _notify(self.on_group_broken, message)
             case Vouch(targets=targets):
                 for target in targets:
-                    for vouch in self.on_target_healthy:
-                        vouch(target)
+                    for notify in self.on_target_healthy:
+                        notify(target)
             case SilenceQuestion(node=asker, group=group, epoch=epoch):
                 address = self._addresses.get(asker)
-                if address and any(ask(message) for ask in self.on_silence_question):
+                if address and any(
+                    sees_progress(message) for sees_progress in self.on_silence_question
+                ):
                     answer = Advance(node=self._name, group=group, epoch=epoch)
                     self._send(answer, (address,))
             case Advance(group=group, epoch=epoch):
-                for note in self.on_advance:
-                    note((group, epoch))
+                for notify in self.on_advance:
+                    notify((group, epoch))
             case Digest():
                 _notify(self.on_digest, message)
             case ListChange():
                 _notify(self.on_list_change, message)
             case Work(node=node):
-                # Told five times a second, it shows sooner than rare heartbeats that a
-                # host is gone.
+                # Sent five times a second, it shows sooner than the rare heartbeats of
+                # a large fleet whether a host is live.
                 if node in self._peers:
                     self._peers[node].heard_at = self._clock.now()
                 _notify(self.on_work, message)
@@ -411,7 +423,7 @@
                 _notify(self.on_liveness_answer, message)
 
     def error_received(self, exc: Exception) -> None:
-        """Note that a peer's port is closed; its silence tells the rest."""
+        """Log that a peer's port is closed; missing heartbeats show its failure."""
         log.debug("peers: datagram refused", error=repr(exc))
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -432,9 +444,9 @@
             known.heartbeat, known.heard_at = heartbeat, now
         _notify(self.on_heartbeat, heartbeat)
         if is_new and self._uses_candidate_pace:
-            # A host that has just started must know whom to follow before the next
-            # heartbeat of the fleet's pace, seconds later.
-            self.send_to(self._describe(), (heartbeat.node,))
+            # A host that has just started must learn which hosts read and plan before
+            # the next regular heartbeat, which comes seconds later.
+            self.send_to(self._make_heartbeat(), (heartbeat.node,))
 
     def _log_met(self, heartbeat: Heartbeat, now: float) -> None:
         self._met += 1
