--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -41,7 +41,7 @@
     read_message,
     write_message,
 )
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.state.codec import to_plain
 from mallowpond.state.decoding import (
     SocketAddress,
@@ -122,9 +122,9 @@
         table: TableService,
         clock: Clock,
         make_heartbeat: Callable[[], Heartbeat],
-        notes: UnreadableNotes | None = None,
+        notes: UnreadableLog | None = None,
     ) -> None:
-        self._notes = notes or UnreadableNotes()
+        self._notes = notes or UnreadableLog()
         self._name = name
         self._incarnation = incarnation
         self._address = address
@@ -358,7 +358,7 @@
         """Decode a datagram and pass the message to its listeners."""
         message = read_message(data)
         if isinstance(message, Unreadable):
-            self._notes.note("datagram", addr[0], message)
+            self._notes.record("datagram", addr[0], message)
             return
         try:
             self._take(message)
@@ -481,7 +481,7 @@
             name = row.key.removeprefix(NODES_PREFIX)
             node = decode(row.value, NodeRow)
             if isinstance(node, Unreadable):
-                self._notes.note("node", name, node)
+                self._notes.record("node", name, node)
             elif name != self._name:
                 self._addresses.setdefault(name, node.address)
         return True
