--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -11,7 +11,7 @@
 from mallowpond.state.placement import GroupLoad
 
 # Time that the readers' sums of all work count, in seconds.
-TOTALS_SECONDS = 0.7
+TOTALS_TTL_SECONDS = 0.7
 # Age of what is known of other hosts' work, in seconds: by the readers' sums, about two
 # pauses between tellings; by the hosts' own heartbeats, one.
 TOTALS_AGE_SECONDS = 0.3
@@ -34,14 +34,14 @@
     excluded_until: float = 0.0
     suspicions: int = 0
     # Length of the last pause after the group turned a stream away, 0 since an event.
-    pause_seconds: float = 0.0
+    backoff_seconds: float = 0.0
 
     def forget_pace(self) -> None:
         """Drop what the engines of before taught; what runs is counted on."""
         self.slowness = 1.0
         self.excluded_until = 0.0
         self.suspicions = 0
-        self.pause_seconds = 0.0
+        self.backoff_seconds = 0.0
 
 
 class GroupLoads:
@@ -53,7 +53,7 @@
         self._peers = PeerWork()
         self._totals: LoadsByGroup = {}
         self._totals_at = float("-inf")
-        self._told: LoadsByGroup = {}
+        self._published: LoadsByGroup = {}
 
     def work(self, key: GroupKey) -> GroupWork:
         """Return this host's own work on a group."""
@@ -64,14 +64,14 @@
         now = self._clock.now()
         own = self._work[key]
         running, reading = own.running, own.prefill_tokens
-        if now - self._totals_at < TOTALS_SECONDS:
-            others, others_reading = self._others(key)
+        if now - self._totals_at < TOTALS_TTL_SECONDS:
+            others, others_reading = self._others_total(key)
             return GroupLoad(
                 running=running + others,
                 prefill_tokens=reading + others_reading,
                 slowness=self._slowness(own, now),
             )
-        others, others_reading = self._peers.of(key, now)
+        others, others_reading = self._peers.total(key, now)
         return GroupLoad(
             running=running + others,
             prefill_tokens=reading + others_reading,
@@ -81,15 +81,15 @@
     @property
     def load_age(self) -> float:
         """Return how old the figures of other hosts' work mostly are, in seconds."""
-        if self._clock.now() - self._totals_at < TOTALS_SECONDS:
+        if self._clock.now() - self._totals_at < TOTALS_TTL_SECONDS:
             return TOTALS_AGE_SECONDS
         return HEARTBEAT_AGE_SECONDS
 
-    def _others(self, key: GroupKey) -> tuple[int, float]:
+    def _others_total(self, key: GroupKey) -> tuple[int, float]:
         """Return the readers' sum of a group's work without this host's part of it."""
         running, reading = self._totals.get(key, (0, 0.0))
-        told_running, told_reading = self._told.get(key, (0, 0.0))
-        return max(0, running - told_running), max(0.0, reading - told_reading)
+        own_running, own_reading = self._published.get(key, (0, 0.0))
+        return max(0, running - own_running), max(0.0, reading - own_reading)
 
     def _slowness(self, work: GroupWork, now: float) -> float:
         """Return a group's slowness, forgotten while it sends nothing.
@@ -122,20 +122,22 @@
 
     def record_published(self, loads: LoadsByGroup) -> None:
         """Note which of this host's work is part of the readers' sums."""
-        self._told = loads
+        self._published = loads
 
     def record_peer_loads(
         self, name: str, loads: LoadsByGroup, grant_number: int = 0
     ) -> None:
         """Note a peer's work by group, with the places up to number `grant_number`."""
-        self._peers.note(name, loads, grant_number, self._clock.now())
+        self._peers.record(name, loads, grant_number, self._clock.now())
 
-    def note_grant(self, name: str, number: int, key: GroupKey, tokens: float) -> None:
+    def record_grant(
+        self, name: str, number: int, key: GroupKey, tokens: float
+    ) -> None:
         """Count a place that a peer was given until the peer tells of the stream."""
         now = self._clock.now()
         self._peers.grant(name, Grant(number=number, key=key, tokens=tokens, at=now))
 
-    def note_gap(self, key: GroupKey, seconds: float, predicted: float) -> None:
+    def record_gap(self, key: GroupKey, seconds: float, predicted: float) -> None:
         """Learn how a group's pace compares with what is declared."""
         work = self._work[key]
         low, high = SLOWNESS_RANGE
@@ -143,7 +145,7 @@
         work.slowness += SLOWNESS_SMOOTHING * (ratio * work.slowness - work.slowness)
         work.slowness = min(high, max(low, work.slowness))
 
-    def note_taken(self, name: str, number: int) -> None:
+    def settle_grants(self, name: str, number: int) -> None:
         """Count the places up to a number no more: their streams are counted."""
         self._peers.settle(name, number, self._clock.now())
 
--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -26,13 +26,13 @@
 FIRST_EVENT_SHARE = 1.0
 # Groups among which a place is chosen where all work is known: with so many drawn at
 # random the best is hardly worse than the best of all.
-EXACT_GROUPS = 10
+DRAWN_GROUPS_EXACT = 10
 # Shortest time for which a stream is taken to hold its place, in seconds.
-LEAST_HOLD_SECONDS = 0.1
+MIN_HOLD_SECONDS = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
-class Seek:
+class SlotRequest:
     """Say what place a stream needs; groups in `avoided` are out of the question."""
 
     service: str
@@ -42,7 +42,7 @@
     objective: float
     avoided: frozenset[str] = frozenset()
 
-    def without(self, groups: Collection[str]) -> "Seek":
+    def without(self, groups: Collection[str]) -> "SlotRequest":
         """Return the same for a stream that avoids these groups too."""
         return replace(self, avoided=self.avoided.union(groups))
 
@@ -72,70 +72,76 @@
         """Return what was learnt of the first events of a model."""
         return self._delays[(service, model)]
 
-    def by_news(self, seek: Seek) -> Group | None:
+    def select_by_reports(self, request: SlotRequest) -> Group | None:
         """Choose by news of the others' work that is some tenths of a second old."""
         unreported = unreported_streams(
-            own_per_second=self._budget(seek.service).first_sends_per_second,
+            own_per_second=self._budget(request.service).first_sends_per_second,
             hosts=self._hosts(),
             age_seconds=self._directory.loads.load_age,
-            groups=self._directory.count_open_groups(seek.service),
+            groups=self._directory.count_open_groups(request.service),
         )
-        groups = self._groups(seek)
+        groups = self._groups(request)
         if unreported < UNREPORTED_STREAMS:
-            candidates = list(self._candidates(seek, groups))
+            candidates = list(self._candidates(request, groups))
         else:
-            candidates = self._drawn(seek, groups, DRAWN_GROUPS)
-        return self._choose(seek, groups, candidates)
+            candidates = self._draw(request, groups, DRAWN_GROUPS)
+        return self._select(request, groups, candidates)
 
-    def exact(self, seek: Seek) -> Group | None:
+    def select_exact(self, request: SlotRequest) -> Group | None:
         """Choose where all work is known."""
-        groups = self._groups(seek)
-        return self._choose(seek, groups, self._drawn(seek, groups, EXACT_GROUPS))
+        groups = self._groups(request)
+        return self._select(
+            request, groups, self._draw(request, groups, DRAWN_GROUPS_EXACT)
+        )
 
     def hold_seconds(self, profile: EngineProfile, model: ModelSpec) -> float:
         """Return for how long a stream mostly holds its place."""
         load = GroupLoad(running=profile.slots)
         passes = profile.typical_answer_tokens / max(1, profile.stride)
-        return max(LEAST_HOLD_SECONDS, passes * pass_seconds(profile, model, load))
+        return max(MIN_HOLD_SECONDS, passes * pass_seconds(profile, model, load))
 
-    def _groups(self, seek: Seek) -> list[Group]:
-        groups = self._directory.serving_groups(seek.service, seek.model.name)
-        return [g for g in groups if g.name not in seek.avoided]
+    def _groups(self, request: SlotRequest) -> list[Group]:
+        groups = self._directory.serving_groups(request.service, request.model.name)
+        return [g for g in groups if g.name not in request.avoided]
 
-    def _choose(
-        self, seek: Seek, groups: list[Group], candidates: list[Candidate]
+    def _select(
+        self, request: SlotRequest, groups: list[Group], candidates: list[Candidate]
     ) -> Group | None:
         chosen = choose_group(
-            seek.profile,
-            seek.model,
+            request.profile,
+            request.model,
             candidates,
-            prompt_tokens=seek.prompt_tokens,
-            limit_seconds=FIRST_EVENT_SHARE * seek.objective,
-            delay_seconds=self.delay(seek.service, seek.model.name).usual,
+            prompt_tokens=request.prompt_tokens,
+            limit_seconds=FIRST_EVENT_SHARE * request.objective,
+            delay_seconds=self.delay(request.service, request.model.name).usual,
         )
         if chosen is None:
             return None
         return next(group for group in groups if _key_of(group) == chosen.key)
 
-    def _drawn(self, seek: Seek, groups: list[Group], most: int) -> list[Candidate]:
+    def _draw(
+        self, request: SlotRequest, groups: list[Group], limit: int
+    ) -> list[Candidate]:
         """Return the first groups with a place, in a random order."""
         shuffled = self._rng.sample(groups, len(groups))
         # Those whose head has ended come last.
         shuffled.sort(key=self._has_ended)
         return draw_candidates(
-            seek.profile,
-            seek.model,
-            self._candidates(seek, shuffled),
-            prompt_tokens=seek.prompt_tokens,
-            limit_seconds=FIRST_EVENT_SHARE * seek.objective,
-            most=most,
+            request.profile,
+            request.model,
+            self._candidates(request, shuffled),
+            prompt_tokens=request.prompt_tokens,
+            limit_seconds=FIRST_EVENT_SHARE * request.objective,
+            most=limit,
         )
 
-    def _candidates(self, seek: Seek, groups: list[Group]) -> Iterator[Candidate]:
+    def _candidates(
+        self, request: SlotRequest, groups: list[Group]
+    ) -> Iterator[Candidate]:
         for group in groups:
             yield Candidate(
                 key=_key_of(group),
-                load=self._directory.loads.load_of(group, seek.profile),
+                load=self._directory.loads.load_of(group, request.profile),
                 is_leaving=group.is_leaving,
                 has_ended=self._has_ended(group),
             )
--- a/mallowpond/node/model_summary.py
+++ b/mallowpond/node/model_summary.py
@@ -11,13 +11,13 @@
 # Weight of the declared share of a model against the running streams: those rise at
 # once when a model has too few groups, but say little while few streams run.
 DECLARED_WEIGHT = 0.5
-LEAST_SEEN_WORK = 10.0
+MIN_OBSERVED_WORK = 10.0
 
 
 # Fullness of a model that no open group serves, while its requests are refused or wait:
 # what runs on no group says nothing. Read as no need, groups that lost a member would
 # stay down beside their free survivors.
-UNSERVED_FULLNESS = 1.0
+UNSERVED_UTILIZATION = 1.0
 
 
 def demand(directory: Directory, profile: EngineProfile) -> dict[str, float]:
@@ -34,7 +34,7 @@
         streams = sum(directory.loads.load(group.key).running for group in groups)
         running[model.name] = float(model.size * streams)
     total = sum(running.values())
-    if total < LEAST_SEEN_WORK:
+    if total < MIN_OBSERVED_WORK:
         return {}
     return {
         model.name: DECLARED_WEIGHT * model.share
@@ -50,7 +50,7 @@
         groups = _open_groups(directory, model.name)
         running = sum(directory.loads.load(group.key).running for group in groups)
         places = len(groups) * profile.slots
-        fullness[model.name] = running / places if places else UNSERVED_FULLNESS
+        fullness[model.name] = running / places if places else UNSERVED_UTILIZATION
     return fullness
 
 
--- a/mallowpond/node/peer_work.py
+++ b/mallowpond/node/peer_work.py
@@ -6,10 +6,10 @@
 from mallowpond.state.fleet import GroupKey
 
 # Time that peers' figures of a group's work count, in seconds.
-PEER_LOAD_SECONDS = 1.5
+PEER_LOAD_TTL_SECONDS = 1.5
 # Time for which a place that was given away counts although its host does not tell of a
 # stream there, in seconds: what a datagram there and the next word of that host take.
-GRANT_SECONDS = 0.5
+GRANT_TTL_SECONDS = 0.5
 
 # Streams and tokens still to be read, by group.
 LoadsByGroup = dict[GroupKey, tuple[int, float]]
@@ -19,7 +19,7 @@
 class PeerLoad:
     """Hold one peer's figures of its work by group."""
 
-    heard_at: float
+    received_at: float
     loads: LoadsByGroup = field(default_factory=dict)
 
 
@@ -42,21 +42,21 @@
         self._reading: Counter[GroupKey] = Counter()
         self._grants: dict[str, deque[Grant]] = defaultdict(deque)
         # When each grant was given and to whom, the oldest first.
-        self._given: deque[tuple[float, str]] = deque()
+        self._grant_times: deque[tuple[float, str]] = deque()
 
-    def of(self, key: GroupKey, now: float) -> tuple[int, float]:
+    def total(self, key: GroupKey, now: float) -> tuple[int, float]:
         """Return all peers' streams on a group, and their tokens to be read."""
-        self._forget_silent(now)
-        self._forget_given(now)
+        self._expire_peers(now)
+        self._expire_grants(now)
         return self._running[key], max(0.0, self._reading[key])
 
-    def note(
+    def record(
         self, name: str, loads: LoadsByGroup, grant_number: int, now: float
     ) -> None:
         """Take a peer's figures, which hold the places up to number `grant_number`."""
-        self._drop(name)
+        self._remove(name)
         # Least lately heard first.
-        self._peers[name] = PeerLoad(heard_at=now, loads=loads)
+        self._peers[name] = PeerLoad(received_at=now, loads=loads)
         for key, (running, reading) in loads.items():
             self._add(key, running, reading)
         self.settle(name, grant_number, now)
@@ -64,30 +64,30 @@
     def grant(self, name: str, grant: Grant) -> None:
         """Count a place that is given to a peer until the peer tells of it."""
         self._grants[name].append(grant)
-        self._given.append((grant.at, name))
+        self._grant_times.append((grant.at, name))
         self._add(grant.key, 1, grant.tokens)
 
     def settle(self, name: str, grant_number: int, now: float) -> None:
         """Count the places up to a number no more, nor those given long ago."""
         grants = self._grants[name]
         while grants and (
-            grants[0].number <= grant_number or now - grants[0].at > GRANT_SECONDS
+            grants[0].number <= grant_number or now - grants[0].at > GRANT_TTL_SECONDS
         ):
             grant = grants.popleft()
             self._add(grant.key, -1, -grant.tokens)
 
-    def _forget_silent(self, now: float) -> None:
+    def _expire_peers(self, now: float) -> None:
         while self._peers:
             name = next(iter(self._peers))
-            if now - self._peers[name].heard_at <= PEER_LOAD_SECONDS:
+            if now - self._peers[name].received_at <= PEER_LOAD_TTL_SECONDS:
                 return
-            self._drop(name)
+            self._remove(name)
 
-    def _forget_given(self, now: float) -> None:
-        while self._given and now - self._given[0][0] > GRANT_SECONDS:
-            self.settle(self._given.popleft()[1], 0, now)
+    def _expire_grants(self, now: float) -> None:
+        while self._grant_times and now - self._grant_times[0][0] > GRANT_TTL_SECONDS:
+            self.settle(self._grant_times.popleft()[1], 0, now)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         known = self._peers.pop(name, None)
         if known is not None:
             for key, (running, reading) in known.loads.items():
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -5,11 +5,11 @@
 from mallowpond.node.dispatcher_client import (
     DispatcherClient,
     Placed,
-    PlaceOutcome,
-    TurnedAway,
-    WaitedInVain,
+    PlacementOutcome,
+    Rejected,
+    WaitEnded,
 )
-from mallowpond.node.group_selector import FIRST_EVENT_SHARE, GroupSelector, Seek
+from mallowpond.node.group_selector import FIRST_EVENT_SHARE, GroupSelector, SlotRequest
 from mallowpond.node.outcomes import Reason, Refusal
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
@@ -35,7 +35,7 @@
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_GAPS = 8.0
 # Time left below which a stream is not sent any more, in seconds.
-LEAST_SECONDS = 0.05
+MIN_SEND_SECONDS = 0.05
 # Time to come back when no group serves a model and none is known to form soon.
 NO_GROUP_RETRY_SECONDS = 1.0
 
@@ -52,8 +52,8 @@
         self._rng = parts.rng
         self._quarantine = parts.quarantine
         self._intake = parts.intake
-        self._lines: dict[str, WaitQueue] = {}
-        self._shapes: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
+        self._queues: dict[str, WaitQueue] = {}
+        self._models: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
         self.selector = GroupSelector(
             directory=parts.directory,
             quarantine=parts.quarantine,
@@ -65,9 +65,9 @@
         self.dispatcher_client: DispatcherClient | None = None
         self.shutdown_at = inf
 
-    def note_shape(self, work: StreamWork) -> None:
+    def record_model(self, work: StreamWork) -> None:
         """Remember what a stream of its model looks like, for those that wait."""
-        self._shapes[work.model.name] = (
+        self._models[work.model.name] = (
             work.service,
             work.profile,
             work.model,
@@ -76,7 +76,7 @@
 
     def wake_all(self) -> None:
         """Look whether waiting streams have a place now."""
-        for model in self._lines:
+        for model in self._queues:
             self.wake(model)
 
     def delay(self, service: str, model: str) -> FirstEventDelay:
@@ -85,36 +85,36 @@
 
     def end_waits(self) -> None:
         """Let no stream wait for a place any longer."""
-        for line in self._lines.values():
-            line.end()
+        for queue in self._queues.values():
+            queue.reject_all()
         if self.dispatcher_client is not None:
             self.dispatcher_client.end_waits()
 
     async def place(self, work: StreamWork) -> Group | Refusal:
         """Return the group that a stream goes to, or why it goes to none."""
         while True:
-            held = self._quarantine.refuse(work.fingerprint, work.request.id)
-            if held is not None:
+            quarantined = self._quarantine.refuse(work.fingerprint, work.request.id)
+            if quarantined is not None:
                 # Placed all the same, it would end one more group and all that runs
                 # there; its caller comes again, at any host.
-                return held
+                return quarantined
             refusal = self._refuse_closed(work)
             if refusal is not None:
                 return refusal
-            match await self._ask(work):
-                case TurnedAway(wait=wait):
+            match await self._request_slot(work):
+                case Rejected(wait=wait):
                     return self.refuse(Reason.OVERLOADED, wait)
-                case WaitedInVain():
+                case WaitEnded():
                     return self._refuse_unplaced(work)
                 case Placed(group=group) if self._intake.closed([group]):
                     # What its head says has changed while the stream waited.
-                    self._give_back()
+                    self._release_grant()
                     continue
                 case Placed(group=group):
                     pass
                 case None:
                     group = self.choose(work)
-            if group is not None and self._ends_before(work):
+            if group is not None and self._shuts_down_before(work):
                 self.wake(work.model.name)
                 return self.refuse(Reason.STOPPING, 0.0)
             if group is not None:
@@ -125,10 +125,10 @@
 
     def choose(self, work: StreamWork) -> Group | None:
         """Return the group with a place for a stream now, None if there is none."""
-        return self.selector.by_news(self._seek(work))
+        return self.selector.select_by_reports(self._slot_request(work))
 
-    def _seek(self, work: StreamWork) -> Seek:
-        return Seek(
+    def _slot_request(self, work: StreamWork) -> SlotRequest:
+        return SlotRequest(
             service=work.service,
             profile=work.profile,
             model=work.model,
@@ -163,27 +163,29 @@
             return None
         return self.refuse(reason, self._intake.retry_seconds(heads))
 
-    def _give_back(self) -> None:
+    def _release_grant(self) -> None:
         """Tell that a place which was given is not used."""
         if self.dispatcher_client is not None:
-            self.dispatcher_client.give_back()
+            self.dispatcher_client.release_grant()
 
-    async def _ask(self, work: StreamWork) -> PlaceOutcome | None:
+    async def _request_slot(self, work: StreamWork) -> PlacementOutcome | None:
         """Ask the host that counts all places, if there is one."""
         now = self._clock.now()
         patience = min(self._patience(work), work.deadline - now)
-        if self.dispatcher_client is None or patience <= LEAST_SECONDS:
+        if self.dispatcher_client is None or patience <= MIN_SEND_SECONDS:
             return None
-        claim = QueueEntry(
+        entry = QueueEntry(
             priority=work.priority,
-            objective_deadline=self._on_time_until(work),
+            objective_deadline=self._objective_deadline(work),
             queued_at=now,
             deadline=now + patience,
             has_begun=work.has_begun,
         )
         self._metrics.waiting.inc()
         try:
-            return await self.dispatcher_client.ask(self._seek(work), claim)
+            return await self.dispatcher_client.request_slot(
+                self._slot_request(work), entry
+            )
         finally:
             self._metrics.waiting.dec()
             work.waited += self._clock.now() - now
@@ -191,12 +193,12 @@
     async def _wait(self, work: StreamWork) -> Refusal | None:
         """Wait for a place, or say at once that there will be none in time."""
         now = self._clock.now()
-        if now + LEAST_SECONDS > work.deadline:
+        if now + MIN_SEND_SECONDS > work.deadline:
             return Refusal(status=504, reason=Reason.TIMEOUT)
         groups = self._directory.serving_groups(work.service, work.model.name)
-        line = self._lines.setdefault(work.model.name, WaitQueue())
+        queue = self._queues.setdefault(work.model.name, WaitQueue())
         wait = expected_wait(
-            ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
+            ahead=queue.ahead_of(work.priority, has_begun=work.has_begun),
             slots=len(groups) * work.profile.slots,
             # Every host gets its part of the places that free.
             service_seconds=self.selector.hold_seconds(work.profile, work.model)
@@ -210,9 +212,9 @@
         self._metrics.waiting.inc()
         came = False
         try:
-            came = await line.wait(
+            came = await queue.wait(
                 priority=work.priority,
-                objective_deadline=self._on_time_until(work),
+                objective_deadline=self._objective_deadline(work),
                 seconds=patience,
                 has_begun=work.has_begun,
             )
@@ -240,7 +242,7 @@
         heard_at = work.last_event_at or work.started_at
         return max(0.0, WAIT_SHARE * whole - (self._clock.now() - heard_at))
 
-    def _on_time_until(self, work: StreamWork) -> float:
+    def _objective_deadline(self, work: StreamWork) -> float:
         """Return until when a place lets a stream meet its objective.
 
         The first event takes its own time from there on: ordered by the objective
@@ -275,7 +277,7 @@
         one_pass = pass_seconds(work.profile, work.model, load)
         return work.route.objective_seconds + passes * one_pass
 
-    def _ends_before(self, work: StreamWork) -> bool:
+    def _shuts_down_before(self, work: StreamWork) -> bool:
         """Tell whether this host ends before a stream that has not begun.
 
         Judged only when it was taken, a stream got a place just before its host ended
@@ -298,11 +300,11 @@
 
     def wake(self, model: str) -> None:
         """Look whether the streams that wait for a model have a place now."""
-        line = self._lines.get(model)
-        shape = self._shapes.get(model)
-        if line is None or shape is None:
+        queue = self._queues.get(model)
+        model_traits = self._models.get(model)
+        if queue is None or model_traits is None:
             return
-        service, profile, spec, objective = shape
+        service, profile, spec, objective = model_traits
 
         def has_place() -> bool:
             groups = self._directory.serving_groups(service, model)
@@ -321,4 +323,4 @@
             )
             return chosen is not None
 
-        line.wake(has_place, self._clock.now())
+        queue.wake(has_place, self._clock.now())
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -8,7 +8,7 @@
 from mallowpond.node.outcomes import Answered, CutOff, Reason, Refusal, ServeOutcome
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_placement import (
-    LEAST_SECONDS,
+    MIN_SEND_SECONDS,
     NO_GROUP_RETRY_SECONDS,
     StreamPlacement,
 )
@@ -38,13 +38,13 @@
 log = structlog.get_logger()
 
 # Sends that were proved not to have run, at most, for one request.
-MAX_NOT_RUN = 6
-# Longest pause of a group that turns every stream away, in seconds: as long as one that
-# only this host cannot reach is left, and shorter than any caller waits.
-MOST_PAUSE_SECONDS = 1.0
+MAX_NOT_RUN_SENDS = 6
+# Longest backoff from a group that rejects every stream, in seconds: as long as a group
+# that only this host cannot reach is excluded, and shorter than any caller waits.
+MAX_BACKOFF_SECONDS = 1.0
 # How a send ends when the target ends while it runs the stream: the connection closes,
 # or the list shows another process there first.
-ENDED_REASONS = (Reason.BROKEN_STREAM, Reason.RESTARTED)
+PROCESS_ENDED_REASONS = (Reason.BROKEN_STREAM, Reason.RESTARTED)
 EVENT_ID = b"id:"
 
 
@@ -86,7 +86,7 @@
     async def _serve(self, work: StreamWork) -> ServeOutcome:
         work.started_at = self._clock.now()
         work.last_event = work.request.last_event
-        self.placement.note_shape(work)
+        self.placement.record_model(work)
         self._budget(work.service).record_first_send(work.started_at)
         failed: FailedAnswer | None = None
         while True:
@@ -105,9 +105,9 @@
                 case NotRun(reason=reason) | Interrupted(reason=reason):
                     if reason is Reason.MISDIRECTED:
                         self._directory.mark_broken(group, BreakCause.REFUSED)
-            if reason in ENDED_REASONS:
-                self._note_broken(work, group, reason)
-            refusal = self._may_send_again(work, end, reason)
+            if reason in PROCESS_ENDED_REASONS:
+                self._record_broken(work, group, reason)
+            refusal = self._refuse_retry(work, end, reason)
             if refusal is not None:
                 return await self._end_unserved(work, refusal, failed)
             self._metrics.retries.labels(reason.value).inc()
@@ -119,23 +119,23 @@
                 group=group.name,
             )
 
-    def _may_send_again(
+    def _refuse_retry(
         self, work: StreamWork, end: AttemptEnd, reason: Reason
     ) -> Refusal | None:
         now = self._clock.now()
-        held = self._quarantine.refusal(work.fingerprint)
-        if held is not None:
-            return held
+        quarantined = self._quarantine.refusal(work.fingerprint)
+        if quarantined is not None:
+            return quarantined
         if isinstance(end, NotRun):
             work.not_run += 1
             work.sent_to.pop()
-            if work.not_run > MAX_NOT_RUN:
+            if work.not_run > MAX_NOT_RUN_SENDS:
                 return self.placement.refuse(Reason.NO_GROUP, NO_GROUP_RETRY_SECONDS)
         elif not work.route.resumable:
             return Refusal(status=502, reason=Reason.MAYBE_RUN)
         elif self._attempts(work) >= work.route.max_attempts:
             return Refusal(status=502, reason=Reason.ATTEMPTS_USED)
-        if now + LEAST_SECONDS > work.deadline:
+        if now + MIN_SEND_SECONDS > work.deadline:
             return Refusal(status=504, reason=Reason.TIMEOUT)
         if not self._budget(work.service).try_repeat(now, self._hosts()):
             return Refusal(status=502, reason=Reason.BUDGET_USED)
@@ -156,16 +156,18 @@
             sends=work.sends,
         )
 
-    def may_go_on(self, stream: ActiveStream) -> bool:
+    def can_resume(self, stream: ActiveStream) -> bool:
         """Tell whether a stream may be sent to another group, when one has a place."""
         work = stream.work
         if not work.route.resumable or stream.moved is not None:
             return False
         return self._attempts(work) < work.route.max_attempts
 
-    def may_move(self, stream: ActiveStream) -> bool:
+    def can_move(self, stream: ActiveStream) -> bool:
         """Tell whether a stream could go on at another group now."""
-        return self.may_go_on(stream) and self.placement.choose(stream.work) is not None
+        return (
+            self.can_resume(stream) and self.placement.choose(stream.work) is not None
+        )
 
     def _attempts(self, work: StreamWork) -> int:
         """Count the engines that may have run the request and have not ended."""
@@ -263,8 +265,8 @@
         if isinstance(response, CallFailed):
             if response.bytes_left:
                 return Interrupted(reason=Reason.BROKEN_STREAM)
-            self._withhold(work, stream.group)
-            self._log_turned_away(work, stream.group, Reason.CONNECT)
+            self._back_off(work, stream.group)
+            self._log_rejected(work, stream.group, Reason.CONNECT)
             return NotRun(reason=Reason.CONNECT)
         try:
             return await self._read(stream, response)
@@ -277,12 +279,12 @@
             await response.read()
             if self._targets.is_misdirected(response):
                 return NotRun(reason=Reason.MISDIRECTED)
-            notice = self._note_notice(stream, response)
+            notice = self._record_notice(stream, response)
             if notice.backoff_seconds is None:
-                self._withhold(work, stream.group)
-            self._log_turned_away(work, stream.group, Reason.NOT_RUN)
+                self._back_off(work, stream.group)
+            self._log_rejected(work, stream.group, Reason.NOT_RUN)
             return NotRun(reason=Reason.NOT_RUN)
-        self._note_notice(stream, response)
+        self._record_notice(stream, response)
         headers = self._callers.answer_headers(response)
         if response.status != 200:
             body = await response.read()
@@ -292,7 +294,7 @@
         async for event in response.events():
             match event:
                 case Chunk(data=data):
-                    await self._pass_on(stream, headers, data)
+                    await self._forward(stream, headers, data)
                 case End() if work.progress.has_rest:
                     return Interrupted(reason=Reason.BROKEN_STREAM)
                 case End():
@@ -304,7 +306,7 @@
                     return Interrupted(reason=Reason.BROKEN_STREAM)
         return Interrupted(reason=Reason.BROKEN_STREAM)
 
-    def _note_notice(
+    def _record_notice(
         self, stream: ActiveStream, response: HttpResponse
     ) -> TargetNotice:
         """Note what the answer of a group's head says of the head."""
@@ -313,20 +315,20 @@
             self._intake.hear(stream.group.head, notice, stream.sent_at)
         return notice
 
-    async def _pass_on(
+    async def _forward(
         self, stream: ActiveStream, headers: tuple[tuple[str, str], ...], data: bytes
     ) -> None:
         work = stream.work
         whole = work.progress.take(data)
         if not whole:
             return
-        self._note_event(stream)
-        work.last_event = _last_id(whole) or work.last_event
+        self._record_event(stream)
+        work.last_event = _last_event_id(whole) or work.last_event
         if not work.exchange.started:
             await work.exchange.start(200, headers)
         await work.exchange.send(whole)
 
-    def _note_event(self, stream: ActiveStream) -> None:
+    def _record_event(self, stream: ActiveStream) -> None:
         now = self._clock.now()
         work, own = stream.work, self._directory.loads.work(stream.key)
         if work.first_event_at is None:
@@ -349,31 +351,31 @@
             self._metrics.gap.observe(gap)
             load = self._directory.loads.load_of(stream.group, stream.work.profile)
             predicted = pass_seconds(work.profile, work.model, load)
-            self._directory.loads.note_gap(stream.key, gap, predicted)
+            self._directory.loads.record_gap(stream.key, gap, predicted)
         if stream.group.head is not None:
             self._quarantine.record_alive(stream.group.head.process)
         stream.last_event_at = now
         stream.events += 1
         own.last_event_at = now
-        own.pause_seconds = 0.0
+        own.backoff_seconds = 0.0
 
-    def _note_broken(self, work: StreamWork, group: Group, reason: Reason) -> None:
+    def _record_broken(self, work: StreamWork, group: Group, reason: Reason) -> None:
         """Note that a group's head ended, and leave it alone if it had ended before."""
         assert group.head is not None
         process = group.head.process
         if not self._quarantine.record_ending(work.fingerprint, process, work.sent_at):
-            self._withhold(work, group)
-            self._log_turned_away(work, group, reason)
+            self._back_off(work, group)
+            self._log_rejected(work, group, reason)
 
-    def _withhold(self, work: StreamWork, group: Group) -> None:
+    def _back_off(self, work: StreamWork, group: Group) -> None:
         """Send no more streams to a group for a moment after it turned one away.
 
         Twice as long each time, until it shows an event: heads that have crashed would
-        be sent a stream after each short pause, each one of the shared repeats.
+        be sent a stream after each short backoff, each one of the shared repeats.
         """
         own = self._directory.loads.work(group.key)
         now = self._clock.now()
-        pause = first_event_seconds(
+        backoff = first_event_seconds(
             work.profile,
             work.model,
             self._directory.loads.load_of(group, work.profile),
@@ -381,11 +383,11 @@
         )
         if own.excluded_until <= now:
             # Streams that were under way together are turned away once, not in a row.
-            pause = max(pause, min(2 * own.pause_seconds, MOST_PAUSE_SECONDS))
-            own.pause_seconds = pause
-        self._directory.suspend_group(group.key, now + pause)
+            backoff = max(backoff, min(2 * own.backoff_seconds, MAX_BACKOFF_SECONDS))
+            own.backoff_seconds = backoff
+        self._directory.suspend_group(group.key, now + backoff)
 
-    def _log_turned_away(self, work: StreamWork, group: Group, reason: Reason) -> None:
+    def _log_rejected(self, work: StreamWork, group: Group, reason: Reason) -> None:
         log.info(
             "stream: turned away",
             request=work.request.id,
@@ -399,7 +401,7 @@
     return task is not None and task.cancelling() > 0
 
 
-def _last_id(events: bytes) -> str | None:
+def _last_event_id(events: bytes) -> str | None:
     """Return the id of the last event that has one."""
     at = events.rfind(b"\n" + EVENT_ID)
     start = 0 if at < 0 and events.startswith(EVENT_ID) else at + 1
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -6,7 +6,7 @@
 
 from mallowpond.node import dispatcher_client
 from mallowpond.node.dispatcher import Dispatcher
-from mallowpond.node.dispatcher_client import SILENT_SECONDS, DispatcherClient
+from mallowpond.node.dispatcher_client import UNRESPONSIVE_SECONDS, DispatcherClient
 from mallowpond.node.group_loads import GroupLoads
 from mallowpond.node.messages import (
     PlaceAnswer,
@@ -17,7 +17,7 @@
     encode_loads,
 )
 from mallowpond.node.outcomes import Answered, Reason
-from mallowpond.node.peer_work import GRANT_SECONDS, PEER_LOAD_SECONDS
+from mallowpond.node.peer_work import GRANT_TTL_SECONDS, PEER_LOAD_TTL_SECONDS
 from mallowpond.node.tests.fakes import (
     MODEL,
     PROFILE,
@@ -165,7 +165,7 @@
         assert outcome == Answered(status=200, target="a0")
     # Asked once: each question in vain costs its stream time.
     assert len(site.wire_a.sent) == 1
-    site.rig_a.clock.time += SILENT_SECONDS
+    site.rig_a.clock.time += UNRESPONSIVE_SECONDS
     site.wire_a.is_cut = False
     await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     assert len(site.wire_a.sent) == 2
@@ -271,8 +271,8 @@
     """Guard against counting a stream twice, or not at all, between two tellings."""
     clock = FakeClock()
     loads = GroupLoads(clock=clock)
-    loads.note_grant("a", 1, GROUP, 100.0)
-    loads.note_grant("a", 2, GROUP, 100.0)
+    loads.record_grant("a", 1, GROUP, 100.0)
+    loads.record_grant("a", 2, GROUP, 100.0)
     assert loads.load(GROUP).running == 2
     loads.record_peer_loads("a", {GROUP: (1, 50.0)}, 1)
     assert loads.load(GROUP).running == 2
@@ -287,10 +287,10 @@
     """Guard against places that are lost with a host."""
     clock = FakeClock()
     loads = GroupLoads(clock=clock)
-    loads.note_grant("a", 1, GROUP, 100.0)
+    loads.record_grant("a", 1, GROUP, 100.0)
     if tells:
         loads.record_peer_loads("a", {GROUP: (1, 0.0)}, 1)
-    clock.time += max(GRANT_SECONDS, PEER_LOAD_SECONDS) + 0.1
+    clock.time += max(GRANT_TTL_SECONDS, PEER_LOAD_TTL_SECONDS) + 0.1
     assert loads.load(GROUP).running == 0
 
 
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -7,7 +7,7 @@
 
 from mallowpond.node.outcomes import Answered, CutOff, Reason, Refusal
 from mallowpond.node.ports import TargetsRead
-from mallowpond.node.streams import MOST_PAUSE_SECONDS
+from mallowpond.node.streams import MAX_BACKOFF_SECONDS
 from mallowpond.node.tests.fakes import (
     BROKEN,
     PROFILE,
@@ -136,7 +136,7 @@
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     (stream,) = rig.service.active
-    assert not rig.service.may_move(stream)
+    assert not rig.service.can_move(stream)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
@@ -154,7 +154,7 @@
     first = rig.targets.sends[0][0]
     other = {"a0": "b0", "b0": "a0"}[first]
     rig.targets.script(other, answer(2))
-    assert rig.service.may_move(stream)
+    assert rig.service.can_move(stream)
     stream.move(Reason.SILENT_GROUP)
     assert await task == Answered(status=200, target=other)
     assert exchange.body == whole(1, 2)
@@ -429,7 +429,7 @@
         await rig.service.serve(rig.work(FakeExchange()))
         rig.clock.time += 0.2
     rig.targets.script("a0", answer(1))
-    rig.clock.time += MOST_PAUSE_SECONDS
+    rig.clock.time += MAX_BACKOFF_SECONDS
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert outcome == Answered(status=200, target="a0")
 
--- a/mallowpond/node/tests/test_waiting.py
+++ b/mallowpond/node/tests/test_waiting.py
@@ -5,12 +5,12 @@
 from mallowpond.node.waiting import WaitQueue
 
 
-async def served(line, now, *streams):
+async def served(queue, now, *streams):
     """Let streams wait, free one place after the other, return their order."""
     order = []
 
     async def wait(name, priority, objective_deadline, has_begun=False):
-        if await line.wait(
+        if await queue.wait(
             priority=priority,
             objective_deadline=objective_deadline,
             seconds=60.0,
@@ -21,7 +21,7 @@
     tasks = [asyncio.create_task(wait(*stream)) for stream in streams]
     await asyncio.sleep(0)
     for _ in streams:
-        line.wake(lambda: True, now)
+        queue.wake(lambda: True, now)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
     await asyncio.gather(*tasks)
@@ -31,9 +31,9 @@
 async def test_streams_that_can_be_on_time_go_first():
     """Symptom: in a burst every stream is late, although half could be on time.
 
-    Sequence: more streams come than there are places; the line grows past the
+    Sequence: more streams come than there are places; the queue grows past the
     objective.
-    Cause: places went by arrival, so each one waited as long as the line was.
+    Cause: places went by arrival, so each one waited as long as the queue was.
     """
     order = await served(
         WaitQueue(), 10.0, ("late", 1, 9.0), ("fresh", 1, 10.2), ("second", 1, 10.3)
@@ -47,14 +47,14 @@
 
 
 async def test_a_stream_that_gives_up_leaves_the_line():
-    line = WaitQueue()
+    queue = WaitQueue()
     task = asyncio.create_task(
-        line.wait(priority=1, objective_deadline=1.0, seconds=60.0)
+        queue.wait(priority=1, objective_deadline=1.0, seconds=60.0)
     )
     await asyncio.sleep(0)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
-    assert len(line) == 0
+    assert len(queue) == 0
 
 
 async def test_a_stream_whose_group_died_goes_before_newcomers():
@@ -69,51 +69,53 @@
 
 
 async def test_a_begun_stream_waits_behind_begun_ones_only():
-    line = WaitQueue()
-    turns = [
+    queue = WaitQueue()
+    waiters = [
         asyncio.create_task(
-            line.wait(priority=1, objective_deadline=1.0, seconds=60.0, has_begun=begun)
+            queue.wait(
+                priority=1, objective_deadline=1.0, seconds=60.0, has_begun=begun
+            )
         )
         for begun in (False, False, True)
     ]
     await asyncio.sleep(0)
-    assert line.ahead_of(1, has_begun=True) == 1
-    assert line.ahead_of(1) == 3
-    for turn in turns:
-        turn.cancel()
-    await asyncio.gather(*turns, return_exceptions=True)
+    assert queue.ahead_of(1, has_begun=True) == 1
+    assert queue.ahead_of(1) == 3
+    for waiter in waiters:
+        waiter.cancel()
+    await asyncio.gather(*waiters, return_exceptions=True)
 
 
 async def test_a_stream_that_leaves_the_line_as_a_place_frees_harms_no_other():
     """The look at the groups ended for good, and no stream was moved any more.
 
     A caller left, or a wait ran out, in the very pass of the loop in which a place was
-    found for its stream. The stream stood in the line until its own next step, so it
+    found for its stream. The stream stood in the queue until its own next step, so it
     was woken although its wait had ended, which failed in whoever was waking: the look
     at the groups, or the end of another stream.
     """
-    line = WaitQueue()
+    queue = WaitQueue()
 
     def wait():
         return asyncio.create_task(
-            line.wait(priority=0, objective_deadline=0.0, seconds=5.0)
+            queue.wait(priority=0, objective_deadline=0.0, seconds=5.0)
         )
 
     leaving, staying = wait(), wait()
-    while len(line) < 2:
+    while len(queue) < 2:
         await asyncio.sleep(0)
     leaving.cancel()
-    line.wake(lambda: True, 1.0)
+    queue.wake(lambda: True, 1.0)
     assert await staying
-    assert len(line) == 0
+    assert len(queue) == 0
 
 
 async def test_a_turn_that_comes_as_the_time_runs_out_has_come():
     """A stream was refused although a place had been found for it in the same pass."""
-    line = WaitQueue()
+    queue = WaitQueue()
     waiting = asyncio.create_task(
-        line.wait(priority=0, objective_deadline=0.0, seconds=0.0)
+        queue.wait(priority=0, objective_deadline=0.0, seconds=0.0)
     )
     await asyncio.sleep(0)
-    line.wake(lambda: True, 1.0)
+    queue.wake(lambda: True, 1.0)
     assert await waiting
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -18,7 +18,7 @@
     misdirected,
     rig_of,
 )
-from mallowpond.node.watch import SLOW_EVENTS, GroupWatch
+from mallowpond.node.watch import MIN_PACE_EVENTS, GroupWatch
 from mallowpond.state.first_event import MIN_SAMPLES
 from mallowpond.state.fleet import BreakCause, Process
 
@@ -75,7 +75,7 @@
     """Let time pass in steps as short as the watch's own."""
     for _ in range(round(seconds / 0.02)):
         rig.clock.time += 0.02
-        watch.look()
+        watch.check()
 
 
 def learn_delay(rig, stream, seconds):
@@ -188,10 +188,10 @@
     """
     rig, watch, peers, task, _ = await watched("a", "b")
     (stream,) = rig.service.active
-    stream.events = SLOW_EVENTS
+    stream.events = MIN_PACE_EVENTS
     rig.directory.loads.work(("a", 1)).slowness = 12.0
     rig.clock.time += 0.02
-    watch.look()
+    watch.check()
     assert peers.told == []
     assert stream.moved is Reason.SLOW_TARGET
     assert await task == Answered(status=200, target="b0")
@@ -205,7 +205,7 @@
     """
     rig, watch, peers, task, _ = await watched("a", "b")
     rig.clock.time += 2.0
-    watch.look()
+    watch.check()
     assert peers.told == []
     await end(task)
 
@@ -348,7 +348,7 @@
     """
     rig, watch, peers, task, exchange = await watched("a", "b")
     for group in "ab":
-        watch._mark((group, 1))
+        watch._exclude_suspected((group, 1))
     (stream,) = rig.service.active
     stream.move(Reason.SILENT_GROUP)
     for _ in range(10):
--- a/mallowpond/node/waiting.py
+++ b/mallowpond/node/waiting.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class _Turn:
+class _Waiter:
     has_begun: bool
     priority: int
     objective_deadline: float
@@ -33,17 +33,17 @@
     time as there are places, and the late ones follow when there is room.
     """
 
-    _turns: list[_Turn] = field(default_factory=list)
+    _waiters: list[_Waiter] = field(default_factory=list)
     _numbers: count = field(default_factory=count)
 
     def __len__(self) -> int:
-        return len(self._turns)
+        return len(self._waiters)
 
     def ahead_of(self, priority: int, *, has_begun: bool = False) -> int:
         """Return how many waiting streams would go before a late one."""
         if has_begun:
-            return sum(1 for turn in self._turns if turn.has_begun)
-        return sum(1 for t in self._turns if t.has_begun or t.priority <= priority)
+            return sum(1 for waiter in self._waiters if waiter.has_begun)
+        return sum(1 for t in self._waiters if t.has_begun or t.priority <= priority)
 
     async def wait(
         self,
@@ -53,54 +53,54 @@
         seconds: float,
         has_begun: bool = False,
     ) -> bool:
-        """Wait for a turn; return False when it did not come in time."""
-        turn = _Turn(
+        """Wait for a waiter; return False when it did not come in time."""
+        waiter = _Waiter(
             has_begun=has_begun,
             priority=priority,
             objective_deadline=objective_deadline,
             number=next(self._numbers),
             future=asyncio.get_running_loop().create_future(),
         )
-        self._turns.append(turn)
+        self._waiters.append(waiter)
         try:
             async with asyncio.timeout(seconds):
-                return await turn.future
+                return await waiter.future
         except TimeoutError:
-            # Its turn may have come in the pass of the loop in which the time ran out.
-            return _has_come(turn)
+            # It may have been woken in the loop iteration in which the time ran out.
+            return _was_woken(waiter)
         finally:
-            if turn in self._turns:
-                self._turns.remove(turn)
+            if waiter in self._waiters:
+                self._waiters.remove(waiter)
 
-    def end(self) -> None:
-        """Tell all that wait that their turn does not come."""
-        turns, self._turns = self._waiting(), []
-        for turn in turns:
-            turn.future.set_result(False)
+    def reject_all(self) -> None:
+        """Tell all that wait that their waiter does not come."""
+        waiters, self._waiters = self._pending(), []
+        for waiter in waiters:
+            waiter.future.set_result(False)
 
     def wake(self, has_place: Callable[[], bool], now: float) -> None:
         """Wake the first stream if there is a place; it wakes the next one."""
-        waiting = self._waiting()
+        waiting = self._pending()
         if not waiting or not has_place():
             return
 
-        def order(turn: _Turn) -> tuple[bool, bool, int, int]:
-            late = turn.objective_deadline <= now
-            return (not turn.has_begun, late, turn.priority, turn.number)
+        def order(waiter: _Waiter) -> tuple[bool, bool, int, int]:
+            late = waiter.objective_deadline <= now
+            return (not waiter.has_begun, late, waiter.priority, waiter.number)
 
         first = min(waiting, key=order)
-        self._turns.remove(first)
+        self._waiters.remove(first)
         first.future.set_result(True)
 
-    def _waiting(self) -> list[_Turn]:
-        """Return the turns that can still be given.
+    def _pending(self) -> list[_Waiter]:
+        """Return the waiters that can still be given.
 
         A stream that leaves, or whose time runs out, stands in the line until its own
         next step; waking it failed, and ended the task that was looking at the groups.
         """
-        return [turn for turn in self._turns if not turn.future.done()]
+        return [waiter for waiter in self._waiters if not waiter.future.done()]
 
 
-def _has_come(turn: _Turn) -> bool:
-    future = turn.future
+def _was_woken(waiter: _Waiter) -> bool:
+    future = waiter.future
     return future.done() and not future.cancelled() and future.result()
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -28,19 +28,19 @@
 log = structlog.get_logger()
 
 # Pause between two looks, in seconds: a small part of the shortest gap targets.
-LOOK_SECONDS = 0.02
+MIN_CHECK_INTERVAL_SECONDS = 0.02
 # Longest pause between two looks, in seconds: while no group can have been silent long
 # enough, as most of 195 hosts find most of the time. A stream that begins meanwhile is
 # not due to be asked about for longer.
-LONGEST_LOOK_SECONDS = 0.06
+MAX_CHECK_INTERVAL_SECONDS = 0.06
 # Events of a stream from a group after which its pace is taken as known.
-SLOW_EVENTS = 2
+MIN_PACE_EVENTS = 2
 # A look that comes later than it was due by more shows that this process stood still:
 # what looks like a group's silence then is its own, so all groups get a new start.
 STALLED_SECONDS = 0.08
 # Time for which a group that only this host cannot reach gets none of its streams, in
 # seconds: a connection that fell silent is replaced by the next stream's.
-UNREACHED_SECONDS = 1.0
+UNREACHABLE_SECONDS = 1.0
 
 
 class GroupWatch:
@@ -63,15 +63,15 @@
         self._metrics = metrics
         self._stall_seconds = stall_seconds
         self._due_at = clock.now()
-        self._pause = LOOK_SECONDS
-        self._fresh_from = clock.now()
+        self._interval = MIN_CHECK_INTERVAL_SECONDS
+        self._silence_counts_from = clock.now()
         self._doubts: dict[GroupKey, PeerQuery] = {}
         self.on_suspect: list[Callable[[GroupKey], None]] = []
-        directory.on_broken.append(self._leave_broken)
-        peers.on_suspicion.append(self._hear)
-        peers.on_group_broken.append(self._hear_broken)
-        peers.on_silence_question.append(self._sees_advance)
-        peers.on_advance.append(self._note_advance)
+        directory.on_broken.append(self._on_broken)
+        peers.on_suspicion.append(self._on_suspicion)
+        peers.on_group_broken.append(self._on_group_broken)
+        peers.on_silence_question.append(self._on_silence_question)
+        peers.on_advance.append(self._on_advance)
 
     async def run(self) -> None:
         """Look until cancelled."""
@@ -79,16 +79,16 @@
             if not self._streams.has_streams.is_set():
                 # A host at rest has nothing to look at.
                 await self._streams.has_streams.wait()
-                self._due_at = self._clock.now() + self._pause
-            await self._clock.sleep(self._pause)
-            self.look()
+                self._due_at = self._clock.now() + self._interval
+            await self._clock.sleep(self._interval)
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Judge every group that has streams of this host."""
         now = self._clock.now()
         if now - self._due_at > STALLED_SECONDS:
-            self._fresh_from = now
-        self._pause = LONGEST_LOOK_SECONDS
+            self._silence_counts_from = now
+        self._interval = MAX_CHECK_INTERVAL_SECONDS
         if self._directory.consume_resumed():
             self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
@@ -99,13 +99,13 @@
         self._doubts = {k: d for k, d in self._doubts.items() if k in by_group}
         for key, streams in by_group.items():
             quiet = self._quiet(key, streams, now)
-            if self._is_marked(key):
+            if self._is_excluded(key):
                 self._move_from_slow(streams)
             else:
                 self._judge(key, streams, quiet)
-                self._pause = min(self._pause, seconds_until_due(quiet))
-        self._pause = max(self._pause, LOOK_SECONDS)
-        self._due_at = now + self._pause
+                self._interval = min(self._interval, seconds_until_due(quiet))
+        self._interval = max(self._interval, MIN_CHECK_INTERVAL_SECONDS)
+        self._due_at = now + self._interval
 
     def _judge(
         self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
@@ -123,9 +123,9 @@
                 self._suspect(key, streams, quiet)
             case SilenceVerdict.LEAVE:
                 del self._doubts[key]
-                self._leave(key, streams, quiet)
+                self._leave_unreachable(key, streams, quiet)
 
-    def _sees_advance(self, question: SilenceQuestion) -> bool:
+    def _on_silence_question(self, question: SilenceQuestion) -> bool:
         """Answer a peer that takes a group for silent."""
         key = (question.group, question.epoch)
         if key not in self._directory.groups:
@@ -133,7 +133,7 @@
         own_silence = self._clock.now() - self._directory.loads.work(key).last_event_at
         return has_advanced(own_silence=own_silence, asked_silence=question.silent)
 
-    def _note_advance(self, key: GroupKey) -> None:
+    def _on_advance(self, key: GroupKey) -> None:
         doubt = self._doubts.get(key)
         if doubt is not None:
             self._doubts[key] = replace(doubt, advanced_at=self._clock.now())
@@ -147,7 +147,9 @@
         predicted = silent_seconds(work.profile, work.model, load)
         oldest = min(stream.sent_at for stream in streams)
         since = max(
-            self._directory.loads.work(key).last_event_at, oldest, self._fresh_from
+            self._directory.loads.work(key).last_event_at,
+            oldest,
+            self._silence_counts_from,
         )
         delay = self._streams.placement.delay(work.service, work.model.name)
         return GroupSilence(
@@ -172,11 +174,11 @@
             allowed=quiet.allowed_gap,
             streams=len(streams),
         )
-        self._mark(key)
+        self._exclude_suspected(key)
         self._move(streams)
         self._peers.broadcast_suspicion(key)
 
-    def _leave(
+    def _leave_unreachable(
         self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
     ) -> None:
         """Move the streams of a group that advances for other hosts."""
@@ -188,7 +190,7 @@
             predicted=round(quiet.predicted_gap, 3),
             streams=len(streams),
         )
-        self._exclude(key, UNREACHED_SECONDS)
+        self._exclude(key, UNREACHABLE_SECONDS)
         self._move(streams)
 
     def _move(self, streams: list[ActiveStream]) -> None:
@@ -198,7 +200,7 @@
         where its group may still advance.
         """
         for stream in streams:
-            if self._streams.may_move(stream):
+            if self._streams.can_move(stream):
                 stream.move(Reason.SILENT_GROUP)
 
     def _move_from_slow(self, streams: list[ActiveStream]) -> None:
@@ -209,11 +211,11 @@
         """
         for stream in streams:
             work = stream.work
-            if stream.events < SLOW_EVENTS:
+            if stream.events < MIN_PACE_EVENTS:
                 continue
             load = self._directory.loads.load_of(stream.group, work.profile)
             gap = pass_seconds(work.profile, work.model, load)
-            if gap > stream.allowed_gap and self._streams.may_move(stream):
+            if gap > stream.allowed_gap and self._streams.can_move(stream):
                 log.info(
                     "groups: slow",
                     request=work.request.id,
@@ -223,10 +225,10 @@
                 )
                 stream.move(Reason.SLOW_TARGET)
 
-    def _is_marked(self, key: GroupKey) -> bool:
+    def _is_excluded(self, key: GroupKey) -> bool:
         return self._directory.loads.work(key).excluded_until > self._clock.now()
 
-    def _mark(self, key: GroupKey) -> None:
+    def _exclude_suspected(self, key: GroupKey) -> None:
         # The group reports that it broke only after the stall time, so until then
         # it would be sent new streams again.
         work = self._directory.loads.work(key)
@@ -235,7 +237,7 @@
         for notify in self.on_suspect:
             notify(key)
 
-    def _hear(self, suspicion: Suspicion) -> None:
+    def _on_suspicion(self, suspicion: Suspicion) -> None:
         """Take a peer's suspicion unless this host saw the group advance since."""
         key = (suspicion.group, suspicion.epoch)
         if suspicion.cleared:
@@ -245,24 +247,26 @@
             self.exclude_closing(key)
             return
         streams = self._streams_on(key)
-        if self._advances(key, streams):
+        if self._is_making_progress(key, streams):
             log.info("groups: suspicion not shared", group=key[0])
             return
         self._metrics.suspicions.labels("peer").inc()
-        self._mark(key)
+        self._exclude_suspected(key)
         self._move(streams)
 
     def _streams_on(self, key: GroupKey) -> list[ActiveStream]:
         return [s for s in self._streams.active if s.key == key and not s.moved]
 
-    def _advances(self, key: GroupKey, streams: list[ActiveStream]) -> bool:
+    def _is_making_progress(self, key: GroupKey, streams: list[ActiveStream]) -> bool:
         """Tell whether a group showed an event here too lately to be silent."""
         if not streams:
             return False
         quiet = self._quiet(key, streams, self._clock.now())
-        return quiet.silent_seconds < max(0.5 * quiet.predicted_gap, LOOK_SECONDS)
+        return quiet.silent_seconds < max(
+            0.5 * quiet.predicted_gap, MIN_CHECK_INTERVAL_SECONDS
+        )
 
-    def _hear_broken(self, message: GroupBroken) -> None:
+    def _on_group_broken(self, message: GroupBroken) -> None:
         """Take a peer's word that a formation serves no more, and pass it to no one."""
         group = self._directory.groups.get((message.group, message.epoch))
         if group is None or group.head is None:
@@ -270,7 +274,7 @@
         if group.head.process == message.head:
             self._directory.mark_broken(group, message.cause, is_known_to_peers=True)
 
-    def _leave_broken(
+    def _on_broken(
         self, group: Group, cause: BreakCause, is_known_to_peers: bool
     ) -> None:
         """Move the streams of a formation that serves no more, and tell the peers.
@@ -281,9 +285,9 @@
         """
         streams = self._streams_on(group.key)
         if cause is BreakCause.RESTARTED:
-            for stream in filter(self._streams.may_go_on, streams):
+            for stream in filter(self._streams.can_resume, streams):
                 stream.move(Reason.RESTARTED)
-        elif not self._advances(group.key, streams):
+        elif not self._is_making_progress(group.key, streams):
             self._move(streams)
         if not is_known_to_peers:
             self._peers.broadcast_group_broken(group, cause)
