--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -1,11 +1,11 @@
-"""Give places on groups to the streams of all hosts, from one count of them.
-
-The load pattern: many hosts send streams to the same groups, and what each knows of the
-others' streams is some tenths of a second old. In a burst, or when all hosts start anew
-at once, they send more to a group than it has slots, beside groups with free ones, and
-each keeps a waiting queue that knows nothing of the others. One host that is asked for
-each place counts them exactly. Its word is advice: each host goes by its own view
-where no answer comes, and no promise to a caller rests on it.
+"""Grant slots on groups to the streams of all hosts from one exact count.
+
+Many hosts send streams to the same groups, and what each knows of the others' load is
+some tenths of a second old. In a burst, or when all hosts restart at once, they
+overload some groups while others have free slots, and each host queues its streams
+without knowing the other queues. The dispatcher is the one host that grants every slot
+and so counts them exactly. Its answers are advisory: a host that gets no answer places
+streams by its own view, and no guarantee to callers depends on the dispatcher.
 """
 
 from collections import Counter
@@ -25,9 +25,9 @@
 # Longest time that a stream waits in the queue, in seconds; bounds the patience that
 # its host asks for.
 MAX_PATIENCE_SECONDS = 60.0
-# Waiting streams that are tried where the first finds no place, at most: it may avoid
-# the very groups that have one.
-TRIED_REQUESTS = 4
+# Queued requests that are tried for a free slot, at most: the first one may avoid
+# exactly the groups that have free slots.
+MAX_TRIED_REQUESTS = 4
 
 ServedModel = tuple[EngineProfile, ModelSpec]
 QueueKey = tuple[str, str]
@@ -35,14 +35,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestId:
-    """Name one question of one host."""
+    """Identifies a slot request: the host that sent it and a number unique there."""
 
     node: str
     number: int
 
 
 class Dispatcher:
-    """Answer questions for places while this host is the one that is asked."""
+    """Grants slots and queues requests for them while this host is the dispatcher.
+
+    It answers the requests of other hosts by message, and those of its own host through
+    `request_slot` and `on_own_answer`.
+    """
 
     def __init__(
         self,
@@ -63,19 +67,20 @@
         self._find_model = find_model
         self._is_dispatcher = is_dispatcher
         self._queues: dict[QueueKey, PlacementQueue[RequestId]] = {}
-        # What each stream that waits looks for.
+        # The queued requests.
         self._requests: dict[RequestId, SlotRequest] = {}
-        self._granted: Counter[str] = Counter()
-        # Called with the answers to this host's own questions.
+        # Grants by host since this process started; they number the grants.
+        self._grant_counts: Counter[str] = Counter()
+        # Called with answers to this host's own requests that had to wait.
         self.on_own_answer: list[Callable[[PlaceAnswer], None]] = []
         peers.on_place_question.append(self._on_place_question)
 
     def _on_place_question(self, question: PlaceQuestion) -> None:
-        """Answer another host, if this one hears of all work; else it asks in vain."""
-        shape = self._find_model(question.service, question.model)
-        if shape is None or not self._is_dispatcher():
+        """Answer another host's request; ignore it unless this host dispatches."""
+        served = self._find_model(question.service, question.model)
+        if served is None or not self._is_dispatcher():
             return
-        profile, model = shape
+        profile, model = served
         now = self._clock.now()
         request = SlotRequest(
             service=question.service,
@@ -98,7 +103,11 @@
     def request_slot(
         self, request_id: RequestId, request: SlotRequest, entry: QueueEntry
     ) -> PlaceAnswer:
-        """Give a place, let a stream wait for one, or say that none comes in time."""
+        """Grant a slot now, queue the request, or refuse it.
+
+        It is refused when the expected wait exceeds its patience or the queue is full.
+        A request that is queued already keeps its position.
+        """
         queue = self._queues.setdefault(
             (request.service, request.model.name), PlacementQueue()
         )
@@ -116,7 +125,7 @@
     def _select_now(
         self, queue: PlacementQueue[RequestId], request: SlotRequest, entry: QueueEntry
     ) -> Group | None:
-        """Return a group for a new stream unless another one goes before it."""
+        """Return a group with a free slot unless a queued request goes first."""
         if queue.has_entry_ahead_of(entry, self._clock.now()):
             return None
         return self._selector.select_exact(request)
@@ -126,7 +135,7 @@
     ) -> float:
         groups = self._directory.serving_groups(request.service, request.model.name)
         if not groups:
-            # One may open at any moment, as groups are formed for what waits.
+            # Groups are formed for queued requests, so one may open at any moment.
             return 0.0
         return expected_wait(
             ahead=queue.ahead_of(entry),
@@ -135,7 +144,7 @@
         )
 
     def wake(self) -> None:
-        """Give places that are free to those that wait."""
+        """Grant free slots to queued requests."""
         if not self._requests:
             return
         for queue in self._queues.values():
@@ -146,7 +155,7 @@
         for request_id in queue.expired(self._clock.now()):
             self._remove(queue, request_id)
         waiting = queue.in_order(self._clock.now())
-        for request_id in list(islice(waiting, TRIED_REQUESTS)):
+        for request_id in list(islice(waiting, MAX_TRIED_REQUESTS)):
             request = self._requests[request_id]
             group = self._selector.select_exact(request)
             if group is not None:
@@ -156,7 +165,7 @@
         return False
 
     def cancel(self, request_id: RequestId) -> None:
-        """Take a stream of this host out of the queue."""
+        """Remove a request of this host from its queue."""
         for queue in self._queues.values():
             self._remove(queue, request_id)
 
@@ -167,8 +176,8 @@
     def _grant(
         self, request_id: RequestId, request: SlotRequest, group: Group
     ) -> PlaceAnswer:
-        self._granted[request_id.node] += 1
-        grant_number = self._granted[request_id.node]
+        self._grant_counts[request_id.node] += 1
+        grant_number = self._grant_counts[request_id.node]
         self._directory.loads.record_grant(
             request_id.node, grant_number, group.key, request.prompt_tokens
         )
--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -1,4 +1,4 @@
-"""Ask the dispatcher for the place of a stream, and do without where it is silent."""
+"""Request slots from the dispatcher; report no answer when it does not respond."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,16 +17,17 @@
 
 log = structlog.get_logger()
 
-# Time within which the dispatcher answers, in seconds: a datagram each way and some
-# turns of a busy host's loop, in a small part of any objective.
+# Timeout of the dispatcher's first answer, in seconds: a datagram each way and some
+# iterations of a busy host's event loop; a small part of any objective.
 ANSWER_TIMEOUT_SECONDS = 0.03
-# Time for which a dispatcher that did not answer is not asked, in seconds: each stream
-# that asks it in vain comes later by the time above.
+# Time for which a dispatcher that did not answer gets no requests, in seconds: each
+# unanswered request delays its stream by the timeout above.
 UNRESPONSIVE_SECONDS = 0.5
-# Pause after which a stream that waits asks again, in seconds: its answer may be lost,
+# Interval at which a queued request is sent again, in seconds: its answer may be lost,
 # or the dispatcher gone.
 RENEW_SECONDS = 0.3
-# Places in a row that this host cannot use, as it knows better of those groups.
+# Grants in a row that this host cannot use, since it has newer information on those
+# groups, after which it places the stream by its own view.
 MAX_UNUSABLE_GRANTS = 2
 
 
@@ -39,21 +40,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Rejected:
-    """There is no place in time; one would come after about `wait` seconds."""
+    """No slot comes free in time; the expected wait is `wait` seconds."""
 
     wait: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class WaitEnded:
-    """No place came while the stream waited, or this host ends its waits."""
+    """No slot was granted before the deadline, or this host ended all waits."""
 
 
 PlacementOutcome = Placed | Rejected | WaitEnded
 
 
 class DispatcherClient:
-    """Ask for the places of this host's streams."""
+    """Requests slots for this host's streams from the dispatcher."""
 
     def __init__(
         self,
@@ -75,15 +76,15 @@
         self._answers: dict[int, asyncio.Queue[PlaceAnswer]] = {}
         self._unresponsive_until = float("-inf")
         self._are_waits_ended = False
-        # The last place that the dispatcher gave, of which peers are told.
+        # Number of the latest grant, published with this host's loads.
         self.grant_number = 0
-        # Called when a place was given that no stream takes any more.
+        # Called when a granted slot is not used.
         self.on_unused_grant: list[Callable[[], None]] = []
         peers.on_place_answer.append(self._on_answer)
         dispatcher.on_own_answer.append(self._on_answer)
 
     def end_waits(self) -> None:
-        """Tell all that wait that no place will come."""
+        """End the waits of all streams without a slot; later answers grant none."""
         self._are_waits_ended = True
         for number, answers in self._answers.items():
             refused = PlaceAnswer(
@@ -94,7 +95,11 @@
     async def request_slot(
         self, request: SlotRequest, entry: QueueEntry
     ) -> PlacementOutcome | None:
-        """Return what the dispatcher says in time, None if it does not answer."""
+        """Request a slot and wait for it until the entry's deadline.
+
+        Return None when the caller has to place the stream by its own view: there is
+        no dispatcher, it does not answer, or its grants are unusable here.
+        """
         self._last_number += 1
         request_id = RequestId(node=self._name, number=self._last_number)
         self._answers[request_id.number] = asyncio.Queue()
@@ -133,7 +138,7 @@
     async def _query(
         self, request_id: RequestId, request: SlotRequest, entry: QueueEntry
     ) -> PlaceAnswer | None:
-        """Ask once and return the first answer, None if there is none."""
+        """Send the request once and return the first answer, None on a timeout."""
         host = self._dispatching_host()
         if host == self._name:
             answer = self._dispatcher.request_slot(
@@ -165,7 +170,7 @@
         return answer
 
     def _with_avoided(self, request: SlotRequest) -> SlotRequest:
-        """Add the groups that only this host knows to be out of use."""
+        """Add the open groups that this host knows not to be usable."""
         serving = self._directory.serving_groups(request.service, request.model.name)
         usable = {group.name for group in serving}
         known = {
@@ -196,28 +201,28 @@
         if answer.verdict is not PlaceVerdict.GRANTED:
             return
         if answer.node == self._name:
-            # The stream is counted by itself before anything else is chosen.
+            # This host counts the stream itself before it selects another group.
             self._directory.loads.settle_grants(self._name, answer.grant_number)
         else:
             self.grant_number = answer.grant_number
 
     def _find_usable(self, answer: PlaceAnswer, request: SlotRequest) -> Group | None:
-        """Return the group that was named, None if this host would not use it."""
+        """Return the granted group, None if this host would not use it."""
         groups = self._directory.serving_groups(request.service, request.model.name)
         key = (answer.group, answer.epoch)
         named = (group for group in groups if group.key == key)
         return next((g for g in named if g.name not in request.avoided), None)
 
     def _on_answer(self, answer: PlaceAnswer) -> None:
-        waiting = self._answers.get(answer.number)
-        if waiting is not None:
-            waiting.put_nowait(answer)
+        answers = self._answers.get(answer.number)
+        if answers is not None:
+            answers.put_nowait(answer)
             return
         if answer.verdict is PlaceVerdict.GRANTED:
             self._record_grant(answer)
             self.release_grant()
 
     def release_grant(self) -> None:
-        """Tell that a place was given which no stream takes."""
+        """Report that a granted slot is not used."""
         for notify in self.on_unused_grant:
             notify()
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -1,4 +1,4 @@
-"""Count the work that is known to be on each group, and learn its pace."""
+"""Track the load of every group from all hosts, and learn each group's pace."""
 
 from collections import defaultdict
 from collections.abc import Container, Iterable
@@ -10,22 +10,26 @@
 from mallowpond.state.fleet import EngineProfile, Group, GroupKey
 from mallowpond.state.placement import GroupLoad
 
-# Time that the readers' sums of all work count, in seconds.
+# Time for which the load totals that a reader published are used, in seconds.
 TOTALS_TTL_SECONDS = 0.7
-# Age of what is known of other hosts' work, in seconds: by the readers' sums, about two
-# pauses between tellings; by the hosts' own heartbeats, one.
+# Typical age of other hosts' loads, in seconds: in the readers' totals, about two
+# publishing intervals; in the hosts' own heartbeats, one.
 TOTALS_AGE_SECONDS = 0.3
 HEARTBEAT_AGE_SECONDS = 0.1
-# Weight of a new observation of a group's pace.
+# Weight of a new observation in the moving average of a group's slowness.
 SLOWNESS_SMOOTHING = 0.1
-# Time in which what is known of a group's pace fades, in seconds.
+# Time constant with which a group's slowness decays to 1 without events, in seconds.
 SLOWNESS_SECONDS = 3.0
 SLOWNESS_RANGE = (0.5, 30.0)
 
 
 @dataclass(kw_only=True)
 class GroupWork:
-    """Count this host's own streams on one group."""
+    """This host's own streams on one group, and what it observed of the group.
+
+    `slowness` is the observed pass time over the declared one; the group gets no new
+    streams until `excluded_until`.
+    """
 
     running: int = 0
     prefill_tokens: float = 0.0
@@ -33,11 +37,11 @@
     last_event_at: float = 0.0
     excluded_until: float = 0.0
     suspicions: int = 0
-    # Length of the last pause after the group turned a stream away, 0 since an event.
+    # Last backoff after the group rejected a stream; an event resets it to 0.
     backoff_seconds: float = 0.0
 
     def forget_pace(self) -> None:
-        """Drop what the engines of before taught; what runs is counted on."""
+        """Reset what earlier engine processes showed; keep the stream counts."""
         self.slowness = 1.0
         self.excluded_until = 0.0
         self.suspicions = 0
@@ -45,7 +49,7 @@
 
 
 class GroupLoads:
-    """Hold this host's own work by group, and what others tell of theirs."""
+    """The load of each group: this host's own, and that reported by the other hosts."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
@@ -60,55 +64,55 @@
         return self._work[key]
 
     def load(self, key: GroupKey) -> GroupLoad:
-        """Return what is known of all hosts' work on a group."""
+        """Return the load of a group from all hosts, as far as this one knows it."""
         now = self._clock.now()
         own = self._work[key]
-        running, reading = own.running, own.prefill_tokens
+        running, prefill = own.running, own.prefill_tokens
         if now - self._totals_at < TOTALS_TTL_SECONDS:
-            others, others_reading = self._others_total(key)
+            others, others_prefill = self._others_total(key)
             return GroupLoad(
                 running=running + others,
-                prefill_tokens=reading + others_reading,
+                prefill_tokens=prefill + others_prefill,
                 slowness=self._slowness(own, now),
             )
-        others, others_reading = self._peers.total(key, now)
+        others, others_prefill = self._peers.total(key, now)
         return GroupLoad(
             running=running + others,
-            prefill_tokens=reading + others_reading,
+            prefill_tokens=prefill + others_prefill,
             slowness=self._slowness(own, now),
         )
 
     @property
     def load_age(self) -> float:
-        """Return how old the figures of other hosts' work mostly are, in seconds."""
+        """Return the typical age of other hosts' loads, in seconds."""
         if self._clock.now() - self._totals_at < TOTALS_TTL_SECONDS:
             return TOTALS_AGE_SECONDS
         return HEARTBEAT_AGE_SECONDS
 
     def _others_total(self, key: GroupKey) -> tuple[int, float]:
-        """Return the readers' sum of a group's work without this host's part of it."""
-        running, reading = self._totals.get(key, (0, 0.0))
-        own_running, own_reading = self._published.get(key, (0, 0.0))
-        return max(0, running - own_running), max(0.0, reading - own_reading)
+        """Return a group's published total less the part that this host reported."""
+        running, prefill = self._totals.get(key, (0, 0.0))
+        own_running, own_prefill = self._published.get(key, (0, 0.0))
+        return max(0, running - own_running), max(0.0, prefill - own_prefill)
 
     def _slowness(self, work: GroupWork, now: float) -> float:
-        """Return a group's slowness, forgotten while it sends nothing.
+        """Return a group's slowness, which decays while the group sends no events.
 
-        A group that was slow gets no streams, so nothing would ever show that it has
-        recovered.
+        A slow group gets no streams, so without the decay nothing would ever show that
+        it has recovered.
         """
         age = max(0.0, now - work.last_event_at)
         return 1.0 + (work.slowness - 1.0) * exp(-age / SLOWNESS_SECONDS)
 
     def load_of(self, group: Group, profile: EngineProfile) -> GroupLoad:
-        """Return the load of a group, slower where it spans domains."""
+        """Return the load of a group, with a higher slowness if it spans domains."""
         load = self.load(group.key)
         if not group.spans_domains:
             return load
         return replace(load, slowness=load.slowness * profile.cross_domain_factor)
 
     def own_loads(self) -> LoadsByGroup:
-        """Return this host's own work by group, for its peers."""
+        """Return this host's own loads by group, to be published."""
         return {
             key: (work.running, work.prefill_tokens)
             for key, work in self._work.items()
@@ -116,29 +120,29 @@
         }
 
     def all_loads(self, groups: Iterable[GroupKey]) -> LoadsByGroup:
-        """Return all hosts' work on these groups, as a reader sums it up."""
+        """Return the total loads of these groups, as a reader publishes them."""
         loads = {key: self.load(key) for key in groups}
         return {k: (v.running, v.prefill_tokens) for k, v in loads.items() if v.running}
 
     def record_published(self, loads: LoadsByGroup) -> None:
-        """Note which of this host's work is part of the readers' sums."""
+        """Record the part of this host's loads that the readers' totals include."""
         self._published = loads
 
     def record_peer_loads(
         self, name: str, loads: LoadsByGroup, grant_number: int = 0
     ) -> None:
-        """Note a peer's work by group, with the places up to number `grant_number`."""
+        """Record a peer's loads, which include its grants up to `grant_number`."""
         self._peers.record(name, loads, grant_number, self._clock.now())
 
     def record_grant(
         self, name: str, number: int, key: GroupKey, tokens: float
     ) -> None:
-        """Count a place that a peer was given until the peer tells of the stream."""
+        """Count a slot granted to a peer until the peer's loads include the stream."""
         now = self._clock.now()
         self._peers.grant(name, Grant(number=number, key=key, tokens=tokens, at=now))
 
     def record_gap(self, key: GroupKey, seconds: float, predicted: float) -> None:
-        """Learn how a group's pace compares with what is declared."""
+        """Update a group's slowness by an observed and a predicted event gap."""
         work = self._work[key]
         low, high = SLOWNESS_RANGE
         ratio = min(high, max(low, seconds / max(predicted, 1e-4)))
@@ -146,11 +150,11 @@
         work.slowness = min(high, max(low, work.slowness))
 
     def settle_grants(self, name: str, number: int) -> None:
-        """Count the places up to a number no more: their streams are counted."""
+        """Stop counting a host's grants up to a number: its loads include them."""
         self._peers.settle(name, number, self._clock.now())
 
     def record_totals(self, loads: LoadsByGroup) -> None:
-        """Note the sums of all hosts' work that a reader tells."""
+        """Record the total loads of all hosts that a reader published."""
         self._totals = loads
         self._totals_at = self._clock.now()
 
@@ -159,7 +163,7 @@
         return self._work.values()
 
     def forget_idle(self, known: Container[GroupKey]) -> None:
-        """Drop the groups that are gone and on which nothing runs here."""
+        """Drop groups that are no longer known and have no stream of this host."""
         idle = [
             key
             for key, work in self._work.items()
--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -1,4 +1,4 @@
-"""Choose the group for a stream by what this host knows of all work."""
+"""Select the group for a stream by the known load of every group."""
 
 import random
 from collections import defaultdict
@@ -22,18 +22,22 @@
 from mallowpond.state.retry_window import RetryWindow
 
 # Share of the objective that a group's predicted first event may take. Less makes
-# streams wait for places that groups across domains could give them in time.
+# streams wait although groups that span domains could serve them in time.
 FIRST_EVENT_SHARE = 1.0
-# Groups among which a place is chosen where all work is known: with so many drawn at
-# random the best is hardly worse than the best of all.
+# Groups with a free slot that are drawn at random where all load is known: the best of
+# so many is hardly worse than the best of all.
 DRAWN_GROUPS_EXACT = 10
-# Shortest time for which a stream is taken to hold its place, in seconds.
+# Lower bound of the time for which a stream is expected to hold its slot, in seconds.
 MIN_HOLD_SECONDS = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
 class SlotRequest:
-    """Say what place a stream needs; groups in `avoided` are out of the question."""
+    """Describes the slot that a stream needs.
+
+    `objective` is the time allowed until the first event, in seconds; groups whose
+    names are in `avoided` are not selected.
+    """
 
     service: str
     profile: EngineProfile
@@ -43,12 +47,12 @@
     avoided: frozenset[str] = frozenset()
 
     def without(self, groups: Collection[str]) -> "SlotRequest":
-        """Return the same for a stream that avoids these groups too."""
+        """Return a copy that avoids these groups too."""
         return replace(self, avoided=self.avoided.union(groups))
 
 
 class GroupSelector:
-    """Choose among the groups of a directory."""
+    """Selects groups of a directory for streams."""
 
     def __init__(
         self,
@@ -69,11 +73,15 @@
         )
 
     def delay(self, service: str, model: str) -> FirstEventDelay:
-        """Return what was learnt of the first events of a model."""
+        """Return the learned delay of a model's first events beyond the prediction."""
         return self._delays[(service, model)]
 
     def select_by_reports(self, request: SlotRequest) -> Group | None:
-        """Choose by news of the others' work that is some tenths of a second old."""
+        """Select a group by load reports, which are some tenths of a second old.
+
+        Where other hosts may have sent many streams since, the choice is between a few
+        groups drawn at random, so that not all hosts pick the same one.
+        """
         unreported = unreported_streams(
             own_per_second=self._budget(request.service).first_sends_per_second,
             hosts=self._hosts(),
@@ -88,14 +96,14 @@
         return self._select(request, groups, candidates)
 
     def select_exact(self, request: SlotRequest) -> Group | None:
-        """Choose where all work is known."""
+        """Select a group where the load of all hosts is known exactly."""
         groups = self._groups(request)
         return self._select(
             request, groups, self._draw(request, groups, DRAWN_GROUPS_EXACT)
         )
 
     def hold_seconds(self, profile: EngineProfile, model: ModelSpec) -> float:
-        """Return for how long a stream mostly holds its place."""
+        """Return the typical time for which a stream holds its slot, in seconds."""
         load = GroupLoad(running=profile.slots)
         passes = profile.typical_answer_tokens / max(1, profile.stride)
         return max(MIN_HOLD_SECONDS, passes * pass_seconds(profile, model, load))
@@ -122,9 +130,9 @@
     def _draw(
         self, request: SlotRequest, groups: list[Group], limit: int
     ) -> list[Candidate]:
-        """Return the first groups with a place, in a random order."""
+        """Return up to `limit` groups with a free slot, drawn at random."""
         shuffled = self._rng.sample(groups, len(groups))
-        # Those whose head has ended come last.
+        # Groups whose head process has ended come last.
         shuffled.sort(key=self._has_ended)
         return draw_candidates(
             request.profile,
--- a/mallowpond/node/model_summary.py
+++ b/mallowpond/node/model_summary.py
@@ -1,4 +1,4 @@
-"""Sum up the work of each model, for the planner and for its log."""
+"""Summarize the load of each model for the planner and its log."""
 
 import structlog
 
@@ -8,23 +8,25 @@
 
 log = structlog.get_logger()
 
-# Weight of the declared share of a model against the running streams: those rise at
+# Weight of a model's declared share against its share of running streams: those rise at
 # once when a model has too few groups, but say little while few streams run.
 DECLARED_WEIGHT = 0.5
+# Running streams, weighted by group size, below which only declared shares are used.
 MIN_OBSERVED_WORK = 10.0
 
 
-# Fullness of a model that no open group serves, while its requests are refused or wait:
-# what runs on no group says nothing. Read as no need, groups that lost a member would
-# stay down beside their free survivors.
+# Utilization assumed for a model without an open group: its requests are refused or
+# wait, so no stream runs. Counted as no demand, groups that lost a member were not
+# formed anew although the surviving targets were free.
 UNSERVED_UTILIZATION = 1.0
 
 
 def demand(directory: Directory, profile: EngineProfile) -> dict[str, float]:
-    """Return each model's share of the work, half as declared, half as seen.
+    """Return each model's share of the load by name, half declared, half observed.
 
-    Work is counted by the engines that it takes, as the declared shares are. While a
-    model has no open group its work is not seen, and the declared shares hold alone.
+    Load is weighted by the engines of a group, as the declared shares are. The result
+    is empty, so that declared shares apply, while some model has no open group, whose
+    load cannot be observed, or too few streams run.
     """
     running: dict[str, float] = {}
     for model in profile.models:
@@ -44,14 +46,14 @@
 
 
 def utilization(directory: Directory, profile: EngineProfile) -> dict[str, float]:
-    """Return how full each model's groups are, with what waits here."""
-    fullness = {}
+    """Return the share of each model's slots in use, by model name."""
+    result = {}
     for model in profile.models:
         groups = _open_groups(directory, model.name)
         running = sum(directory.loads.load(group.key).running for group in groups)
-        places = len(groups) * profile.slots
-        fullness[model.name] = running / places if places else UNSERVED_UTILIZATION
-    return fullness
+        slots = len(groups) * profile.slots
+        result[model.name] = running / slots if slots else UNSERVED_UTILIZATION
+    return result
 
 
 def _open_groups(directory: Directory, model: str) -> list[Group]:
@@ -63,7 +65,7 @@
 
 
 def log_summary(directory: Directory, view: FormationView) -> None:
-    """Log what runs where, for whoever asks later why there was no place."""
+    """Log the groups, loads and targets, which explain later why no slot was free."""
     for model in view.profile.models:
         groups = [g for g in directory.groups.values() if g.model == model.name]
         open_groups = [g for g in groups if g.phase is GroupPhase.OPEN]
--- a/mallowpond/node/outcomes.py
+++ b/mallowpond/node/outcomes.py
@@ -1,11 +1,11 @@
-"""How serving one request ended."""
+"""Outcomes of serving one request."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Reason(str, Enum):
-    """Name why a request was refused, failed, or sent once more."""
+    """Why a request was refused, failed, or sent again."""
 
     BAD_REQUEST = "bad_request"
     NO_CONFIGURATION = "no_configuration"
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answered:
-    """A target's whole answer went to the caller."""
+    """The caller got a target's complete answer."""
 
     status: int
     target: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """Nothing went to the caller; `status` 503 only when the request did not run."""
+    """The caller got no answer; `status` is 503 only if the request did not run."""
 
     status: int
     reason: Reason
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CutOff:
-    """The answer had begun and cannot be finished; the connection is closed."""
+    """The answer had begun and cannot be completed; the connection is closed."""
 
     reason: Reason
 
--- a/mallowpond/node/peer_work.py
+++ b/mallowpond/node/peer_work.py
@@ -1,23 +1,23 @@
-"""Add up the work that peers tell, and the places that they were given since."""
+"""Add up the loads that peers report and the slots granted to them since."""
 
 from collections import Counter, defaultdict, deque
 from dataclasses import dataclass, field
 
 from mallowpond.state.fleet import GroupKey
 
-# Time that peers' figures of a group's work count, in seconds.
+# Time for which a peer's reported loads count, in seconds.
 PEER_LOAD_TTL_SECONDS = 1.5
-# Time for which a place that was given away counts although its host does not tell of a
-# stream there, in seconds: what a datagram there and the next word of that host take.
+# Time for which a grant counts although its host does not report a stream for it, in
+# seconds: enough for a datagram to that host and its next report.
 GRANT_TTL_SECONDS = 0.5
 
-# Streams and tokens still to be read, by group.
+# Running streams and tokens still to be prefilled, by group.
 LoadsByGroup = dict[GroupKey, tuple[int, float]]
 
 
 @dataclass(frozen=True, kw_only=True)
 class PeerLoad:
-    """Hold one peer's figures of its work by group."""
+    """One peer's reported loads by group."""
 
     received_at: float
     loads: LoadsByGroup = field(default_factory=dict)
@@ -25,7 +25,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Grant:
-    """Hold a place that was given to another host's stream, by the giver's count."""
+    """A slot granted to a stream of another host.
+
+    `number` is the dispatcher's count of grants to that host, `tokens` the prompt to be
+    prefilled, `at` the time of the grant.
+    """
 
     number: int
     key: GroupKey
@@ -34,41 +38,41 @@
 
 
 class PeerWork:
-    """Add up what peers tell of their work, and the places they were given since."""
+    """Sums of the peers' reported loads and of grants not yet in those reports."""
 
     def __init__(self) -> None:
         self._peers: dict[str, PeerLoad] = {}
         self._running: Counter[GroupKey] = Counter()
-        self._reading: Counter[GroupKey] = Counter()
+        self._prefill: Counter[GroupKey] = Counter()
         self._grants: dict[str, deque[Grant]] = defaultdict(deque)
-        # When each grant was given and to whom, the oldest first.
+        # Time and host of each grant, oldest first.
         self._grant_times: deque[tuple[float, str]] = deque()
 
     def total(self, key: GroupKey, now: float) -> tuple[int, float]:
-        """Return all peers' streams on a group, and their tokens to be read."""
+        """Return the peers' running streams on a group and their tokens to prefill."""
         self._expire_peers(now)
         self._expire_grants(now)
-        return self._running[key], max(0.0, self._reading[key])
+        return self._running[key], max(0.0, self._prefill[key])
 
     def record(
         self, name: str, loads: LoadsByGroup, grant_number: int, now: float
     ) -> None:
-        """Take a peer's figures, which hold the places up to number `grant_number`."""
+        """Record a peer's loads, which include its grants up to `grant_number`."""
         self._remove(name)
-        # Least lately heard first.
+        # Kept in order of the latest report, oldest first, for expiry.
         self._peers[name] = PeerLoad(received_at=now, loads=loads)
-        for key, (running, reading) in loads.items():
-            self._add(key, running, reading)
+        for key, (running, prefill) in loads.items():
+            self._add(key, running, prefill)
         self.settle(name, grant_number, now)
 
     def grant(self, name: str, grant: Grant) -> None:
-        """Count a place that is given to a peer until the peer tells of it."""
+        """Count a slot granted to a peer until its loads include the stream."""
         self._grants[name].append(grant)
         self._grant_times.append((grant.at, name))
         self._add(grant.key, 1, grant.tokens)
 
     def settle(self, name: str, grant_number: int, now: float) -> None:
-        """Count the places up to a number no more, nor those given long ago."""
+        """Stop counting a peer's grants up to a number, and expired ones."""
         grants = self._grants[name]
         while grants and (
             grants[0].number <= grant_number or now - grants[0].at > GRANT_TTL_SECONDS
@@ -90,11 +94,11 @@
     def _remove(self, name: str) -> None:
         known = self._peers.pop(name, None)
         if known is not None:
-            for key, (running, reading) in known.loads.items():
-                self._add(key, -running, -reading)
+            for key, (running, prefill) in known.loads.items():
+                self._add(key, -running, -prefill)
 
-    def _add(self, key: GroupKey, running: int, reading: float) -> None:
+    def _add(self, key: GroupKey, running: int, prefill: float) -> None:
         self._running[key] += running
-        self._reading[key] += reading
+        self._prefill[key] += prefill
         if not self._running[key]:
-            del self._running[key], self._reading[key]
+            del self._running[key], self._prefill[key]
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -1,4 +1,4 @@
-"""Give each stream a group: choose one, wait for a place, or refuse at once."""
+"""Place each stream: select a group, wait for a free slot, or refuse at once."""
 
 from math import inf
 
@@ -26,22 +26,25 @@
 )
 from mallowpond.state.placement_queue import QueueEntry
 
-# Share of a caller's patience that a stream may wait here for a place: the rest is
-# for reading the prompt and the first pass.
+# Share of a caller's patience that a stream may wait here for a slot: the rest is for
+# prefill and the first pass.
 WAIT_SHARE = 0.6
-# Silence after which callers leave, as the platform's pages give it: the longest of
-# these seconds, objectives and allowed gaps.
+# Silence after which callers give up, as the platform documents it: the largest of
+# these seconds, multiples of the objective, and multiples of the gap objective.
 PATIENCE_SECONDS = 2.0
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_GAPS = 8.0
-# Time left below which a stream is not sent any more, in seconds.
+# Minimum time left before the deadline to send a stream, in seconds.
 MIN_SEND_SECONDS = 0.05
-# Time to come back when no group serves a model and none is known to form soon.
+# Retry-After when no group serves a model and none is known to form soon, in seconds.
 NO_GROUP_RETRY_SECONDS = 1.0
 
 
 class StreamPlacement:
-    """Place streams on the groups of a directory."""
+    """Places streams on the groups of a directory.
+
+    Slots come from the dispatcher where there is one, else from this host's own view.
+    """
 
     def __init__(self, *, parts: ServingParts) -> None:
         self._directory = parts.directory
@@ -61,12 +64,12 @@
             hosts=parts.hosts,
             rng=parts.rng,
         )
-        # Without it this host goes by news of the others alone.
+        # Without it this host places streams by load reports alone.
         self.dispatcher_client: DispatcherClient | None = None
         self.shutdown_at = inf
 
     def record_model(self, work: StreamWork) -> None:
-        """Remember what a stream of its model looks like, for those that wait."""
+        """Record a stream's model and objective, by which `wake` looks for a slot."""
         self._models[work.model.name] = (
             work.service,
             work.profile,
@@ -75,28 +78,28 @@
         )
 
     def wake_all(self) -> None:
-        """Look whether waiting streams have a place now."""
+        """Wake the waiting streams of every model that has a free slot."""
         for model in self._queues:
             self.wake(model)
 
     def delay(self, service: str, model: str) -> FirstEventDelay:
-        """Return what was learnt of the first events of a model."""
+        """Return the learned delay of a model's first events beyond the prediction."""
         return self.selector.delay(service, model)
 
     def end_waits(self) -> None:
-        """Let no stream wait for a place any longer."""
+        """End the waits of all streams without a slot."""
         for queue in self._queues.values():
             queue.reject_all()
         if self.dispatcher_client is not None:
             self.dispatcher_client.end_waits()
 
     async def place(self, work: StreamWork) -> Group | Refusal:
-        """Return the group that a stream goes to, or why it goes to none."""
+        """Return the group for a stream, waiting for a slot if needed, or a refusal."""
         while True:
             quarantined = self._quarantine.refuse(work.fingerprint, work.request.id)
             if quarantined is not None:
-                # Placed all the same, it would end one more group and all that runs
-                # there; its caller comes again, at any host.
+                # Placed, it would crash one more group and every stream there; its
+                # caller may retry at any host.
                 return quarantined
             refusal = self._refuse_closed(work)
             if refusal is not None:
@@ -107,7 +110,7 @@
                 case WaitEnded():
                     return self._refuse_unplaced(work)
                 case Placed(group=group) if self._intake.closed([group]):
-                    # What its head says has changed while the stream waited.
+                    # Its head closed admission while the stream waited.
                     self._release_grant()
                     continue
                 case Placed(group=group):
@@ -124,7 +127,7 @@
                 return refusal
 
     def choose(self, work: StreamWork) -> Group | None:
-        """Return the group with a place for a stream now, None if there is none."""
+        """Return a group with a free slot by load reports, None if there is none."""
         return self.selector.select_by_reports(self._slot_request(work))
 
     def _slot_request(self, work: StreamWork) -> SlotRequest:
@@ -138,9 +141,9 @@
         )
 
     def _avoided(self, work: StreamWork) -> frozenset[str]:
-        """Return the groups that are out of the question for a stream now.
+        """Return the names of the groups that a stream must not be sent to now.
 
-        It was sent there already, or the head wants no request now.
+        It was sent there already, or the group's head admits no requests now.
         """
         if not work.sent_to and not self._intake.is_any:
             return frozenset()
@@ -149,9 +152,10 @@
         return self._intake.closed(groups).union(used)
 
     def _refuse_closed(self, work: StreamWork) -> Refusal | None:
-        """Refuse a stream where every group of its model wants none for too long.
+        """Refuse a stream if no group of its model admits requests within its patience.
 
-        Not one that has begun: it would be cut off, though a group may form in time.
+        A stream that has begun is not refused: it would be cut off although a group may
+        form in time.
         """
         if work.has_begun or not self._intake.is_any:
             return None
@@ -164,12 +168,12 @@
         return self.refuse(reason, self._intake.retry_seconds(heads))
 
     def _release_grant(self) -> None:
-        """Tell that a place which was given is not used."""
+        """Report that a granted slot is not used."""
         if self.dispatcher_client is not None:
             self.dispatcher_client.release_grant()
 
     async def _request_slot(self, work: StreamWork) -> PlacementOutcome | None:
-        """Ask the host that counts all places, if there is one."""
+        """Request a slot from the dispatcher; return None without an answer."""
         now = self._clock.now()
         patience = min(self._patience(work), work.deadline - now)
         if self.dispatcher_client is None or patience <= MIN_SEND_SECONDS:
@@ -191,7 +195,7 @@
             work.waited += self._clock.now() - now
 
     async def _wait(self, work: StreamWork) -> Refusal | None:
-        """Wait for a place, or say at once that there will be none in time."""
+        """Wait in this host's queue for a slot; refuse if none comes in time."""
         now = self._clock.now()
         if now + MIN_SEND_SECONDS > work.deadline:
             return Refusal(status=504, reason=Reason.TIMEOUT)
@@ -200,7 +204,7 @@
         wait = expected_wait(
             ahead=queue.ahead_of(work.priority, has_begun=work.has_begun),
             slots=len(groups) * work.profile.slots,
-            # Every host gets its part of the places that free.
+            # All hosts share the slots that come free.
             service_seconds=self.selector.hold_seconds(work.profile, work.model)
             * self._hosts(),
         )
@@ -210,9 +214,9 @@
         if wait > patience:
             return self.refuse(Reason.OVERLOADED, wait)
         self._metrics.waiting.inc()
-        came = False
+        is_woken = False
         try:
-            came = await queue.wait(
+            is_woken = await queue.wait(
                 priority=work.priority,
                 objective_deadline=self._objective_deadline(work),
                 seconds=patience,
@@ -221,32 +225,32 @@
         finally:
             self._metrics.waiting.dec()
             work.waited += self._clock.now() - now
-            if not came:
-                # It may have been offered a place as it left, which goes to the next.
+            if not is_woken:
+                # It may have been offered a slot as it left: offer that to the next.
                 self.wake(work.model.name)
-        if not came:
+        if not is_woken:
             return self._refuse_unplaced(work)
         return None
 
     def _patience(self, work: StreamWork) -> float:
-        """Return how long a stream may wait for a place from now.
+        """Return how long a stream may wait for a slot from now, in seconds.
 
-        Counted from its last event: counted from its start, a stream that had run for
-        1.2 s was cut off at once when its group died and no place was free.
+        It counts from the stream's last event: counted from its start, a stream that
+        had run for 1.2 s was cut off at once when its group died and no slot was free.
         """
         whole = max(
             PATIENCE_SECONDS,
             PATIENCE_OBJECTIVES * work.route.objective_seconds,
             PATIENCE_GAPS * work.route.gap_objective_seconds,
         )
-        heard_at = work.last_event_at or work.started_at
-        return max(0.0, WAIT_SHARE * whole - (self._clock.now() - heard_at))
+        last_at = work.last_event_at or work.started_at
+        return max(0.0, WAIT_SHARE * whole - (self._clock.now() - last_at))
 
     def _objective_deadline(self, work: StreamWork) -> float:
-        """Return until when a place lets a stream meet its objective.
+        """Return the latest time to send a stream so that it meets its objective.
 
-        The first event takes its own time from there on: ordered by the objective
-        alone, those that are just too late go before those that are not.
+        The predicted time to the first event is subtracted: ordered by the objective
+        alone, streams that are just too late would go before those that are not.
         """
         load = GroupLoad(running=max(0, work.profile.slots - 1))
         seconds = first_event_seconds(
@@ -256,12 +260,13 @@
         return work.started_at + work.route.objective_seconds - seconds
 
     def longest_seconds(self, work: StreamWork) -> float:
-        """Return how long a stream may take from now on, infinity without a group.
+        """Return an upper bound of a stream's duration from now on, in seconds.
 
-        With as many tokens as it may get, on the group that it would get, full and at
-        the pace that it shows; without a place on the best that may get one: at the
-        pace of a sound group, a host took streams that its slow groups could not end
-        before it ended.
+        The bound is for the largest answer on the group that the stream would get, with
+        all slots in use and at the group's current pace; without a free slot, on the
+        fastest group of its model; without a group it is infinite. Predicted at the
+        declared pace, a host that was shutting down accepted streams that its slow
+        groups could not finish in time.
         """
         groups = self._directory.serving_groups(work.service, work.model.name)
         chosen = self.choose(work)
@@ -278,35 +283,35 @@
         return work.route.objective_seconds + passes * one_pass
 
     def _shuts_down_before(self, work: StreamWork) -> bool:
-        """Tell whether this host ends before a stream that has not begun.
+        """Return whether this host may shut down before a new stream ends.
 
-        Judged only when it was taken, a stream got a place just before its host ended
-        and was cut off; its caller can still come back to another host.
+        Checked at arrival only, a stream that had waited got a slot just before the
+        shutdown and was cut off; refused, its caller can retry at another host.
         """
         if self.shutdown_at == inf or work.has_begun:
             return False
         return self._clock.now() + self.longest_seconds(work) > self.shutdown_at
 
     def _refuse_unplaced(self, work: StreamWork) -> Refusal:
-        """Refuse a stream that waited in vain."""
+        """Refuse a stream that got no slot while it waited."""
         groups = self._directory.serving_groups(work.service, work.model.name)
         reason = Reason.OVERLOADED if groups else Reason.NO_GROUP
         return self.refuse(reason, NO_GROUP_RETRY_SECONDS)
 
     def refuse(self, reason: Reason, wait: float) -> Refusal:
-        """Refuse a stream that did not run, to come back after about `wait` seconds."""
+        """Refuse a stream that did not run; it may retry after about `wait` seconds."""
         after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
     def wake(self, model: str) -> None:
-        """Look whether the streams that wait for a model have a place now."""
+        """Wake the first waiting stream of a model if a group has a free slot."""
         queue = self._queues.get(model)
-        model_traits = self._models.get(model)
-        if queue is None or model_traits is None:
+        parameters = self._models.get(model)
+        if queue is None or parameters is None:
             return
-        service, profile, spec, objective = model_traits
+        service, profile, spec, objective = parameters
 
-        def has_place() -> bool:
+        def has_capacity() -> bool:
             groups = self._directory.serving_groups(service, model)
             closed = self._intake.closed(groups)
             loads = [
@@ -323,4 +328,4 @@
             )
             return chosen is not None
 
-        queue.wake(has_place, self._clock.now())
+        queue.wake(has_capacity, self._clock.now())
