--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -121,7 +121,7 @@
             candidates,
             prompt_tokens=request.prompt_tokens,
             limit_seconds=FIRST_EVENT_SHARE * request.objective,
-            delay_seconds=self.delay(request.service, request.model.name).usual,
+            delay_seconds=self.delay(request.service, request.model.name).typical,
         )
         if chosen is None:
             return None
@@ -140,7 +140,7 @@
             self._candidates(request, shuffled),
             prompt_tokens=request.prompt_tokens,
             limit_seconds=FIRST_EVENT_SHARE * request.objective,
-            most=limit,
+            count=limit,
         )
 
     def _candidates(
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -198,7 +198,7 @@
         now = self._clock.now()
         own = self._directory.loads.work(group.key)
         load = self._directory.loads.load_of(group, work.profile)
-        usual_delay = self.placement.delay(work.service, work.model.name).usual
+        usual_delay = self.placement.delay(work.service, work.model.name).typical
         stream = ActiveStream(
             work=work,
             group=group,
@@ -338,7 +338,7 @@
             work.longest_gap = max(work.longest_gap, now - work.last_event_at)
         work.last_event_at = now
         if stream.last_event_at is None:
-            self.placement.delay(work.service, work.model.name).note(
+            self.placement.delay(work.service, work.model.name).record(
                 observed=now - stream.sent_at,
                 predicted=stream.predicted,
                 slowness=stream.slowness,
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -82,7 +82,7 @@
     """Let first events of the stream's model come so much later than predicted."""
     delay = rig.service.placement.delay(stream.work.service, stream.work.model.name)
     for _ in range(MIN_SAMPLES):
-        delay.note(observed=seconds, predicted=0.0)
+        delay.record(observed=seconds, predicted=0.0)
 
 
 async def end(task):
