--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -111,7 +111,7 @@
             candidates,
             prompt_tokens=seek.prompt_tokens,
             limit_seconds=FIRST_EVENT_SHARE * seek.objective,
-            delay_seconds=self.delay(seek.service, seek.model.name).usual,
+            delay_seconds=self.delay(seek.service, seek.model.name).typical,
         )
         if chosen is None:
             return None
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -250,7 +250,7 @@
         seconds = first_event_seconds(
             work.profile, work.model, load, work.prompt_tokens
         )
-        seconds += self.delay(work.service, work.model.name).usual
+        seconds += self.delay(work.service, work.model.name).typical
         return work.started_at + work.route.objective_seconds - seconds
 
     def longest_seconds(self, work: StreamWork) -> float:
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -196,7 +196,7 @@
         now = self._clock.now()
         own = self._directory.loads.work(group.key)
         load = self._directory.loads.load_of(group, work.profile)
-        usual_delay = self.placement.delay(work.service, work.model.name).usual
+        usual_delay = self.placement.delay(work.service, work.model.name).typical
         stream = ActiveStream(
             work=work,
             group=group,
--- a/mallowpond/state/first_event.py
+++ b/mallowpond/state/first_event.py
@@ -31,7 +31,7 @@
     _errors: deque[float] = field(default_factory=lambda: deque(maxlen=SAMPLES))
 
     @property
-    def usual(self) -> float:
+    def typical(self) -> float:
         """Return the median delay in seconds, 0 while nothing is known."""
         if not self._is_known:
             return 0.0
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -34,14 +34,14 @@
 
 @pytest.mark.parametrize("seconds", [0.01, 0.12, 0.4])
 def test_the_delay_of_engines_is_learnt_within_a_fiftieth_of_a_second(seconds):
-    assert seen(seconds).usual == pytest.approx(seconds, abs=0.02)
+    assert seen(seconds).typical == pytest.approx(seconds, abs=0.02)
 
 
 def test_a_few_first_events_of_a_dying_group_do_not_move_the_estimate():
     delay = seen(0.12)
     for _ in range(SAMPLES // 5):
         delay.record(observed=2.0, predicted=PREDICTED)
-    assert delay.usual == pytest.approx(0.12, abs=0.02)
+    assert delay.typical == pytest.approx(0.12, abs=0.02)
 
 
 def test_the_delay_on_a_slow_group_is_counted_as_on_a_sound_one():
@@ -54,12 +54,12 @@
     delay = FirstEventDelay()
     for _ in range(MIN_SAMPLES):
         delay.record(observed=PREDICTED + 0.3, predicted=PREDICTED, slowness=2.5)
-    assert delay.usual == pytest.approx(0.12)
+    assert delay.typical == pytest.approx(0.12)
 
 
 def test_nothing_is_said_on_a_few_samples():
     delay = seen(0.12, count=MIN_SAMPLES - 1)
-    assert delay.usual == 0.0
+    assert delay.typical == 0.0
     assert delay.upper_bound == DEFAULT_UPPER_BOUND_SECONDS
 
 
