--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -117,7 +117,7 @@
             return None
         return next(group for group in groups if _key_of(group) == chosen.key)
 
-    def _drawn(self, seek: Seek, groups: list[Group], most: int) -> list[Candidate]:
+    def _drawn(self, seek: Seek, groups: list[Group], count: int) -> list[Candidate]:
         """Return the first groups with a place, in a random order."""
         shuffled = self._rng.sample(groups, len(groups))
         # Those whose head has ended come last.
@@ -128,7 +128,7 @@
             self._candidates(seek, shuffled),
             prompt_tokens=seek.prompt_tokens,
             limit_seconds=FIRST_EVENT_SHARE * seek.objective,
-            most=most,
+            count=count,
         )
 
     def _candidates(self, seek: Seek, groups: list[Group]) -> Iterator[Candidate]:
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -135,7 +135,7 @@
     *,
     prompt_tokens: float,
     limit_seconds: float,
-    most: int = DRAWN_GROUPS,
+    count: int = DRAWN_GROUPS,
 ) -> list[Candidate]:
     """Return the first few groups with a place, of candidates in a random order.
 
@@ -153,7 +153,7 @@
             limit_seconds=limit_seconds,
         )
     )
-    return list(islice(places, most))
+    return list(islice(places, count))
 
 
 def choose_group(
