--- a/mallowpond/coordination/claims.py
+++ b/mallowpond/coordination/claims.py
@@ -189,20 +189,22 @@
     def _decide(self, waiting: _Waiting, row: Row | None, group: _Group) -> None:
         stored = from_plain(row.value, ClaimRow) if row else None
         match waiting.work:
-            case Claim(row=asked):
+            case Claim(row=requested):
                 decision = decide_claim(
-                    stored=stored, asked=asked, live_gateways=self._live_gateways()
+                    stored=stored,
+                    requested=requested,
+                    live_gateways=self._live_gateways(),
                 )
                 if not isinstance(decision, Granted) or decision.row is stored:
                     _answer(waiting, decision)
                     return
-                change = Settled(row=asked, units=asked.units)
+                change = Settled(row=requested, units=requested.units)
                 result: ClaimResult = decision
-            case Finish(row=asked):
-                change = settle_end(stored=stored, asked=asked)
+            case Finish(row=requested):
+                change = settle_end(stored=stored, requested=requested)
                 result = SettledAnswer()
-            case Void(row=asked):
-                change = settle_void(stored=stored, asked=asked)
+            case Void(row=requested):
+                change = settle_void(stored=stored, requested=requested)
                 result = SettledAnswer()
         if change is None:
             _answer(waiting, result)
--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -36,16 +36,18 @@
 
 
 def decide_claim(
-    *, stored: ClaimRow | None, asked: ClaimRow, live_gateways: frozenset[str]
+    *, stored: ClaimRow | None, requested: ClaimRow, live_gateways: frozenset[str]
 ) -> ClaimDecision:
     """Weigh an attempt against the claim that the table holds."""
     match stored:
         case None:
-            return Granted(row=asked)
+            return Granted(row=requested)
         case ClaimRow(state=ClaimState.VOID, attempt=attempt):
             # A late duplicate of a withdrawn claim must not bring it back to life.
-            return Withdrawn() if attempt == asked.attempt else Granted(row=asked)
-        case ClaimRow(state=ClaimState.CLAIMED, attempt=asked.attempt):
+            return (
+                Withdrawn() if attempt == requested.attempt else Granted(row=requested)
+            )
+        case ClaimRow(state=ClaimState.CLAIMED, attempt=requested.attempt):
             return Granted(row=stored)
         case ClaimRow(state=ClaimState.DONE):
             return AlreadyRun()
@@ -65,31 +67,31 @@
     units: int
 
 
-def settle_end(*, stored: ClaimRow | None, asked: ClaimRow) -> Settled | None:
+def settle_end(*, stored: ClaimRow | None, requested: ClaimRow) -> Settled | None:
     """Return the change that ends an attempt as done or unknown, None if there is none.
 
-    `asked.state` says how the attempt ended.
+    `requested.state` says how the attempt ended.
     """
-    if stored is None or stored.attempt != asked.attempt:
+    if stored is None or stored.attempt != requested.attempt:
         return None
     if stored.state is not ClaimState.CLAIMED:
         return None
-    return Settled(row=replace(stored, state=asked.state), units=0)
+    return Settled(row=replace(stored, state=requested.state), units=0)
 
 
-def settle_void(*, stored: ClaimRow | None, asked: ClaimRow) -> Settled | None:
+def settle_void(*, stored: ClaimRow | None, requested: ClaimRow) -> Settled | None:
     """Return the change that withdraws an attempt of which nothing was sent.
 
     The claim's own commit may still be on its way. It was decided on an absent row or
     on another attempt's void row, so either is written anew: the commit then conflicts
     instead of charging for a request that was refused.
     """
-    if stored is None or _is_void_of_another(stored, asked):
-        return Settled(row=replace(asked, state=ClaimState.VOID), units=0)
-    if stored.attempt != asked.attempt or stored.state is not ClaimState.CLAIMED:
+    if stored is None or _is_void_of_another(stored, requested):
+        return Settled(row=replace(requested, state=ClaimState.VOID), units=0)
+    if stored.attempt != requested.attempt or stored.state is not ClaimState.CLAIMED:
         return None
     return Settled(row=replace(stored, state=ClaimState.VOID), units=-stored.units)
 
 
-def _is_void_of_another(stored: ClaimRow, asked: ClaimRow) -> bool:
-    return stored.state is ClaimState.VOID and stored.attempt != asked.attempt
+def _is_void_of_another(stored: ClaimRow, requested: ClaimRow) -> bool:
+    return stored.state is ClaimState.VOID and stored.attempt != requested.attempt
--- a/mallowpond/state/tests/test_claims.py
+++ b/mallowpond/state/tests/test_claims.py
@@ -43,27 +43,28 @@
 )
 def test_second_attempt(stored, expected):
     assert (
-        decide_claim(stored=stored, asked=claim("a2"), live_gateways=ALIVE) == expected
+        decide_claim(stored=stored, requested=claim("a2"), live_gateways=ALIVE)
+        == expected
     )
 
 
 def test_void_refunds_what_was_charged():
-    assert settle_void(stored=claim(), asked=claim()).units == -5
+    assert settle_void(stored=claim(), requested=claim()).units == -5
 
 
 def test_void_of_an_absent_claim_keeps_its_late_commit_out():
-    settled = settle_void(stored=None, asked=claim())
+    settled = settle_void(stored=None, requested=claim())
     assert settled.units == 0
     assert settled.row.state is ClaimState.VOID
 
 
 def test_void_of_another_attempt_changes_nothing():
-    assert settle_void(stored=claim("a1"), asked=claim("a2")) is None
+    assert settle_void(stored=claim("a1"), requested=claim("a2")) is None
 
 
 def test_end_of_another_attempt_changes_nothing():
-    asked = claim("a2", state=ClaimState.DONE)
-    assert settle_end(stored=claim("a1"), asked=asked) is None
+    requested = claim("a2", state=ClaimState.DONE)
+    assert settle_end(stored=claim("a1"), requested=requested) is None
 
 
 class ClaimMachine(RuleBasedStateMachine):
@@ -84,11 +85,13 @@
     @rule(gateway=st.sampled_from(["gw/1", "gw/2"]))
     def ask(self, gateway):
         self.attempts += 1
-        asked = claim(f"a{self.attempts}", gateway)
+        requested = claim(f"a{self.attempts}", gateway)
         alive = frozenset({"gw/1", "gw/2"})
-        decision = decide_claim(stored=self.row, asked=asked, live_gateways=alive)
+        decision = decide_claim(
+            stored=self.row, requested=requested, live_gateways=alive
+        )
         if isinstance(decision, Granted):
-            self.on_its_way.append((self.version, decision.row, asked.units))
+            self.on_its_way.append((self.version, decision.row, requested.units))
 
     @precondition(lambda self: self.on_its_way)
     @rule(place=st.integers(0, 5), answer_lost=st.booleans())
@@ -118,7 +121,7 @@
     def void(self):
         self.voided |= self.given_up
         for attempt in sorted(self.given_up):
-            settled = settle_void(stored=self.row, asked=claim(attempt))
+            settled = settle_void(stored=self.row, requested=claim(attempt))
             if settled is not None:
                 self.row, self.version = settled.row, self.version + 1
                 self.ledger += settled.units
@@ -134,7 +137,7 @@
     @rule()
     def finish(self):
         done = replace(claim(self.sent[-1]), state=ClaimState.DONE)
-        settled = settle_end(stored=self.row, asked=done)
+        settled = settle_end(stored=self.row, requested=done)
         if settled is not None:
             self.row, self.version = settled.row, self.version + 1
 
