--- a/mallowpond/state/formation.py
+++ b/mallowpond/state/formation.py
@@ -1,10 +1,13 @@
-"""Decide which orders bring the declared models up on the engines that are there.
+"""Plan the orders that form groups of engines for the declared models.
 
-The load pattern: engines of small fabric domains die in pairs every few seconds, a
-whole domain at times, and empty ones are added; loading weights takes many times
-longer than joining an engine that has them. So the rules are, in this order: never
-touch a group that works; free the survivors of a group that lost a member, at once;
-form again from survivors and staged spares; keep spares staged; load what is left.
+This planner runs on the entry hosts and forms groups from listed targets; the one in
+`planner` forms groups of hosts for the controllers.
+
+The load pattern: in small fabric domains, two engines fail every few seconds, sometimes
+a whole domain, and empty engines are added. Loading weights takes many times longer
+than joining an engine that has them. So the rules are, in this order: never touch a
+group that works; free the survivors of a group that lost a member at once; form groups
+again from survivors and staged spares; keep spares staged; load what is left.
 """
 
 from collections.abc import Iterable, Sequence
@@ -27,45 +30,48 @@
 )
 from mallowpond.state.upkeep import JOIN_PATIENCE_SECONDS, GroupUpkeep
 
-# Loads that are begun in a second, as a share of the declared rate: loads are
-# counted when they begin at the engine, which is later than the order by a jitter.
+# Loads to order per second, as a share of the declared rate. The margin allows for
+# jitter between the order and the start of the load, which is what the rate limits.
 LOAD_RATE_SHARE = 0.8
 LOAD_WINDOW_SECONDS = 1.0
-# Cost of each engine of a domain that holds another model than the one that is to be
-# loaded there, in seconds: far above any load, so that models mix only where no
-# domain is left.
+# Cost of each engine in a domain that has another model than the one to be loaded
+# there, in seconds: far above any load time, so that models share a domain only if no
+# other domain is left.
 MIXING_SECONDS = 1000.0
-# Share of a domain's engines that stay free of groups, so that a lost member can be
-# replaced by one that has the weights staged, without a load.
+# Share of a domain's engines that stay out of groups, so that a lost member can be
+# replaced by an engine with staged weights, without a load.
 SPARE_SHARE = 0.1
-# Fullness of a model's groups from which one is formed across domains: below, free
-# targets are worth more as spares, which repair a group at its full speed.
-FAR_PRESSURE = 0.7
-# Time without a new target after which the first groups are formed, in seconds: on
-# the first targets alone, a domain would be cut into groups that leave no spare.
-GATHER_SECONDS = 0.8
-# Cost of a load that drops other staged weights, in loads.
+# Utilization of a model's groups from which a group is formed across domains. Below it,
+# free targets are worth more as spares, which repair a group at its full speed.
+CROSS_DOMAIN_UTILIZATION = 0.7
+# Time without a new target after which the first groups are formed, in seconds. Formed
+# from the first targets alone, the groups of a domain would leave no spare.
+TARGETS_QUIET_SECONDS = 0.8
+# Extra cost of a load that replaces other staged weights, as a share of a load.
 REPLACED_LOAD_COST = 0.5
 GROUP_PREFIX = "group-"
 
 
 def plan_steps(view: FormationView) -> tuple[Step, ...]:
-    """Return the orders to give now."""
+    """Return the orders to give now; no target gets orders for two groups."""
     planner = _Planner(view)
     return planner.plan()
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Offer:
-    """Propose members for a group out of one domain, and the seconds they take."""
+class _Candidate:
+    """Proposed members for a group in one domain; `cost` is in seconds."""
 
     cost: float
     members: tuple[Target, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Completion:
-    """Propose loads after which a domain's free targets make a group."""
+class _LoadPlan:
+    """Loads after which free targets of a domain can form a group.
+
+    `cost` is in seconds, weighted by how well the model is served already.
+    """
 
     model: ModelSpec
     targets: tuple[Target, ...]
@@ -83,9 +89,9 @@
         self._in_domain: dict[str, list[Target]] = {}
         for target in view.targets:
             self._in_domain.setdefault(target.domain, []).append(target)
-        # What a domain offers a model, kept until one of its targets is taken: the
-        # first plan of a large fleet would look for it anew for each group.
-        self._offers: dict[tuple[str, str], _Offer | None] = {}
+        # Best candidate by domain and model, cached until a target of the domain is
+        # taken: the first plan of a large fleet would recompute it for each group.
+        self._candidates: dict[tuple[str, str], _Candidate | None] = {}
         self._epoch = view.next_epoch
         self._loads_left = _loads_allowed(view)
         self._loading = dict(view.loading)
@@ -94,34 +100,39 @@
     def plan(self) -> tuple[Step, ...]:
         grouped = self._upkeep.reserved
         for group in self._groups.values():
-            if self._upkeep.keep(group):
+            if self._upkeep.maintain(group):
                 grouped |= {member.id for member in group.members}
         for target in self._view.targets:
-            if target.id not in grouped and self._upkeep.may_join(target):
+            if target.id not in grouped and self._upkeep.can_join(target):
                 self._free.setdefault(target.domain, []).append(target)
-        if self._is_gathering():
+        if self._awaits_targets():
             return tuple(self._steps)
         self._form_groups()
-        self._gather_far_groups()
+        self._consolidate_groups()
         self._stage_weights()
         return tuple(self._steps)
 
-    def _is_gathering(self) -> bool:
+    def _awaits_targets(self) -> bool:
         view = self._view
         if not view.is_before_traffic:
             return False
-        return view.now - view.newest_target_at < GATHER_SECONDS
+        return view.now - view.newest_target_at < TARGETS_QUIET_SECONDS
 
     # -- forming -------------------------------------------------------------
 
     def _form_groups(self) -> None:
         for formation in self._view.formations.values():
             self._reserve(formation)
-        while any(self._form_one(model) for model in self._by_deficit()):
+        # Each group that is formed changes the deficits, so they are ranked anew.
+        while any(self._form_one(model) for model in self._models_by_deficit()):
             pass
 
     def _reserve(self, formation: Formation) -> None:
-        """Keep targets free of other groups while their join is on its way."""
+        """Keep the members of an ordered formation out of other groups until they join.
+
+        Only for a formation that the list does not show yet, and only for a limited
+        time.
+        """
         view = self._view
         if formation.key in self._groups:
             return
@@ -137,33 +148,33 @@
         for domain, free in self._free.items():
             self._free[domain] = [t for t in free if t.id not in members]
 
-    def _fill(self, model: ModelSpec) -> float:
-        """Return how many engines a model has for its share of the work.
+    def _engines_per_share(self, model: ModelSpec) -> float:
+        """Return how well a model is served: its engines per unit of its share.
 
-        The share is one of engines: read as one of groups, the larger of two models
-        with equal shares would get more engines than the smaller one.
+        Shares are counted in engines. Counted in groups, the larger of two models with
+        equal shares would get more engines than the smaller one.
         """
         share = self._view.demand.get(model.name, model.share)
         return (self._served[model.name] + 0.5) * model.size / max(share, 0.01)
 
-    def _by_deficit(self) -> list[ModelSpec]:
-        return sorted(self._view.profile.models, key=self._fill)
+    def _models_by_deficit(self) -> list[ModelSpec]:
+        return sorted(self._view.profile.models, key=self._engines_per_share)
 
     def _form_one(self, model: ModelSpec) -> bool:
-        offers = [self._offer(domain, model) for domain in self._free]
-        found = [offer for offer in offers if offer is not None]
-        best = min(found, key=lambda offer: offer.cost, default=None)
+        candidates = [self._candidate(domain, model) for domain in self._free]
+        found = [candidate for candidate in candidates if candidate is not None]
+        best = min(found, key=lambda candidate: candidate.cost, default=None)
         if best is None or not self._join_all(model, best.members):
-            return self._form_far(model)
+            return self._form_across_domains(model)
         return True
 
-    def _offer(self, domain: str, model: ModelSpec) -> "_Offer | None":
+    def _candidate(self, domain: str, model: ModelSpec) -> "_Candidate | None":
         key = (domain, model.name)
-        if key not in self._offers:
-            self._offers[key] = self._new_offer(domain, model)
-        return self._offers[key]
+        if key not in self._candidates:
+            self._candidates[key] = self._new_candidate(domain, model)
+        return self._candidates[key]
 
-    def _new_offer(self, domain: str, model: ModelSpec) -> "_Offer | None":
+    def _new_candidate(self, domain: str, model: ModelSpec) -> "_Candidate | None":
         idle = [t for t in self._free[domain] if t.id not in self._loading]
         chosen = _cheapest_members(idle, model, self._spares(domain))
         if chosen is None:
@@ -171,46 +182,46 @@
         cost = sum(_join_seconds(t, model) for t in chosen)
         if any(needs_load(t, model) for t in chosen):
             cost += self._mixing_cost(domain, model)
-        return _Offer(cost=cost, members=tuple(chosen))
+        return _Candidate(cost=cost, members=tuple(chosen))
 
     def _mixing_cost(self, domain: str, model: ModelSpec) -> float:
-        """Return what it costs to bring a model into a domain, in seconds.
+        """Return the cost of mixing a model into a domain, in seconds.
 
-        In a domain that carries one model, any survivor can replace any other
-        member; of two models each leaves parts that lack one or two.
+        In a domain with one model, any survivor can replace any other member. With two
+        models, the survivors of each may be one or two short of a group.
         """
         own = other = 0
         for target in self._in_domain[domain]:
-            held = {target.model, *_models_at_hand(target, self._loading)} - {""}
-            own += model.name in held
-            other += bool(held - {model.name})
+            models = {target.model, *_available_models(target, self._loading)} - {""}
+            own += model.name in models
+            other += bool(models - {model.name})
         return MIXING_SECONDS * (other - min(1, own))
 
     def _spares(self, domain: str) -> int:
-        """Return how many targets of a domain should stay free of groups."""
+        """Return how many targets of a domain should stay out of groups."""
         return ceil(SPARE_SHARE * len(self._in_domain[domain]))
 
-    def _form_far(self, model: ModelSpec) -> bool:
-        """Form a group across domains of targets that have the weights at hand.
+    def _form_across_domains(self, model: ModelSpec) -> bool:
+        """Form a group across domains from targets that need no load.
 
-        It runs slower, but at once: the loads that would complete groups within the
-        domains take several times as long as callers wait.
+        Such a group is slower but can serve at once. The loads that would complete
+        groups within the domains take several times as long as callers wait.
         """
         if self._view.is_before_traffic:
             return False
-        if self._view.utilization.get(model.name, 0.0) < FAR_PRESSURE:
+        if self._view.utilization.get(model.name, 0.0) < CROSS_DOMAIN_UTILIZATION:
             return False
         parts = [
             [t for t in free if t.id not in self._loading and not needs_load(t, model)]
             for free in self._free.values()
         ]
-        chosen = _gather_parts(parts, model.size)
+        chosen = _take_from_parts(parts, model.size)
         return chosen is not None and self._join_all(model, chosen)
 
-    def _gather_far_groups(self) -> None:
-        """Close a far group whose members complete a group within one domain.
+    def _consolidate_groups(self) -> None:
+        """Close a group across domains if a group can be formed within one of them.
 
-        One at a time: while it closes its places are gone.
+        Only one group closes at a time, because its slots are lost meanwhile.
         """
         if any(g.phase is GroupPhase.CLOSING for g in self._groups.values()):
             return
@@ -222,16 +233,16 @@
                 or not group.spans_domains
             ):
                 continue
-            pool = [t for t in group.members if t.id not in self._view.lost]
-            domains = {t.domain for t in pool}
+            alive = [t for t in group.members if t.id not in self._view.lost]
+            domains = {t.domain for t in alive}
             for domain in domains:
-                mine = [t for t in pool if t.domain == domain]
+                members = [t for t in alive if t.domain == domain]
                 free = [
                     t
                     for t in self._free.get(domain, ())
                     if t.id not in self._loading and not needs_load(t, model)
                 ]
-                if len(mine) + len(free) >= model.size:
+                if len(members) + len(free) >= model.size:
                     assert group.head is not None
                     self._upkeep.order_close(group, group.head, evict=False)
                     return
@@ -239,8 +250,8 @@
     def _join_all(self, model: ModelSpec, chosen: Sequence[Target]) -> bool:
         loads = sum(needs_load(t, model) for t in chosen)
         if loads and not self._view.is_before_traffic:
-            # The members that are ready would idle while one loads: it is staged
-            # first, and they stay free for another group meanwhile.
+            # The other members would idle during the load. So the weights are staged
+            # first, and the targets stay free for another group meanwhile.
             return False
         self._loads_left -= loads
         formation = Formation(
@@ -254,7 +265,7 @@
         self._served[model.name] += 1.0
         for domain in {target.domain for target in chosen}:
             for name in self._served:
-                self._offers.pop((domain, name), None)
+                self._candidates.pop((domain, name), None)
         for target in chosen:
             self._free[target.domain].remove(target)
             self._joining[target.id] = model.name
@@ -264,22 +275,22 @@
         return True
 
     def _stage_weights(self) -> None:
-        """Load weights where a load helps most.
+        """Order loads where they help most.
 
-        Loads are scarce: a domain whose free targets lack one or two for a group is
-        completed first, then cold targets become spares.
+        Loads are limited. First come those that complete a group in a domain whose
+        free targets are one or two short of it; then cold targets become spares.
         """
         while self._loads_left >= 1:
-            completion = self._best_completion()
-            if completion is None:
+            load_plan = self._best_load_plan()
+            if load_plan is None:
                 break
-            for target in completion.targets[: self._loads_left]:
-                self._stage(target, completion.model.name)
+            for target in load_plan.targets[: self._loads_left]:
+                self._stage(target, load_plan.model.name)
         for domain, free in sorted(self._free.items()):
             for target in sorted(free, key=lambda t: t.id):
                 if self._loads_left < 1:
                     return
-                if not _models_at_hand(target, self._loading):
+                if not _available_models(target, self._loading):
                     self._stage(target, self._model_for_spare(domain))
 
     def _stage(self, target: Target, model: str) -> None:
@@ -287,30 +298,34 @@
         self._loading[target.id] = model
         self._steps.append(Stage(target=target, model=model))
 
-    def _best_completion(self) -> "_Completion | None":
-        best: _Completion | None = None
+    def _best_load_plan(self) -> "_LoadPlan | None":
+        best: _LoadPlan | None = None
         for free in self._free.values():
             for model in self._view.profile.models:
-                found = self._completion(free, model)
+                found = self._load_plan(free, model)
                 if found is not None and (best is None or found.cost < best.cost):
                     best = found
         return best
 
-    def _completion(self, free: list[Target], model: ModelSpec) -> "_Completion | None":
-        """Return the loads that would make a group of a domain's free targets."""
-        have = [t for t in free if model.name in _models_at_hand(t, self._loading)]
-        missing = model.size - len(have)
-        if missing <= 0 or missing > len(have):
+    def _load_plan(self, free: list[Target], model: ModelSpec) -> "_LoadPlan | None":
+        """Return the loads that let a domain's free targets form a group, or None."""
+        available = [
+            t for t in free if model.name in _available_models(t, self._loading)
+        ]
+        missing = model.size - len(available)
+        if missing <= 0 or missing > len(available):
             return None
-        others = [t for t in free if t not in have and t.id not in self._loading]
+        others = [t for t in free if t not in available and t.id not in self._loading]
         others.sort(key=lambda t: (bool(t.staged), t.id))
         chosen = others[:missing]
         replaced = sum(bool(t.staged) for t in chosen)
         if len(chosen) < missing or replaced > 1:
             return None
         seconds = (missing + REPLACED_LOAD_COST * replaced) * model.load_seconds
-        return _Completion(
-            model=model, targets=tuple(chosen), cost=seconds * self._fill(model)
+        return _LoadPlan(
+            model=model,
+            targets=tuple(chosen),
+            cost=seconds * self._engines_per_share(model),
         )
 
     def _model_for_spare(self, domain: str) -> str:
@@ -324,14 +339,14 @@
             if target.id in self._joining:
                 members[self._joining[target.id]] += 1
                 continue
-            for model in _models_at_hand(target, self._loading):
+            for model in _available_models(target, self._loading):
                 spares[model] = spares.get(model, 0) + 1
         names = [model.name for model in self._view.profile.models]
         return min(names, key=lambda name: (-members[name], spares[name]))
 
 
-def _gather_parts(parts: list[list[Target]], size: int) -> list[Target] | None:
-    """Return `size` targets out of few parts, leaving large ones whole."""
+def _take_from_parts(parts: list[list[Target]], size: int) -> list[Target] | None:
+    """Return `size` targets taken from few parts, leaving large parts intact."""
     chosen: list[Target] = []
     left = sorted((part for part in parts if part), key=len)
     while len(chosen) < size:
@@ -347,7 +362,7 @@
 def _loads_allowed(view: FormationView) -> int:
     profile = view.profile
     if view.is_before_traffic:
-        # Nothing is served yet, and loads neither slow each other nor count.
+        # Before the first request, loads are neither limited nor slowed by each other.
         return len(view.targets)
     at_once = max(0, profile.loads_at_once - len(view.loading))
     recent = sum(1 for at in view.loads_begun if view.now - at < LOAD_WINDOW_SECONDS)
@@ -355,8 +370,8 @@
     return min(at_once, max(0, rate - recent))
 
 
-def _models_at_hand(target: Target, loading: dict[str, str]) -> tuple[str, ...]:
-    """Return the models that a target has, or will have when its load ends."""
+def _available_models(target: Target, loading: dict[str, str]) -> tuple[str, ...]:
+    """Return the models whose weights a target has, or will have after its load."""
     if target.id in loading:
         return (loading[target.id],)
     return target.staged or ((target.model,) if target.model else ())
@@ -373,7 +388,10 @@
 def _cheapest_members(
     free: Iterable[Target], model: ModelSpec, spares: int
 ) -> list[Target] | None:
-    """Return the members that join soonest; with loads only if spares are left."""
+    """Return the members that join soonest, or None if there are too few.
+
+    Members that need a load are taken only if `spares` other targets are left.
+    """
     free = list(free)
     if len(free) < model.size:
         return None
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -1,4 +1,4 @@
-"""Decide what becomes of the groups that stand: keep, open, close or take apart."""
+"""Plan the orders that open, close or dissolve existing groups."""
 
 from mallowpond.state.fleet import (
     Group,
@@ -19,47 +19,48 @@
 )
 from mallowpond.state.processes import has_restarted
 
-# Time that a group serves on with a member, not its head, that is about to stop, in
-# seconds: the member stays up to 10 s while the head has work, the streams that run
-# need 2 s to end, and the others are kept back in case the list told late.
+# Time for which a group goes on serving after a member other than the head announced
+# its stop, in seconds. Such a member stays for up to 10 s while the head has work; the
+# running streams need 2 s to end, and the other 2 s allow for a late list entry.
 LEAVING_MEMBER_SECONDS = 6.0
-# Time that members get to join beyond the declared load time, as a multiple of it:
-# loads share the weight store and may wait for one another.
+# Members may take this multiple of the declared load time to join, plus
+# `JOIN_PATIENCE_SECONDS`, since loads share the weight store and wait for one another.
 JOIN_PATIENCE_FACTOR = 3.0
 JOIN_PATIENCE_SECONDS = 4.0
-# Time that a group without all its members may look ready, in seconds.
+# Time for which an incomplete group of unknown origin may look ready, in seconds.
 INCOMPLETE_SECONDS = 2.0
 
 
 class GroupUpkeep:
-    """Give standing groups the orders that they need.
+    """Collects the orders that existing groups need.
 
-    `served` counts the groups of each model that serve or soon will; `reserved` are
-    the targets of formations under way, whether they have joined or not: free for
-    another group, they would be ordered into two at once.
+    steps: the orders so far.
+    served: number of groups per model that serve or will do so soon.
+    reserved: ids of all members of formations that are being formed, joined or not.
+        Used for another group, they would be ordered into two groups at once.
     """
 
     def __init__(self, view: FormationView, groups: dict[GroupKey, Group]) -> None:
         self._view = view
         self._groups = groups
         self._listed = {target.id: target for target in view.targets}
-        self._held = self._held_by_earlier_groups()
+        self._in_earlier_groups = self._ids_in_earlier_groups()
         self.steps: list[Step] = []
         self.served = {model.name: 0.0 for model in view.profile.models}
         self.reserved: set[str] = set()
 
-    def may_join(self, target: Target) -> bool:
-        """Tell whether a target may be ordered into a group now."""
+    def can_join(self, target: Target) -> bool:
+        """Return whether a target can be ordered into a group now."""
         view = self._view
-        if target.draining or target.lapsed or target.id in self._held:
+        if target.draining or target.lapsed or target.id in self._in_earlier_groups:
             return False
         return target.id not in view.lost and target.id not in view.busy
 
-    def _held_by_earlier_groups(self) -> frozenset[str]:
-        """Return targets whose earlier process's group may still serve.
+    def _ids_in_earlier_groups(self) -> frozenset[str]:
+        """Return the ids of restarted targets whose former group may still serve.
 
-        Joined to another group before that head has left, a target would stand in two
-        groups by its id, of which the first is not broken yet.
+        If such a target joined another group before the head of the former one has
+        left, its id would be in two groups, and the first is not broken yet.
         """
         return frozenset(
             process.id
@@ -69,34 +70,34 @@
             if has_restarted((process,), self._listed)
         )
 
-    def keep(self, group: Group) -> bool:
-        """Tell whether a group's members stay in it; order what it needs."""
+    def maintain(self, group: Group) -> bool:
+        """Order what a group needs; return whether its members stay reserved for it."""
         model = self._view.profile.model(group.model)
         if model is None:
             return True
         match group.phase:
             case GroupPhase.OPEN:
-                return self._keep_open(group, model)
+                return self._maintain_open(group, model)
             case GroupPhase.CLOSING:
                 if self._has_lost(group):
                     # Its work never ends, so it would keep its members until the
-                    # stall time has passed.
+                    # stall timeout.
                     self._dissolve(group)
                 else:
-                    self._count(group, model)
+                    self._count_served(group, model)
                 return True
             case GroupPhase.BROKEN:
                 return False
             case GroupPhase.READY | GroupPhase.JOINING:
-                return self._keep_forming(group, model)
+                return self._maintain_forming(group, model)
             case None:
-                return self._keep_headless(group)
+                return self._maintain_headless(group)
 
-    def _count(self, group: Group, model: ModelSpec) -> None:
+    def _count_served(self, group: Group, model: ModelSpec) -> None:
         if model.name in self.served:
             self.served[model.name] += 1.0
 
-    def _keep_open(self, group: Group, model: ModelSpec) -> bool:
+    def _maintain_open(self, group: Group, model: ModelSpec) -> bool:
         view = self._view
         head = group.head
         assert head is not None
@@ -105,13 +106,13 @@
         leaving = self._must_close_soon(group)
         unwanted = lost or group.key in view.repeatedly_suspected
         if not (unwanted or missing or group.is_leaving):
-            self._count(group, model)
+            self._count_served(group, model)
             return True
         if not (unwanted or leaving or self._can_replace(group, model)):
-            # A missing member may only be cut off from the platform's list, and a
-            # leaving one stays while its head has work: the group serves on until
-            # the member is known to be dead, must go, or can be replaced at once.
-            self._count(group, model)
+            # A missing member may only be cut off from the list, and a leaving one
+            # stays while its head has work. So the group goes on serving until the
+            # member is known to be dead, must go, or can be replaced at once.
+            self._count_served(group, model)
             return True
         if not lost and group.key not in view.repeatedly_suspected:
             self.order_close(group, head, evict=False)
@@ -120,10 +121,10 @@
         return True
 
     def _must_close_soon(self, group: Group) -> bool:
-        """Tell whether a member is about to go, whatever work the head has.
+        """Return whether a member will stop soon even if the head still has work.
 
-        Work that comes to a leaving head is late for the bound of a leaving target;
-        other members of a group may leave while it serves.
+        A leaving head must stop within a bound, so it gets no more work. Other members
+        stay for a while, so the group may go on serving.
         """
         if group.head is not None and group.head.draining:
             return True
@@ -135,47 +136,47 @@
         )
 
     def has_restarted(self, key: GroupKey) -> bool:
-        """Tell whether a member has started again: it holds nothing of the group."""
+        """Return whether a member restarted, so that it has no state of the group."""
         if key in self._view.disclaimed:
             return True
         return has_restarted(self._view.seen.get(key, ()), self._listed)
 
     def _has_lost(self, group: Group) -> bool:
-        """Tell whether a member is dead, or has started again since it joined."""
+        """Return whether a member is dead, or restarted since it joined."""
         if self.has_restarted(group.key):
             return True
-        known = self._view.formations.get(group.key)
+        formation = self._view.formations.get(group.key)
         members = {member.id for member in group.members}
-        if known is not None:
-            members |= set(known.members)
+        if formation is not None:
+            members |= set(formation.members)
         return bool(members & self._view.lost)
 
     def _can_replace(self, group: Group, model: ModelSpec) -> bool:
-        """Tell whether the domain has free targets with the weights at hand."""
+        """Return whether the domain has enough free targets that need no load."""
         domain = group.members[0].domain
         ready = [
             target
             for target in self._view.targets
             if target.domain == domain
             and target.membership is None
-            and self.may_join(target)
+            and self.can_join(target)
             and not needs_load(target, model)
         ]
         staying = sum(not member.draining for member in group.members)
         return len(ready) >= model.size - staying
 
     def order_close(self, group: Group, head: Target, *, evict: bool) -> None:
-        """Close a group once its head takes an order."""
+        """Order a group to close, unless its head is lost or has an order under way."""
         if head.id not in self._view.busy and head.id not in self._view.lost:
             step = Close(target=head, group=group.name, epoch=group.epoch, evict=evict)
             self.steps.append(step)
 
     def _dissolve(self, group: Group) -> None:
-        """Let every member leave; each is free once it has left.
+        """Order every member to leave; each is free once it has left.
 
-        A head may be opening, or open behind a partition, while the list shows it
-        ready or not at all: a member that joined another group without having left
-        this one would stand in two groups at once.
+        While the list shows a head as ready, or not at all, it may be opening, or open
+        behind a partition. A member that joined another group without leaving this one
+        would be in two groups at once.
         """
         view = self._view
         for member in group.members:
@@ -184,90 +185,96 @@
                     Leave(target=member, group=group.name, epoch=group.epoch)
                 )
 
-    def _keep_forming(self, group: Group, model: ModelSpec) -> bool:
+    def _maintain_forming(self, group: Group, model: ModelSpec) -> bool:
         view = self._view
         head = group.head
         assert head is not None
-        known = view.formations.get(group.key)
-        whole = len(group.members) == model.size
-        gone = known is not None and any(
+        formation = view.formations.get(group.key)
+        is_complete = len(group.members) == model.size
+        gone = formation is not None and any(
             m not in {t.id for t in view.targets} or m in view.lost
-            for m in known.members
+            for m in formation.members
         )
         lost = any(t.id in view.lost for t in group.members)
-        gone = gone or self._has_moved_on(known) or self.has_restarted(group.key)
+        gone = (
+            gone
+            or self._has_member_elsewhere(formation)
+            or self.has_restarted(group.key)
+        )
         unwanted = group.key in view.repeatedly_suspected | view.closed
         if lost or gone or group.is_leaving or unwanted:
             self._dissolve(group)
             return True
-        if whole and all(_is_ready(t) for t in group.members):
-            self._count(group, model)
+        if is_complete and all(_is_ready(t) for t in group.members):
+            self._count_served(group, model)
             if head.id not in view.busy:
                 self.steps.append(
                     Open(target=head, group=group.name, epoch=group.epoch)
                 )
             return True
         started = (
-            known.ordered_at if known else view.first_seen.get(group.key, view.now)
+            formation.ordered_at
+            if formation
+            else view.first_seen.get(group.key, view.now)
         )
         patience = JOIN_PATIENCE_SECONDS + JOIN_PATIENCE_FACTOR * model.load_seconds
-        if known is None and all(_is_ready(t) for t in group.members):
+        if formation is None and all(_is_ready(t) for t in group.members):
             patience = INCOMPLETE_SECONDS
         if view.now - started > patience:
             self._dissolve(group)
             return True
-        self._count(group, model)
-        if known is not None:
-            self.reserved |= set(known.members)
-            self._order_missing_joins(group, known, model)
+        self._count_served(group, model)
+        if formation is not None:
+            self.reserved |= set(formation.members)
+            self._order_missing_joins(group, formation, model)
         return True
 
-    def _has_moved_on(self, known: Formation | None) -> bool:
-        """Tell whether a member stands in another group that is not broken."""
-        if known is None:
+    def _has_member_elsewhere(self, formation: Formation | None) -> bool:
+        """Return whether a member is in another group that prevents this formation."""
+        if formation is None:
             return False
         return any(
-            self._stands_elsewhere(target, known)
+            self._is_elsewhere(target, formation)
             for target in self._view.targets
-            if target.id in known.members
+            if target.id in formation.members
         )
 
-    def _stands_elsewhere(self, target: Target, known: Formation) -> bool:
+    def _is_elsewhere(self, target: Target, formation: Formation) -> bool:
         member = target.membership
-        if member is None or (member.group, member.epoch) == known.key:
+        if member is None or (member.group, member.epoch) == formation.key:
             return False
         group = self._groups.get((member.group, member.epoch))
         is_broken = group is not None and group.phase is GroupPhase.BROKEN
-        # Out of a broken group a member is joined without leaving it first.
-        return member.epoch > known.epoch or not is_broken
+        # A target can join directly from a broken group, without leaving it first.
+        return member.epoch > formation.epoch or not is_broken
 
     def _order_missing_joins(
-        self, group: Group, known: Formation, model: ModelSpec
+        self, group: Group, formation: Formation, model: ModelSpec
     ) -> None:
-        """Order joins again that got lost on their way."""
+        """Order the joins again that do not show, unless an order is under way."""
         view = self._view
         present = {member.id for member in group.members}
         for target in view.targets:
-            if target.id not in known.members or target.id in present:
+            if target.id not in formation.members or target.id in present:
                 continue
             if target.id in view.busy:
                 continue
-            self.steps.append(make_join(target, known, model))
+            self.steps.append(make_join(target, formation, model))
 
-    def _keep_headless(self, group: Group) -> bool:
-        """Free the members of a group whose head is not listed."""
-        known = self._view.formations.get(group.key)
-        if known is not None and not self.has_restarted(group.key):
-            listed = any(t.id == known.members[0] for t in self._view.targets)
-            waited = self._view.now - known.ordered_at
-            lost = any(m in self._view.lost for m in known.members)
+    def _maintain_headless(self, group: Group) -> bool:
+        """Dissolve a group whose head is not listed, unless the head may still join."""
+        formation = self._view.formations.get(group.key)
+        if formation is not None and not self.has_restarted(group.key):
+            listed = any(t.id == formation.members[0] for t in self._view.targets)
+            waited = self._view.now - formation.ordered_at
+            lost = any(m in self._view.lost for m in formation.members)
             if listed and not lost and waited < JOIN_PATIENCE_SECONDS:
                 # The head has not joined yet: the group is still forming.
-                model = self._view.profile.model(known.model)
-                if model is not None and not self._has_moved_on(known):
-                    self._count(group, model)
-                    self.reserved |= set(known.members)
-                    self._order_missing_joins(group, known, model)
+                model = self._view.profile.model(formation.model)
+                if model is not None and not self._has_member_elsewhere(formation):
+                    self._count_served(group, model)
+                    self.reserved |= set(formation.members)
+                    self._order_missing_joins(group, formation, model)
                     return True
         self._dissolve(group)
         return True
