--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -1,7 +1,10 @@
-"""Keep what was ordered of each process of a target until its effect shows.
+"""Track the orders given to each process until the target list shows their effect.
 
-A target may start again under its `id`; the new process holds nothing and counts its
-orders anew. So all that is kept here belongs to one process and ends with it.
+A target may restart under its `id`. The new process has no state and counts its orders
+from zero, so every record here belongs to one process and is dropped with it.
+
+Each process counts the orders that it has begun. An order carries the count that the
+planner expects; the process rejects it if its count differs.
 """
 
 from collections.abc import Mapping
@@ -17,25 +20,25 @@
     Step,
 )
 
-# Time until the effect of an order that was taken must show in the list, in seconds:
-# engines report a change at once, and the list is read a few times a second.
+# Time within which the list must show the effect of an accepted order, in seconds:
+# engines report a change at once, and the list is read a few times per second.
 EFFECT_SECONDS = 1.5
-# Time that an order may wait for its turn and its answer, in seconds: a weak host takes
-# some seconds for the first groups of a large fleet.
-TURN_SECONDS = 10.0
-# Pause before an order that did not fit or got lost is given again, in seconds.
-AGAIN_SECONDS = 0.3
-# Time after which a load that does not show is given up, in seconds: some times the
-# longest declared load, since loads share the weight store.
-LOAD_SECONDS = 60.0
-# Time after an order within which a target's report may not show it, in seconds: a
+# Time for which an order may wait to be sent and answered, in seconds: a slow host
+# needs some seconds for the first groups of a large fleet.
+ORDER_TIMEOUT_SECONDS = 10.0
+# Pause before an order that was rejected or lost may be repeated, in seconds.
+RETRY_PAUSE_SECONDS = 0.3
+# Time after which a load that the list does not show is given up, in seconds: several
+# times the longest declared load, since loads share the weight store.
+LOAD_TIMEOUT_SECONDS = 60.0
+# Time after an order within which a target's report need not show it, in seconds: a
 # few times the usual lag of reports.
 REPORT_LAG_SECONDS = 0.7
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pending:
-    """Remember an order until its effect shows."""
+    """An order under way, and the time at which it is no longer waited for."""
 
     step: Step
     until: float
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Joined:
-    """Remember the group that a process was ordered into."""
+    """The group that a process was ordered to join, and when."""
 
     key: GroupKey
     at: float
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Load:
-    """Remember a load of weights that does not show yet."""
+    """A weight load that the list does not show yet, and when it was ordered."""
 
     model: str
     at: float
@@ -59,10 +62,14 @@
 
 @dataclass(kw_only=True)
 class _Record:
-    """Hold what is known of one process; `least_count` is surely reached."""
+    """State of one process.
+
+    `count` is the number of orders that it has begun, None if unknown; it is certainly
+    not below `min_count`.
+    """
 
     count: int | None = None
-    least_count: int = 0
+    min_count: int = 0
     pending: Pending | None = None
     left: GroupKey | None = None
     joined: Joined | None = None
@@ -71,43 +78,43 @@
 
 
 class OrderBook:
-    """Remember orders by the process that they were given to."""
+    """The orders under way and the order counts, by process."""
 
     def __init__(self) -> None:
         self._records: dict[Process, _Record] = {}
 
     def reset(self) -> None:
-        """Forget everything."""
+        """Drop all records."""
         self._records.clear()
 
-    # -- what is under way ---------------------------------------------------
+    # -- orders under way ----------------------------------------------------
 
     @property
     def busy(self) -> frozenset[str]:
-        """Return the targets that have an order under way."""
+        """Return the ids of targets that have an order under way."""
         return frozenset(p.id for p, r in self._records.items() if r.pending)
 
     @property
     def loading(self) -> dict[str, str]:
-        """Return the models that targets were told to load and do not show yet."""
+        """Return the models being loaded, by target id."""
         return {p.id: r.load.model for p, r in self._records.items() if r.load}
 
     def is_busy(self, target: Target) -> bool:
-        """Tell whether a process has an order under way."""
+        """Return whether a process has an order under way."""
         record = self._records.get(target.process)
         return record is not None and record.pending is not None
 
     def begin(self, step: Step, now: float) -> None:
-        """Note an order that is about to be given."""
+        """Record an order that is about to be given."""
         record = self._record(step.target)
-        record.pending = Pending(step=step, until=now + TURN_SECONDS)
+        record.pending = Pending(step=step, until=now + ORDER_TIMEOUT_SECONDS)
         if loads_weights(step):
             record.load = Load(model=step.model, at=now)
 
     def release_later(self, step: Step, now: float) -> None:
-        """Free the process for another order after a moment."""
+        """Free the process for another order after `RETRY_PAUSE_SECONDS`."""
         record = self._record(step.target)
-        record.pending = Pending(step=step, until=now + AGAIN_SECONDS)
+        record.pending = Pending(step=step, until=now + RETRY_PAUSE_SECONDS)
         record.load = None
 
     def end(self, target: Target) -> None:
@@ -115,11 +122,11 @@
         self._record(target).pending = None
 
     def record_taken(self, step: Step, now: float) -> None:
-        """Note that a process has taken an order."""
+        """Record that a process has accepted an order."""
         record = self._record(step.target)
         record.ordered_at = now
         if isinstance(step, Leave):
-            # It takes effect at once: the list need not be waited for.
+            # It takes effect at once, so there is no need to wait for the list.
             record.left = (step.group, step.epoch)
             record.joined = None
             record.pending = None
@@ -130,12 +137,12 @@
         record.pending = Pending(step=step, until=now + EFFECT_SECONDS)
 
     def joined(self, target: Target) -> GroupKey | None:
-        """Return the group that a process has joined here and not left."""
+        """Return the group that a process joined by an order, None if it has left it."""
         record = self._records.get(target.process)
         return record.joined.key if record and record.joined else None
 
     def without_left_group(self, target: Target) -> Target:
-        """Return a target without the group that it left before the list shows it."""
+        """Return a target without its listed group if it has already left that group."""
         record, member = self._records.get(target.process), target.membership
         if record is None or member is None:
             return target
@@ -144,92 +151,98 @@
         return replace(target, membership=None)
 
     def shows_last_order(self, target: Target, now: float) -> bool:
-        """Tell whether a process's report surely shows its last order."""
+        """Return whether a report of the process certainly shows its last order."""
         record = self._records.get(target.process)
         return record is None or now - record.ordered_at > REPORT_LAG_SECONDS
 
     # -- counts --------------------------------------------------------------
 
     def count(self, target: Target) -> int | None:
-        """Return how many orders a process has begun, None when it must be asked."""
+        """Return how many orders a process has begun, None if it must be asked."""
         record = self._records.get(target.process)
         return None if record is None else record.count
 
     def record_report(self, target: Target, orders: int, *, now: float) -> bool:
-        """Take a process's own count; return False when it is out of date.
+        """Record the count that a process reports; return False if it is out of date.
 
-        Within one process the count never falls: a lower one was told late, and an
-        order that goes by it would be refused. Another process starts anew; where
-        targets tell no start, so does one whose report must show the last order.
+        Within one process the count never falls. A lower one comes from a delayed
+        report, and an order based on it would be rejected. A new process counts from
+        zero. Where targets report no start time, a lower count is taken for that of a
+        new process if the report must show the last order.
         """
         record = self._record(target)
-        may_be_another = target.born is None and self.shows_last_order(target, now)
-        if orders < record.least_count and not may_be_another:
+        may_be_new = target.born is None and self.shows_last_order(target, now)
+        if orders < record.min_count and not may_be_new:
             return False
-        record.count = record.least_count = orders
+        record.count = record.min_count = orders
         return True
 
     def raise_min_count(self, target: Target, orders: int) -> None:
-        """Note a count that a process told beside: later ones may not be lower."""
+        """Record a count seen in a report to a probe; later ones must not be lower."""
         record = self._record(target)
-        record.least_count = max(record.least_count, orders)
+        record.min_count = max(record.min_count, orders)
         if record.count is not None and record.count < orders:
             record.count = None
 
     def record_begun(self, step: Step, *, expected: int, is_sure: bool) -> None:
-        """Count an order on top of those that it expected before it.
+        """Count an order that was accepted with the count `expected`.
 
-        Reports lag, so the count is kept here: with an old one the next join would be
-        refused and its whole group would wait.
+        Reports lag behind, and with an old count the next join would be rejected and
+        its whole group would wait. With `is_certain` false the process may not have
+        counted the order.
         """
         record = self._record(step.target)
-        if expected + 1 < record.least_count:
+        if expected + 1 < record.min_count:
             return
         record.count = expected + 1
         if is_sure:
-            record.least_count = max(record.least_count, expected + 1)
+            record.min_count = max(record.min_count, expected + 1)
 
     def invalidate_count(self, target: Target) -> None:
-        """Have the process asked before its next order."""
+        """Drop the count, so that the process is asked before its next order."""
         self._record(target).count = None
 
-    # -- what the list shows -------------------------------------------------
+    # -- effects in the list -------------------------------------------------
 
     def reconcile(
         self, targets: Mapping[str, Target], *, now: float, shows_orders: bool
     ) -> None:
-        """Drop what the list shows to be done, and all of processes that ended.
+        """Drop orders that the list shows to have taken effect, and ended processes.
 
-        `shows_orders` is false while the list is away: it then shows nothing of what
-        was ordered since.
+        `shows_orders` is false while the list is unavailable: it then shows no effects
+        of orders given since.
         """
-        present = {target.process: target for target in targets.values()}
-        self._records = {p: r for p, r in self._records.items() if p in present}
+        listed = {target.process: target for target in targets.values()}
+        self._records = {p: r for p, r in self._records.items() if p in listed}
         for process, record in self._records.items():
-            _settle(record, present[process], now=now, shows_orders=shows_orders)
+            _reconcile(record, listed[process], now=now, shows_orders=shows_orders)
 
     def _record(self, target: Target) -> _Record:
         return self._records.setdefault(target.process, _Record())
 
 
 def loads_weights(step: Step) -> bool:
-    """Tell whether an order has weights loaded from their store."""
+    """Return whether an order makes its target load weights from their store."""
     return isinstance(step, Stage) or (isinstance(step, Join) and step.loads)
 
 
-def _settle(record: _Record, target: Target, *, now: float, shows_orders: bool) -> None:
+def _reconcile(
+    record: _Record, target: Target, *, now: float, shows_orders: bool
+) -> None:
     pending, joined, load = record.pending, record.joined, record.load
     if pending and (_shows(target, pending.step) or now > pending.until):
         record.pending = None
     shown_free = shows_orders and target.membership is None
     if joined and shown_free and now - joined.at > EFFECT_SECONDS:
         record.joined = None
-    if load and (_has_loaded(target, load.model) or now - load.at > LOAD_SECONDS):
+    if load and (
+        _has_loaded(target, load.model) or now - load.at > LOAD_TIMEOUT_SECONDS
+    ):
         record.load = None
 
 
 def _shows(target: Target, step: Step) -> bool:
-    """Tell whether a target's entry shows that an order took effect."""
+    """Return whether a target's entry shows that an order took effect."""
     member = target.membership
     match step:
         case Join():
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -5,9 +5,9 @@
 from mallowpond.state.fleet import GroupPhase, Membership, Target
 from mallowpond.state.formation_view import Join, Leave, Stage
 from mallowpond.state.order_book import (
-    AGAIN_SECONDS,
     EFFECT_SECONDS,
     REPORT_LAG_SECONDS,
+    RETRY_PAUSE_SECONDS,
     OrderBook,
 )
 
@@ -132,8 +132,8 @@
     assert book.loading == {"a": "m"}
     book.release_later(stage, NOW)
     assert book.loading == {}
-    assert settled(book, FIRST, now=NOW + AGAIN_SECONDS).is_busy(FIRST)
-    assert not settled(book, FIRST, now=NOW + AGAIN_SECONDS + 0.1).is_busy(FIRST)
+    assert settled(book, FIRST, now=NOW + RETRY_PAUSE_SECONDS).is_busy(FIRST)
+    assert not settled(book, FIRST, now=NOW + RETRY_PAUSE_SECONDS + 0.1).is_busy(FIRST)
 
 
 def test_a_count_that_starts_anew_counts_also_where_targets_tell_no_start():
