--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -74,7 +74,7 @@
     @property
     def is_any(self) -> bool:
         """Tell whether any target names a limit."""
-        return self._shares.is_any
+        return self._shares.has_entries
 
     def seconds_until(self, target: Target) -> float:
         """Return how long a target may be sent nothing by this host, in seconds."""
@@ -98,7 +98,7 @@
 
     def _take(self, said: TargetLimit) -> bool:
         before = self._shares.limits.get(said.process)
-        if not self._shares.hear(said, self._clock.now()):
+        if not self._shares.update(said, self._clock.now()):
             return False
         self._metrics.rate_limited.set(len(self._shares.limits))
         log.info(
@@ -114,7 +114,7 @@
         if not self.is_any:
             return
         listed = {target.process for target in self._directory.targets.values()}
-        self._shares.keep(listed, self._clock.now())
+        self._shares.prune(listed, self._clock.now())
         self._told_at = {p: at for p, at in self._told_at.items() if p in listed}
         self._metrics.rate_limited.set(len(self._shares.limits))
 
@@ -135,7 +135,7 @@
         now = self._clock.now()
         told = []
         for process in self._news.take_due():
-            word = self._shares.word(process, now)
+            word = self._shares.latest(process, now)
             if word is None:
                 self._news.drop(process)
                 continue
