--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -137,12 +137,12 @@
         record.pending = Pending(step=step, until=now + EFFECT_SECONDS)
 
     def joined(self, target: Target) -> GroupKey | None:
-        """Return the group that a process joined by an order, None if it has left it."""
+        """Return the group that a process was ordered into and has not left."""
         record = self._records.get(target.process)
         return record.joined.key if record and record.joined else None
 
     def without_left_group(self, target: Target) -> Target:
-        """Return a target without its listed group if it has already left that group."""
+        """Return a target without its listed group if it has left that group."""
         record, member = self._records.get(target.process), target.membership
         if record is None or member is None:
             return target
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -1,16 +1,18 @@
-"""Decide which process of a target is the present one.
-
-A target may start again under its `id`, with another `born`, which does not say which
-of two processes is the later one: clocks of hosts are stepped. Two things do. An answer
-that a process gives itself shows that it ran after the question was asked; and of two
-lists that were read one after the other, the later one holds the later registration.
-So the answer to the newest question ends the process that was listed when it was asked,
-whatever the list shows meanwhile; when the list moves on to a process that no answer
-has ended, that one is present.
-
-Where targets tell no start, and where a member was taken out of its group by nobody's
-order known here, what shows it is the place: a target that answers that it does not
-stand where the list has shown it for a while has lost that place.
+"""Decide which process of a target is the current one.
+
+A target may restart under its `id`, with another `born`. The values of `born` do not
+show which process is later, because the clocks of hosts may be stepped. Two facts do:
+
+- A direct answer shows that its process ran after the question was asked.
+- Of two successive reads of the list, the later one has the later registration.
+
+So the answer to the newest question ends the process that was listed when the question
+was asked, even while the list still shows it. When the list shows a process that no
+answer has ended, that one is current.
+
+A restart without a new `born`, and a removal from a group by an order unknown here,
+show in the group instead: a target has lost its group when it answers that it is not
+in the group under which the list has shown it for a while.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,14 +20,14 @@
 
 from mallowpond.state.fleet import GroupKey, Process, Target
 
-# Time for which the list must have shown a place before an answer that shows another
-# one counts, in seconds: a few times the usual lag of reports.
-SETTLED_SECONDS = 0.7
+# Time for which the list must have shown a target in its group before an answer that
+# contradicts it counts, in seconds: a few times the usual lag of reports.
+MIN_LISTED_SECONDS = 0.7
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Heard:
-    """Hold the newest direct answer, and the processes that it showed to be gone."""
+class _Answer:
+    """The process that answered the newest question, and those that it ended."""
 
     process: Process
     asked_at: float
@@ -34,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Listed:
-    """Hold where the list shows a process, and since when."""
+    """The group under which the list shows a process, and since when."""
 
     process: Process
     group_key: GroupKey | None
@@ -42,21 +44,21 @@
 
 
 class CurrentProcesses:
-    """Know the present process of each target, by direct answers and the list."""
+    """The current process of each target, derived from direct answers and the list."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, _Heard] = {}
+        self._answers: dict[str, _Answer] = {}
         self._listed: dict[str, _Listed] = {}
-        self._displaced: dict[Process, GroupKey] = {}
+        self._lost_groups: dict[Process, GroupKey] = {}
         self._targets: dict[str, Target] = {}
 
     @property
     def disclaimed(self) -> frozenset[GroupKey]:
-        """Return the groups in which a member answers that it does not stand."""
-        return frozenset(self._displaced.values())
+        """Return the groups of which a listed member answers that it is not in them."""
+        return frozenset(self._lost_groups.values())
 
     def reconcile(self, targets: Mapping[str, Target], *, now: float) -> None:
-        """Note where the list shows each target; forget those that it does not."""
+        """Take over a read of the list; drop the state of targets no longer listed."""
         known = self._targets
         changed = {n: t for n, t in targets.items() if known.get(n) is not t}
         gone = known.keys() - targets.keys()
@@ -64,13 +66,13 @@
             self._listed[name] = self._as_listed(target, now)
         for name in gone:
             del self._listed[name]
-        for name in self._heard.keys() - targets.keys():
-            del self._heard[name]
+        for name in self._answers.keys() - targets.keys():
+            del self._answers[name]
         if changed or gone:
             self._targets = dict(targets)
-        self._displaced = {
+        self._lost_groups = {
             process: group_key
-            for process, group_key in self._displaced.items()
+            for process, group_key in self._lost_groups.items()
             if self._is_shown(process, group_key)
         }
 
@@ -98,25 +100,28 @@
         asked_at: float,
         shows_orders: bool = True,
     ) -> None:
-        """Take a direct answer to a question that was meant for a listed process.
+        """Record a direct answer.
 
-        `shows_orders` is false while the answer may not show the last order yet.
+        asked: the listed process that the question was meant for.
+        answered: the process that answered, as it describes itself.
+        asked_at: time at which the question was sent.
+        shows_orders: whether the answer certainly shows the last order given.
         """
         if shows_orders:
-            self._hear_place(asked, answered, asked_at)
-        heard = self._heard.get(asked.id)
-        if heard is not None and asked_at < heard.asked_at:
+            self._check_group(asked, answered, asked_at)
+        newest = self._answers.get(asked.id)
+        if newest is not None and asked_at < newest.asked_at:
             return
         ended = {asked.process}
-        if heard is not None:
-            ended |= {heard.process, *heard.ended}
-        self._heard[asked.id] = _Heard(
+        if newest is not None:
+            ended |= {newest.process, *newest.ended}
+        self._answers[asked.id] = _Answer(
             process=answered.process,
             asked_at=asked_at,
             ended=frozenset(ended - {answered.process}),
         )
 
-    def _hear_place(self, asked: Target, answered: Target, asked_at: float) -> None:
+    def _check_group(self, asked: Target, answered: Target, asked_at: float) -> None:
         known = self._listed.get(asked.id)
         if (
             known is None
@@ -125,27 +130,31 @@
         ):
             return
         if answered.group_key == known.group_key:
-            self._displaced.pop(known.process, None)
-        elif asked_at - known.since > SETTLED_SECONDS:
-            self._displaced[known.process] = known.group_key
+            self._lost_groups.pop(known.process, None)
+        elif asked_at - known.since > MIN_LISTED_SECONDS:
+            self._lost_groups[known.process] = known.group_key
 
     def current(self, target: Target) -> Target:
-        """Return a listed target, or what is known of the process that follows it.
+        """Return a listed target as its current process.
 
-        That one gets no orders before the list shows it: what came of them would show
-        nowhere, and its group could not be opened. The same holds for a target that has
-        lost the place that the list shows.
+        If the listed process has ended, or has lost its listed group, the target is
+        returned as lapsed and without a group. Then it gets no orders until the list
+        shows the change: their effects would not be visible, and its group could not
+        be opened.
         """
-        if target.group_key and self._displaced.get(target.process) == target.group_key:
+        if (
+            target.group_key
+            and self._lost_groups.get(target.process) == target.group_key
+        ):
             return replace(target, model="", membership=None, lapsed=True)
-        heard = self._heard.get(target.id)
-        if heard is None or target.process not in heard.ended:
+        newest = self._answers.get(target.id)
+        if newest is None or target.process not in newest.ended:
             return target
         return replace(
-            target, born=heard.process.born, model="", membership=None, lapsed=True
+            target, born=newest.process.born, model="", membership=None, lapsed=True
         )
 
 
 def has_restarted(seen: Iterable[Process], current: Mapping[str, Target]) -> bool:
-    """Tell whether the target of one of these processes runs another one now."""
+    """Return whether the target of one of these processes runs another one now."""
     return any(p.id in current and current[p.id].process != p for p in seen)
