--- a/mallowpond/state/tests/test_claims.py
+++ b/mallowpond/state/tests/test_claims.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "expected"),
+    ("stored", "expected"),
     [
         (None, Granted(row=claim("a2"))),
         (claim(), InProgress()),
