--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -473,7 +473,7 @@
         match end:
             case OrderTaken(began=began):
                 if began or isinstance(step, Leave):
-                    self._book.record_begun(step, expected=expected, is_sure=began)
+                    self._book.record_begun(step, expected=expected, is_certain=began)
                 self._record_accepted(step)
             case OrderFenced():
                 self._book.invalidate_count(target)
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -184,7 +184,7 @@
         if record.count is not None and record.count < orders:
             record.count = None
 
-    def record_begun(self, step: Step, *, expected: int, is_sure: bool) -> None:
+    def record_begun(self, step: Step, *, expected: int, is_certain: bool) -> None:
         """Count an order that was accepted with the count `expected`.
 
         Reports lag behind, and with an old count the next join would be rejected and
@@ -195,7 +195,7 @@
         if expected + 1 < record.min_count:
             return
         record.count = expected + 1
-        if is_sure:
+        if is_certain:
             record.min_count = max(record.min_count, expected + 1)
 
     def invalidate_count(self, target: Target) -> None:
