--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -71,7 +71,7 @@
         self._unhealthy: dict[Process, int] = {}
         self._doubt = ObserverHealth()
         self._others = IndirectProbe(
-            peers=peers, look=self._probe_for_peer, spawn=spawn
+            peers=peers, probe=self._probe_for_peer, spawn=spawn
         )
 
     @property
