--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -200,7 +200,7 @@
         self._doubt.record_silence(target.id, target.domain, now)
         if not self._doubt.is_suspect(now):
             return True
-        if not await self._others.sees(target.id):
+        if not await self._others.is_alive(target.id):
             return True
         log.warning("planner: target seen by another host", target=target.id)
         return False
