--- a/mallowpond/node/indirect_probe.py
+++ b/mallowpond/node/indirect_probe.py
@@ -1,4 +1,8 @@
-"""Ask another host whether a target lives, where this one doubts itself."""
+"""Probe a target through other hosts, where this one may be at fault itself.
+
+An indirect probe keeps a host whose own network or event loop is slow from declaring
+healthy targets dead.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -9,42 +13,46 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.ownership import ranked_by_capacity
 
-# Time that a host has to answer, in seconds: two questions of its own to the target,
-# and its turn for them.
+# Timeout of a peer's answer, in seconds: the peer probes the target up to twice, after
+# waiting for its turn to probe.
 ANSWER_TIMEOUT_SECONDS = 0.6
-# Hosts that are asked one after the other before this one's own finding counts.
+# Peers asked one after the other before this host's own result counts.
 MAX_ASKED_HOSTS = 2
 
 
 class IndirectProbe:
-    """Ask the strongest other hosts, and answer them."""
+    """Asks peers to probe a target, and probes targets for peers.
+
+    `probe` returns whether a target is alive, None if that is not known; `spawn` runs a
+    coroutine in the background.
+    """
 
     def __init__(
         self,
         *,
         peers: PeerNetwork,
-        look: Callable[[str], Awaitable[bool | None]],
+        probe: Callable[[str], Awaitable[bool | None]],
         spawn: Callable[[Coroutine[Any, Any, Any]], None],
     ) -> None:
         self._peers = peers
-        self._look = look
+        self._probe = probe
         self._spawn = spawn
         self._numbers = count(1)
         self._pending: dict[int, asyncio.Future[bool]] = {}
         peers.on_liveness_question.append(self._on_question)
         peers.on_liveness_answer.append(self._on_answer)
 
-    async def sees(self, target: str) -> bool | None:
-        """Return whether another host finds a target alive, None if none could tell."""
+    async def is_alive(self, target: str) -> bool | None:
+        """Return whether a peer finds a target alive, None if no peer could answer."""
         for node in self._others()[:MAX_ASKED_HOSTS]:
-            found = await self._ask(node, target)
-            if found is not None:
-                return found
+            alive = await self._ask(node, target)
+            if alive is not None:
+                return alive
         return None
 
     def _others(self) -> list[str]:
-        able = [p.heartbeat for p in self._peers.live if not p.heartbeat.stopping]
-        return ranked_by_capacity("opinion", {h.node: h.cores for h in able})
+        available = [p.heartbeat for p in self._peers.live if not p.heartbeat.stopping]
+        return ranked_by_capacity("opinion", {h.node: h.cores for h in available})
 
     async def _ask(self, node: str, target: str) -> bool | None:
         number = next(self._numbers)
@@ -63,11 +71,11 @@
         self._spawn(self._probe_and_answer(question))
 
     async def _probe_and_answer(self, question: LivenessQuestion) -> None:
-        alive = await self._look(question.target)
+        alive = await self._probe(question.target)
         if alive is not None:
             self._peers.answer_liveness(question, alive)
 
     def _on_answer(self, answer: LivenessAnswer) -> None:
-        waiting = self._pending.get(answer.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer.alive)
+        pending = self._pending.get(answer.number)
+        if pending is not None and not pending.done():
+            pending.set_result(answer.alive)
