--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -159,7 +159,7 @@
     def can_resume(self, stream: ActiveStream) -> bool:
         """Tell whether a stream may be sent to another group, when one has a place."""
         work = stream.work
-        if not work.route.resumable or stream.moved is not None:
+        if not work.route.resumable or stream.move_reason is not None:
             return False
         return self._attempts(work) < work.route.max_attempts
 
@@ -236,9 +236,9 @@
             async with asyncio.timeout(max(0.001, work.deadline - now)):
                 return await stream.task
         except asyncio.CancelledError:
-            if stream.moved is None or _is_cancelling():
+            if stream.move_reason is None or _is_cancelling():
                 raise
-            return Interrupted(reason=stream.moved)
+            return Interrupted(reason=stream.move_reason)
         except TimeoutError:
             return Interrupted(reason=Reason.TIMEOUT)
         finally:
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -165,7 +165,7 @@
         let_pass(rig, watch, 0.02)
         note(("a", 1))
     (stream,) = rig.service.active
-    assert stream.moved is Reason.SILENT_GROUP
+    assert stream.move_reason is Reason.SILENT_GROUP
     assert await task == Answered(status=200, target="b0")
     assert peers.told == []
 
@@ -193,7 +193,7 @@
     rig.clock.time += 0.02
     watch.check()
     assert peers.told == []
-    assert stream.moved is Reason.SLOW_TARGET
+    assert stream.move_reason is Reason.SLOW_TARGET
     assert await task == Answered(status=200, target="b0")
 
 
@@ -231,7 +231,7 @@
     names = {g.name for g in rig.directory.serving_groups("engines", "m")}
     assert names == {"b"}
     (stream,) = rig.service.active
-    assert stream.moved is None
+    assert stream.move_reason is None
     await end(task)
 
 
@@ -251,7 +251,7 @@
     (stream,) = rig.service.active
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert outcome == Answered(status=200, target="b0")
-    assert stream.moved is Reason.SILENT_GROUP
+    assert stream.move_reason is Reason.SILENT_GROUP
     assert await task == Answered(status=200, target="b0")
     assert peers.told == [(("a", 1), BreakCause.REFUSED)]
 
@@ -269,7 +269,7 @@
     (stream,) = rig.service.active
     await rig.service.serve(rig.work(FakeExchange()))
     assert rig.directory.is_broken(("a", 1))
-    assert stream.moved is None
+    assert stream.move_reason is None
     await end(task)
 
 
@@ -306,7 +306,7 @@
     anew = member("a1", "a", 1, born=1)
     anew = replace(anew, membership=None)
     rig.directory.apply_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
-    assert stream.moved is Reason.RESTARTED
+    assert stream.move_reason is Reason.RESTARTED
     assert peers.told == []
     for _ in range(9):
         await asyncio.sleep(0)
@@ -333,7 +333,7 @@
     (stream,) = rig.service.active
     stream.work.route = replace(stream.work.route, resumable=False)
     rig.directory.apply_report(replace(member("a0", "a", 0, born=1), membership=None))
-    assert stream.moved is None
+    assert stream.move_reason is None
     await end(task)
 
 
@@ -376,7 +376,7 @@
     stream.events = 0
     learn_delay(rig, stream, 0.4)
     let_pass(rig, watch, 0.3)
-    assert stream.moved is None
+    assert stream.move_reason is None
     let_pass(rig, watch, 0.3)
-    assert stream.moved is Reason.SILENT_GROUP
+    assert stream.move_reason is Reason.SILENT_GROUP
     await end(task)
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -93,7 +93,7 @@
             self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
-            if stream.moved is None:
+            if stream.move_reason is None:
                 by_group[stream.key].append(stream)
         # A question of long ago says nothing of the streams that came since.
         self._doubts = {k: d for k, d in self._doubts.items() if k in by_group}
