--- a/mallowpond/node/stream_work.py
+++ b/mallowpond/node/stream_work.py
@@ -1,4 +1,4 @@
-"""One stream while it is served, each of its sends, and how a send ended."""
+"""State of a stream while it is served, of each send of it, and how a send ended."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -20,7 +20,11 @@
 
 @dataclass(kw_only=True)
 class StreamWork:
-    """Hold the state of one stream while it is served."""
+    """The state of one stream while it is served, across all its sends.
+
+    Times are seconds of the monotonic clock; `waited` and `longest_gap` are durations
+    in seconds. `last_event_id` is the id after which another group resumes the stream.
+    """
 
     request: CallerRequest
     route: Route
@@ -32,9 +36,9 @@
     deadline: float
     exchange: Exchange
     progress: StreamProgress = field(default_factory=StreamProgress)
-    last_event: str | None = None
+    last_event_id: str | None = None
     sent_to: list[Process] = field(default_factory=list)
-    not_run: int = 0
+    not_run_sends: int = 0
     sends: int = 0
     sent_at: float = 0.0
     waited: float = 0.0
@@ -45,35 +49,36 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what the request shares with its returns."""
+        """Return the fingerprint that the request shares with its retries."""
         return self.request.fingerprint(self.workspace)
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether the caller has part of the answer."""
+        """Return whether the caller has part of the answer."""
         return self.last_event_at is not None
 
     @property
     def prompt_tokens(self) -> float:
-        """Return the tokens that a group reads first, those written so far too."""
+        """Return the tokens to prefill: the prompt and the answer written so far."""
         written = self.progress.events * self.profile.stride
         return float(self.request.prompt_tokens + written)
 
 
 @dataclass(kw_only=True, eq=False)
 class ActiveStream:
-    """Watch one stream's send to one group."""
+    """One send of a stream to a group that is in progress."""
 
     work: StreamWork
     group: Group
     sent_at: float
-    # Time of its first event by the declared timing, in seconds from `sent_at`.
+    # Seconds from `sent_at` to the first event, predicted from the declared timing.
     predicted: float = 0.0
-    # By what factor its group was slow then.
+    # Slowness of the group when the stream was sent, at least 1.
     slowness: float = 1.0
     task: asyncio.Task["AttemptEnd"] | None = None
-    moved: Reason | None = None
-    reading: float = 0.0
+    move_reason: Reason | None = None
+    # Counted in the group's load until the first event.
+    prefill_tokens: float = 0.0
     last_event_at: float | None = None
     events: int = 0
 
@@ -84,22 +89,22 @@
 
     @property
     def allowed_gap(self) -> float:
-        """Return the silence that leaves the stream on time, in seconds."""
+        """Return the longest silence with which the stream is on time, in seconds."""
         route = self.work.route
         if self.last_event_at is None and self.work.first_event_at is None:
             return route.objective_seconds
         return route.gap_objective_seconds or route.objective_seconds
 
     def move(self, reason: Reason) -> None:
-        """Stop the send; the stream goes on at another group."""
-        if self.moved is None and self.task is not None:
-            self.moved = reason
+        """Cancel the send, so that the stream resumes on another group."""
+        if self.move_reason is None and self.task is not None:
+            self.move_reason = reason
             self.task.cancel()
 
 
 @dataclass(frozen=True, kw_only=True)
-class WholeAnswer:
-    """The group's answer ended as it should."""
+class CompleteAnswer:
+    """The group's answer ended normally."""
 
     status: int
 
@@ -113,18 +118,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Interrupted:
-    """The answer broke off, failed, or the stream was moved away."""
+    """The answer broke off or failed, or the stream was moved to another group."""
 
     reason: Reason
 
 
 @dataclass(frozen=True, kw_only=True)
 class FailedAnswer:
-    """The engine ran the request and answered with a failure of its own."""
+    """The engine ran the request and answered with an error status."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
 
-AttemptEnd = WholeAnswer | NotRun | Interrupted | FailedAnswer
+AttemptEnd = CompleteAnswer | NotRun | Interrupted | FailedAnswer
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -1,4 +1,4 @@
-"""Serve streams: place, pass events on, move to another group, end once."""
+"""Serve streams: place each, forward its events, resume on another group if needed."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 from mallowpond.node.stream_work import (
     ActiveStream,
     AttemptEnd,
+    CompleteAnswer,
     FailedAnswer,
     Interrupted,
     NotRun,
     StreamWork,
-    WholeAnswer,
 )
 from mallowpond.state.fleet import BreakCause, Group
 from mallowpond.state.placement import (
@@ -37,19 +37,19 @@
 
 log = structlog.get_logger()
 
-# Sends that were proved not to have run, at most, for one request.
+# Sends of one request, at most, that a group proved not to have run.
 MAX_NOT_RUN_SENDS = 6
 # Longest backoff from a group that rejects every stream, in seconds: as long as a group
 # that only this host cannot reach is excluded, and shorter than any caller waits.
 MAX_BACKOFF_SECONDS = 1.0
-# How a send ends when the target ends while it runs the stream: the connection closes,
-# or the list shows another process there first.
+# Reasons for the end of a send when the target's process ends: the connection closes,
+# or the target list shows another process first.
 PROCESS_ENDED_REASONS = (Reason.BROKEN_STREAM, Reason.RESTARTED)
 EVENT_ID = b"id:"
 
 
 class StreamService:
-    """Serve streams on the groups of a directory."""
+    """Serves streams on the groups of a directory, resuming them when a group fails."""
 
     def __init__(self, *, parts: ServingParts) -> None:
         self._directory = parts.directory
@@ -64,16 +64,16 @@
         self.placement = StreamPlacement(parts=parts)
         self.active: set[ActiveStream] = set()
         self._serving = 0
-        # Called when a send has ended, whatever came of it.
+        # Called when a send has ended, with whatever outcome.
         self.on_end: list[Callable[[], None]] = []
-        # Set while streams are served or wait here.
+        # Set while any stream is served or waits on this host.
         self.has_streams = asyncio.Event()
         parts.directory.on_change.append(self.placement.wake_all)
 
     # -- one stream ----------------------------------------------------------
 
     async def serve(self, work: StreamWork) -> ServeOutcome:
-        """Serve one stream to its end."""
+        """Serve one stream to its end, and return its outcome."""
         self._serving += 1
         self.has_streams.set()
         try:
@@ -85,7 +85,7 @@
 
     async def _serve(self, work: StreamWork) -> ServeOutcome:
         work.started_at = self._clock.now()
-        work.last_event = work.request.last_event
+        work.last_event_id = work.request.last_event
         self.placement.record_model(work)
         self._budget(work.service).record_first_send(work.started_at)
         failed: FailedAnswer | None = None
@@ -95,7 +95,7 @@
                 return await self._end_unserved(work, group, failed)
             end = await self._send(work, group)
             match end:
-                case WholeAnswer(status=status):
+                case CompleteAnswer(status=status):
                     self._quarantine.record_answer(work.fingerprint)
                     self._log_served(work)
                     return Answered(status=status, target=work.sent_to[-1].id)
@@ -122,14 +122,15 @@
     def _refuse_retry(
         self, work: StreamWork, end: AttemptEnd, reason: Reason
     ) -> Refusal | None:
+        """Return why a stream must not be sent again, None if it may be."""
         now = self._clock.now()
         quarantined = self._quarantine.refusal(work.fingerprint)
         if quarantined is not None:
             return quarantined
         if isinstance(end, NotRun):
-            work.not_run += 1
+            work.not_run_sends += 1
             work.sent_to.pop()
-            if work.not_run > MAX_NOT_RUN_SENDS:
+            if work.not_run_sends > MAX_NOT_RUN_SENDS:
                 return self.placement.refuse(Reason.NO_GROUP, NO_GROUP_RETRY_SECONDS)
         elif not work.route.resumable:
             return Refusal(status=502, reason=Reason.MAYBE_RUN)
@@ -142,7 +143,7 @@
         return None
 
     def _log_served(self, work: StreamWork) -> None:
-        """Log what decides whether the answer was on time."""
+        """Log the delays that decide whether the answer was on time."""
         first = (work.first_event_at or self._clock.now()) - work.started_at
         log.info(
             "stream: served",
@@ -157,20 +158,20 @@
         )
 
     def can_resume(self, stream: ActiveStream) -> bool:
-        """Tell whether a stream may be sent to another group, when one has a place."""
+        """Return whether a stream may be sent to another group once one has a slot."""
         work = stream.work
         if not work.route.resumable or stream.move_reason is not None:
             return False
         return self._attempts(work) < work.route.max_attempts
 
     def can_move(self, stream: ActiveStream) -> bool:
-        """Tell whether a stream could go on at another group now."""
+        """Return whether a stream could be resumed on another group now."""
         return (
             self.can_resume(stream) and self.placement.choose(stream.work) is not None
         )
 
     def _attempts(self, work: StreamWork) -> int:
-        """Count the engines that may have run the request and have not ended."""
+        """Count the engine processes that may have run the request and still exist."""
         return self._directory.count_present(work.sent_to)
 
     async def _end_unserved(
@@ -184,10 +185,10 @@
             )
             return Answered(status=failed.status, target=work.sent_to[-1].id)
         if work.sent_to and refusal.status == 503:
-            # Some engine may have run it, so "not run" would be a lie.
+            # Some engine may have run it, and 503 means that none did.
             return Refusal(status=502, reason=refusal.reason)
         if not work.sent_to and refusal.status != 503:
-            # Every engine turned it away: the caller may come back, whatever it asked.
+            # Every engine rejected it, so the caller may retry any request.
             return self.placement.refuse(refusal.reason, NO_GROUP_RETRY_SECONDS)
         return refusal
 
@@ -207,10 +208,10 @@
                 work.profile, work.model, load, work.prompt_tokens
             ),
             slowness=max(1.0, load.slowness),
-            reading=work.prompt_tokens,
+            prefill_tokens=work.prompt_tokens,
         )
         own.running += 1
-        own.prefill_tokens += stream.reading
+        own.prefill_tokens += stream.prefill_tokens
         self._intake.record_sent(group.head)
         work.sent_to.append(group.head.process)
         work.sent_at = now
@@ -227,7 +228,7 @@
             predicted=round(stream.predicted, 3),
             delay=round(scaled_delay(load, usual_delay), 3),
             left=round(work.deadline - now, 3),
-            resume=work.last_event,
+            resume=work.last_event_id,
         )
         stream.task = asyncio.create_task(self._attempt(stream))
         self.active.add(stream)
@@ -246,7 +247,7 @@
             stream.task.cancel()
             await asyncio.gather(stream.task, return_exceptions=True)
             own.running -= 1
-            own.prefill_tokens -= stream.reading
+            own.prefill_tokens -= stream.prefill_tokens
             work.progress.drop_rest()
             self.placement.wake(work.model.name)
             for notify in self.on_end:
@@ -260,7 +261,7 @@
             work.request,
             workspace=work.workspace,
             seconds_left=work.deadline - self._clock.now(),
-            last_event=work.last_event,
+            last_event=work.last_event_id,
         )
         if isinstance(response, CallFailed):
             if response.bytes_left:
@@ -301,7 +302,7 @@
                     if not work.exchange.started:
                         await work.exchange.start(200, headers)
                     await work.exchange.end()
-                    return WholeAnswer(status=200)
+                    return CompleteAnswer(status=200)
                 case CallFailed():
                     return Interrupted(reason=Reason.BROKEN_STREAM)
         return Interrupted(reason=Reason.BROKEN_STREAM)
@@ -309,7 +310,7 @@
     def _record_notice(
         self, stream: ActiveStream, response: HttpResponse
     ) -> TargetNotice:
-        """Note what the answer of a group's head says of the head."""
+        """Record what a head's answer says of its load and rate limit."""
         notice = self._targets.notice(response)
         if stream.group.head is not None:
             self._intake.hear(stream.group.head, notice, stream.sent_at)
@@ -323,7 +324,7 @@
         if not whole:
             return
         self._record_event(stream)
-        work.last_event = _last_event_id(whole) or work.last_event
+        work.last_event_id = _last_event_id(whole) or work.last_event_id
         if not work.exchange.started:
             await work.exchange.start(200, headers)
         await work.exchange.send(whole)
@@ -343,8 +344,8 @@
                 predicted=stream.predicted,
                 slowness=stream.slowness,
             )
-            own.prefill_tokens -= stream.reading
-            stream.reading = 0.0
+            own.prefill_tokens -= stream.prefill_tokens
+            stream.prefill_tokens = 0.0
             self.placement.wake(work.model.name)
         else:
             gap = now - stream.last_event_at
@@ -360,7 +361,7 @@
         own.backoff_seconds = 0.0
 
     def _record_broken(self, work: StreamWork, group: Group, reason: Reason) -> None:
-        """Note that a group's head ended, and leave it alone if it had ended before."""
+        """Record the end of a group's head; back off if it was known to have ended."""
         assert group.head is not None
         process = group.head.process
         if not self._quarantine.record_ending(work.fingerprint, process, work.sent_at):
@@ -368,10 +369,10 @@
             self._log_rejected(work, group, reason)
 
     def _back_off(self, work: StreamWork, group: Group) -> None:
-        """Send no more streams to a group for a moment after it turned one away.
+        """Suspend a group after it rejected a stream, with exponential backoff.
 
-        Twice as long each time, until it shows an event: heads that have crashed would
-        be sent a stream after each short backoff, each one of the shared repeats.
+        The backoff doubles until the group sends an event: with a short fixed one, a
+        crashed head would get a stream after each backoff and use up the retry budget.
         """
         own = self._directory.loads.work(group.key)
         now = self._clock.now()
@@ -382,7 +383,7 @@
             work.prompt_tokens,
         )
         if own.excluded_until <= now:
-            # Streams that were under way together are turned away once, not in a row.
+            # Streams that were in flight together count as one rejection.
             backoff = max(backoff, min(2 * own.backoff_seconds, MAX_BACKOFF_SECONDS))
             own.backoff_seconds = backoff
         self._directory.suspend_group(group.key, now + backoff)
@@ -402,7 +403,7 @@
 
 
 def _last_event_id(events: bytes) -> str | None:
-    """Return the id of the last event that has one."""
+    """Return the id of the last event that has one, None if there is none."""
     at = events.rfind(b"\n" + EVENT_ID)
     start = 0 if at < 0 and events.startswith(EVENT_ID) else at + 1
     if at < 0 and not events.startswith(EVENT_ID):
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -150,7 +150,7 @@
         let_pass(rig, watch, 0.02)
     await end(task)
     let_pass(rig, watch, 0.04)
-    assert watch._doubts == {}
+    assert watch._queries == {}
 
 
 async def test_a_host_leaves_a_group_that_only_others_can_reach():
--- a/mallowpond/node/waiting.py
+++ b/mallowpond/node/waiting.py
@@ -1,8 +1,8 @@
-"""Let streams wait for a place, in order, or refuse them at once.
+"""Queue the streams of one host that wait for a slot.
 
-The load pattern: a burst, or groups lost at once, fill every place for a second or
-two. A stream that gets a place within its caller's patience is served late instead
-of lost; one that would wait longer is refused while its caller can still come back.
+A burst, or the loss of several groups at once, fills every slot for a second or two. A
+stream that gets a slot within its caller's patience is served late instead of lost; one
+that would wait longer is refused while its caller can still retry.
 """
 
 import asyncio
@@ -22,15 +22,17 @@
 
 @dataclass(kw_only=True)
 class WaitQueue:
-    """Wake waiting streams: begun ones, those that can be on time, then by arrival.
+    """A queue that wakes streams that have begun first, then those still on time.
 
-    A stream whose group died in the middle needs a place for its rest only, and its
-    caller has part of the answer: behind newcomers it would be cut off, its work on
-    the first group would be lost, and the caller would ask for all of it again.
+    Streams of equal rank are ordered by priority, then by arrival.
 
-    In a first-come order every stream waits as long as the line is, and once that
-    passes the objective all of them are late. Served in this order, as many are on
-    time as there are places, and the late ones follow when there is room.
+    A stream whose group died after it had begun needs a slot only for its remainder,
+    and its caller has part of the answer. Behind new streams it would be cut off, the
+    work of the first group would be lost, and the caller would request all of it again.
+
+    In first-come order every stream waits for the whole queue, and once that takes
+    longer than the objective all of them are late. In this order as many are on time as
+    there are slots, and the late ones follow when slots are left.
     """
 
     _waiters: list[_Waiter] = field(default_factory=list)
@@ -40,7 +42,7 @@
         return len(self._waiters)
 
     def ahead_of(self, priority: int, *, has_begun: bool = False) -> int:
-        """Return how many waiting streams would go before a late one."""
+        """Return how many waiting streams would go before a new one that is late."""
         if has_begun:
             return sum(1 for waiter in self._waiters if waiter.has_begun)
         return sum(1 for t in self._waiters if t.has_begun or t.priority <= priority)
@@ -53,7 +55,7 @@
         seconds: float,
         has_begun: bool = False,
     ) -> bool:
-        """Wait for a waiter; return False when it did not come in time."""
+        """Wait to be woken; return False if that did not happen within `seconds`."""
         waiter = _Waiter(
             has_begun=has_begun,
             priority=priority,
@@ -73,15 +75,15 @@
                 self._waiters.remove(waiter)
 
     def reject_all(self) -> None:
-        """Tell all that wait that their waiter does not come."""
+        """End all waits without a slot."""
         waiters, self._waiters = self._pending(), []
         for waiter in waiters:
             waiter.future.set_result(False)
 
-    def wake(self, has_place: Callable[[], bool], now: float) -> None:
-        """Wake the first stream if there is a place; it wakes the next one."""
+    def wake(self, has_capacity: Callable[[], bool], now: float) -> None:
+        """Wake the first stream if there is a free slot; it wakes the next one."""
         waiting = self._pending()
-        if not waiting or not has_place():
+        if not waiting or not has_capacity():
             return
 
         def order(waiter: _Waiter) -> tuple[bool, bool, int, int]:
@@ -93,10 +95,11 @@
         first.future.set_result(True)
 
     def _pending(self) -> list[_Waiter]:
-        """Return the waiters that can still be given.
+        """Return the waiters that can still be woken.
 
-        A stream that leaves, or whose time runs out, stands in the line until its own
-        next step; waking it failed, and ended the task that was looking at the groups.
+        A stream that was cancelled or timed out stays in the queue until its task runs
+        again. Setting the result of its future would raise in the caller, which ended
+        the task of the group watch.
         """
         return [waiter for waiter in self._waiters if not waiter.future.done()]
 
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -1,4 +1,4 @@
-"""Watch the groups that streams are on, and move streams away from silent ones."""
+"""Detect failed and slow groups by their streams, and move the streams away."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -27,24 +27,29 @@
 
 log = structlog.get_logger()
 
-# Pause between two looks, in seconds: a small part of the shortest gap targets.
+# Interval between two checks, in seconds: a small part of the shortest gap objectives.
 MIN_CHECK_INTERVAL_SECONDS = 0.02
-# Longest pause between two looks, in seconds: while no group can have been silent long
-# enough, as most of 195 hosts find most of the time. A stream that begins meanwhile is
-# not due to be asked about for longer.
+# Longest interval between two checks, in seconds, while no group can have been silent
+# long enough, which holds for most of 195 hosts most of the time. A stream that begins
+# meanwhile cannot become suspicious within it.
 MAX_CHECK_INTERVAL_SECONDS = 0.06
-# Events of a stream from a group after which its pace is taken as known.
+# Events of a stream from a group after which the group's pace counts as known.
 MIN_PACE_EVENTS = 2
-# A look that comes later than it was due by more shows that this process stood still:
-# what looks like a group's silence then is its own, so all groups get a new start.
+# Delay of a check, in seconds, beyond which this process itself was stalled: the
+# silence it sees may be its own, so the silence of all groups is counted anew.
 STALLED_SECONDS = 0.08
 # Time for which a group that only this host cannot reach gets none of its streams, in
-# seconds: a connection that fell silent is replaced by the next stream's.
+# seconds; the next stream opens a new connection in place of the silent one.
 UNREACHABLE_SECONDS = 1.0
 
 
 class GroupWatch:
-    """Suspect groups by the silence of all streams on them."""
+    """Failure detector for groups: suspects those on which all streams are silent.
+
+    Before it suspects a group it asks the other hosts whether they see progress there.
+    Streams of suspected, broken, slow or unreachable groups are moved where possible;
+    suspicions and broken groups are broadcast to the peers.
+    """
 
     def __init__(
         self,
@@ -65,7 +70,8 @@
         self._due_at = clock.now()
         self._interval = MIN_CHECK_INTERVAL_SECONDS
         self._silence_counts_from = clock.now()
-        self._doubts: dict[GroupKey, PeerQuery] = {}
+        self._queries: dict[GroupKey, PeerQuery] = {}
+        # Called when a group is suspected or broken.
         self.on_suspect: list[Callable[[GroupKey], None]] = []
         directory.on_broken.append(self._on_broken)
         peers.on_suspicion.append(self._on_suspicion)
@@ -74,17 +80,17 @@
         peers.on_advance.append(self._on_advance)
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check the groups until cancelled."""
         while True:
             if not self._streams.has_streams.is_set():
-                # A host at rest has nothing to look at.
+                # Without streams there is nothing to check.
                 await self._streams.has_streams.wait()
                 self._due_at = self._clock.now() + self._interval
             await self._clock.sleep(self._interval)
             self.check()
 
     def check(self) -> None:
-        """Judge every group that has streams of this host."""
+        """Evaluate every group that has streams of this host."""
         now = self._clock.now()
         if now - self._due_at > STALLED_SECONDS:
             self._silence_counts_from = now
@@ -95,38 +101,38 @@
         for stream in self._streams.active:
             if stream.move_reason is None:
                 by_group[stream.key].append(stream)
-        # A question of long ago says nothing of the streams that came since.
-        self._doubts = {k: d for k, d in self._doubts.items() if k in by_group}
+        # An earlier query does not apply to streams that were sent since.
+        self._queries = {k: q for k, q in self._queries.items() if k in by_group}
         for key, streams in by_group.items():
-            quiet = self._quiet(key, streams, now)
+            silence = self._measure_silence(key, streams, now)
             if self._is_excluded(key):
                 self._move_from_slow(streams)
             else:
-                self._judge(key, streams, quiet)
-                self._interval = min(self._interval, seconds_until_due(quiet))
+                self._evaluate(key, streams, silence)
+                self._interval = min(self._interval, seconds_until_due(silence))
         self._interval = max(self._interval, MIN_CHECK_INTERVAL_SECONDS)
         self._due_at = now + self._interval
 
-    def _judge(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
+    def _evaluate(
+        self, key: GroupKey, streams: list[ActiveStream], silence: GroupSilence
     ) -> None:
         now = self._clock.now()
-        match classify_silence(quiet, self._doubts.get(key), now):
+        match classify_silence(silence, self._queries.get(key), now):
             case SilenceVerdict.SOUND:
-                self._doubts.pop(key, None)
+                self._queries.pop(key, None)
                 self._move_from_slow(streams)
             case SilenceVerdict.ASK:
-                self._doubts[key] = PeerQuery(asked_at=now)
-                self._peers.ask_group_progress(key, quiet.silent_seconds)
+                self._queries[key] = PeerQuery(asked_at=now)
+                self._peers.ask_group_progress(key, silence.silent_seconds)
             case SilenceVerdict.SUSPECT:
-                del self._doubts[key]
-                self._suspect(key, streams, quiet)
+                del self._queries[key]
+                self._suspect(key, streams, silence)
             case SilenceVerdict.LEAVE:
-                del self._doubts[key]
-                self._leave_unreachable(key, streams, quiet)
+                del self._queries[key]
+                self._leave_unreachable(key, streams, silence)
 
     def _on_silence_question(self, question: SilenceQuestion) -> bool:
-        """Answer a peer that takes a group for silent."""
+        """Return whether this host saw progress of a group that is silent at a peer."""
         key = (question.group, question.epoch)
         if key not in self._directory.groups:
             return False
@@ -134,16 +140,16 @@
         return has_advanced(own_silence=own_silence, asked_silence=question.silent)
 
     def _on_advance(self, key: GroupKey) -> None:
-        doubt = self._doubts.get(key)
-        if doubt is not None:
-            self._doubts[key] = replace(doubt, advanced_at=self._clock.now())
+        query = self._queries.get(key)
+        if query is not None:
+            self._queries[key] = replace(query, advanced_at=self._clock.now())
 
-    def _quiet(
+    def _measure_silence(
         self, key: GroupKey, streams: list[ActiveStream], now: float
     ) -> GroupSilence:
         work = streams[0].work
         load = self._directory.loads.load_of(streams[0].group, work.profile)
-        # Tokens that other hosts' prompts still hold are part of the load.
+        # The load includes the prompt tokens of other hosts that are to be prefilled.
         predicted = silent_seconds(work.profile, work.model, load)
         oldest = min(stream.sent_at for stream in streams)
         since = max(
@@ -163,15 +169,15 @@
         )
 
     def _suspect(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
+        self, key: GroupKey, streams: list[ActiveStream], silence: GroupSilence
     ) -> None:
         self._metrics.suspicions.labels("own").inc()
         log.info(
             "groups: suspected",
             group=key[0],
-            silent=round(quiet.silent_seconds, 3),
-            predicted=round(quiet.predicted_gap, 3),
-            allowed=quiet.allowed_gap,
+            silent=round(silence.silent_seconds, 3),
+            predicted=round(silence.predicted_gap, 3),
+            allowed=silence.allowed_gap,
             streams=len(streams),
         )
         self._exclude_suspected(key)
@@ -179,35 +185,35 @@
         self._peers.broadcast_suspicion(key)
 
     def _leave_unreachable(
-        self, key: GroupKey, streams: list[ActiveStream], quiet: GroupSilence
+        self, key: GroupKey, streams: list[ActiveStream], silence: GroupSilence
     ) -> None:
-        """Move the streams of a group that advances for other hosts."""
+        """Leave a group that makes progress for other hosts but not for this one."""
         self._metrics.suspicions.labels("unreached").inc()
         log.info(
             "groups: unreached",
             group=key[0],
-            silent=round(quiet.silent_seconds, 3),
-            predicted=round(quiet.predicted_gap, 3),
+            silent=round(silence.silent_seconds, 3),
+            predicted=round(silence.predicted_gap, 3),
             streams=len(streams),
         )
         self._exclude(key, UNREACHABLE_SECONDS)
         self._move(streams)
 
     def _move(self, streams: list[ActiveStream]) -> None:
-        """Move the streams that may be sent once more; the others stay.
+        """Move the streams that another group can take now; the others stay.
 
-        A suspicion may be wrong: a stream that can go nowhere else is better off
-        where its group may still advance.
+        A suspicion may be wrong: a stream without an alternative is better off on a
+        group that may still make progress.
         """
         for stream in streams:
             if self._streams.can_move(stream):
                 stream.move(Reason.SILENT_GROUP)
 
     def _move_from_slow(self, streams: list[ActiveStream]) -> None:
-        """Move streams from a group whose every event comes late.
+        """Move streams from a group whose pace makes every event late.
 
-        At a twelfth of its pace a group lives, so it is never suspected, and its
-        streams would end past their callers' time.
+        A group at a twelfth of its pace still sends events and is never suspected, but
+        its streams would end past their deadlines.
         """
         for stream in streams:
             work = stream.work
@@ -229,8 +235,8 @@
         return self._directory.loads.work(key).excluded_until > self._clock.now()
 
     def _exclude_suspected(self, key: GroupKey) -> None:
-        # The group reports that it broke only after the stall time, so until then
-        # it would be sent new streams again.
+        # The group itself reports the failure only after the stall time; until then it
+        # would get new streams.
         work = self._directory.loads.work(key)
         work.suspicions += 1
         self._directory.suspend_group(key, self._clock.now() + self._stall_seconds)
@@ -238,7 +244,7 @@
             notify(key)
 
     def _on_suspicion(self, suspicion: Suspicion) -> None:
-        """Take a peer's suspicion unless this host saw the group advance since."""
+        """Adopt a peer's suspicion unless the group makes progress here."""
         key = (suspicion.group, suspicion.epoch)
         if suspicion.cleared:
             self.clear(key)
@@ -255,19 +261,19 @@
         self._move(streams)
 
     def _streams_on(self, key: GroupKey) -> list[ActiveStream]:
-        return [s for s in self._streams.active if s.key == key and not s.moved]
+        return [s for s in self._streams.active if s.key == key and not s.move_reason]
 
     def _is_making_progress(self, key: GroupKey, streams: list[ActiveStream]) -> bool:
-        """Tell whether a group showed an event here too lately to be silent."""
+        """Return whether a group sent an event here too recently to be silent."""
         if not streams:
             return False
-        quiet = self._quiet(key, streams, self._clock.now())
-        return quiet.silent_seconds < max(
-            0.5 * quiet.predicted_gap, MIN_CHECK_INTERVAL_SECONDS
+        silence = self._measure_silence(key, streams, self._clock.now())
+        return silence.silent_seconds < max(
+            0.5 * silence.predicted_gap, MIN_CHECK_INTERVAL_SECONDS
         )
 
     def _on_group_broken(self, message: GroupBroken) -> None:
-        """Take a peer's word that a formation serves no more, and pass it to no one."""
+        """Mark a formation broken that a peer reported; do not broadcast it again."""
         group = self._directory.groups.get((message.group, message.epoch))
         if group is None or group.head is None:
             return
@@ -277,11 +283,11 @@
     def _on_broken(
         self, group: Group, cause: BreakCause, is_known_to_peers: bool
     ) -> None:
-        """Move the streams of a formation that serves no more, and tell the peers.
+        """Move the streams of a broken formation, and broadcast it to the peers.
 
-        A head that closes turns streams away while those that run there end well, so
-        after a refusal only those leave that show no event. What ran on a process that
-        is gone never goes on there: it leaves to wait in line where no place is free.
+        A closing head rejects new streams while running ones complete, so after a
+        refusal only streams without recent events are moved. Streams on a process that
+        is gone never continue there: they leave even if they have to queue for a slot.
         """
         streams = self._streams_on(group.key)
         if cause is BreakCause.RESTARTED:
@@ -296,10 +302,10 @@
             notify(group.key)
 
     def exclude_closing(self, key: GroupKey) -> None:
-        """Send no new streams to a group that is closed or taken apart.
+        """Send no new streams to a group that is closing or being dissolved.
 
-        The list shows it up to a poll later, and each stream sent meanwhile is turned
-        away and waits for a place anew.
+        The list shows that up to one poll later, and each stream sent meanwhile would
+        be rejected and have to be placed again.
         """
         self._exclude(key, self._stall_seconds)
 
@@ -307,5 +313,5 @@
         self._directory.suspend_group(key, self._clock.now() + seconds)
 
     def clear(self, key: GroupKey) -> None:
-        """Trust a group again whose members were all found alive."""
+        """Clear the suspicion of a group whose members were all found alive."""
         self._directory.resume_group(key)
