--- a/mallowpond/state/planner.py
+++ b/mallowpond/state/planner.py
@@ -1,11 +1,13 @@
 """Plan which hosts form, repair or leave groups.
 
-One pure function from what is known of hosts, deployments and groups to actions.
-A group needs hosts of one fabric domain, unless its deployment allows spanning, so
-the number of groups that a domain can carry is its usable hosts divided by the
-group's size: `plan` reaches that bound by letting broken groups complete each other.
-What the bound leaves open is decided by each deployment's weights for group downtime
-and stranded accelerators.
+`plan` is a pure function from the known hosts, deployments and groups to actions. It
+runs on the controllers; `formation` plans groups of listed engines for the entry hosts.
+
+A group needs hosts of one fabric domain, unless its deployment allows several. So a
+domain can carry as many groups as its usable hosts divided by the group's size. `plan`
+reaches that bound by letting broken groups complete each other. Choices within the
+bound are made by each deployment's weights for group downtime and stranded
+accelerators.
 """
 
 from collections.abc import Iterable
@@ -14,15 +16,18 @@
 
 from mallowpond.state.declarations import Deployment
 
+# Time after which a lost host is expected to be back, in seconds.
 RETURN_SECONDS = 120.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlanHost:
-    """Describe a host to the planner; only a usable one may join a group.
+    """A host as the planner sees it; `domain` is its fabric domain.
 
-    `draining` marks a host whose group is ending, so that it will be free soon;
-    `leaving` one that is going for good, so that nothing waits for its return.
+    group: the group that the host is bound to.
+    usable: the host may join a group.
+    draining: its group is ending, so it will be free soon.
+    leaving: it will not come back, so nothing waits for its return.
     """
 
     name: str
@@ -36,10 +41,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlanGroup:
-    """Describe a group to the planner by its hosts in order of rank.
+    """A group as the planner sees it, with its hosts in order of rank.
 
-    `lost` names members that lost their place although their host may be usable,
-    such as one that restarted.
+    `lost` are members that no longer belong to the group although their host may be
+    usable, such as one that restarted.
     """
 
     name: str
@@ -52,7 +57,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Form:
-    """Form a new group of these hosts."""
+    """Form a new group of these hosts, in order of rank."""
 
     deployment: str
     hosts: tuple[str, ...]
@@ -60,7 +65,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Repair:
-    """Give a group these hosts instead of its present ones."""
+    """Replace the hosts of a group by these, in order of rank."""
 
     group: str
     hosts: tuple[str, ...]
@@ -68,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Dissolve:
-    """Free every host of a group."""
+    """Dissolve a group, which frees all its hosts."""
 
     group: str
     reason: str
@@ -78,8 +83,11 @@
 
 
 @dataclass(kw_only=True)
-class _Board:
-    """Track free hosts and open groups while a plan is being made."""
+class _PlanState:
+    """Free hosts, groups and actions so far, while a plan is being made.
+
+    `free` lists free hosts by domain.
+    """
 
     hosts: dict[str, PlanHost]
     deployments: dict[str, Deployment]
@@ -152,23 +160,23 @@
     deployments: Iterable[Deployment],
     groups: Iterable[PlanGroup],
 ) -> tuple[Action, ...]:
-    """Return the actions that bring the groups nearest to what is declared."""
-    board = _Board(
+    """Return the actions that bring the groups closest to what is declared."""
+    state = _PlanState(
         hosts={h.name: h for h in hosts},
         deployments={d.name: d for d in deployments},
         groups={g.name: g for g in groups},
     )
-    _release_free_hosts(board)
-    _dissolve_unwanted(board)
-    _repair_from_free(board)
-    _repair_from_broken(board)
-    _repair_from_lighter(board)
-    _form_missing(board)
-    _make_room(board)
-    _repair_across_domains(board)
-    _relocate(board)
-    _give_up_waiting(board)
-    return tuple(board.actions)
+    _release_free_hosts(state)
+    _dissolve_unwanted(state)
+    _repair_from_free(state)
+    _repair_from_broken(state)
+    _repair_from_lighter(state)
+    _form_missing(state)
+    _make_room(state)
+    _repair_across_domains(state)
+    _relocate(state)
+    _give_up_waiting(state)
+    return tuple(state.actions)
 
 
 def stranded(
@@ -177,7 +185,10 @@
     deployments: Iterable[Deployment],
     groups: Iterable[PlanGroup],
 ) -> int:
-    """Count accelerators on usable hosts in no serving group while groups lack."""
+    """Return the number of usable accelerators outside serving groups.
+
+    It is 0 while as many groups serve as are declared.
+    """
     serving = [g for g in groups if g.serving]
     wanted = sum(d.replicas for d in deployments)
     if len(serving) >= wanted:
@@ -186,319 +197,325 @@
     return sum(h.accelerators for h in hosts if h.usable and h.name not in busy)
 
 
-def _release_free_hosts(board: _Board) -> None:
-    bound = {h for g in board.groups.values() for h in g.hosts if h not in g.lost}
-    lost = {h for g in board.groups.values() for h in g.lost}
-    for host in board.hosts.values():
+def _release_free_hosts(state: _PlanState) -> None:
+    bound = {h for g in state.groups.values() for h in g.hosts if h not in g.lost}
+    lost = {h for g in state.groups.values() for h in g.lost}
+    for host in state.hosts.values():
         is_free = host.group is None or host.name in lost
         if host.usable and is_free and host.name not in bound:
-            board.release((host.name,))
+            state.release((host.name,))
 
 
-def _dissolve_unwanted(board: _Board) -> None:
-    for group in list(board.groups.values()):
-        if group.deployment not in board.deployments:
-            board.dissolve(group, "not declared")
+def _dissolve_unwanted(state: _PlanState) -> None:
+    for group in list(state.groups.values()):
+        if group.deployment not in state.deployments:
+            state.dissolve(group, "not declared")
         elif group.stopped:
-            board.dissolve(group, "stopped")
-    for deployment in board.deployments.values():
-        held = [g for g in board.groups.values() if g.deployment == deployment.name]
-        # Whole groups are kept before broken ones.
-        held.sort(key=lambda g: (board.is_broken(g), g.name))
-        for group in held[deployment.replicas :]:
-            board.dissolve(group, "more than declared")
+            state.dissolve(group, "stopped")
+    for deployment in state.deployments.values():
+        groups = [g for g in state.groups.values() if g.deployment == deployment.name]
+        # Complete groups are kept in preference to broken ones.
+        groups.sort(key=lambda g: (state.is_broken(g), g.name))
+        for group in groups[deployment.replicas :]:
+            state.dissolve(group, "more than declared")
 
 
-def _broken_by_urgency(board: _Board) -> list[PlanGroup]:
-    broken = [g for g in board.groups.values() if board.is_broken(g)]
-    return sorted(broken, key=lambda g: (*_urgency(board, g), g.name))
+def _broken_by_urgency(state: _PlanState) -> list[PlanGroup]:
+    broken = [g for g in state.groups.values() if state.is_broken(g)]
+    return sorted(broken, key=lambda g: (*_urgency(state, g), g.name))
 
 
-def _urgency(board: _Board, group: PlanGroup) -> tuple[float, int]:
-    weight = board.deployment(group).weights.group_downtime
-    return (-weight, _lacking(board, group))
+def _urgency(state: _PlanState, group: PlanGroup) -> tuple[float, int]:
+    weight = state.deployment(group).weights.group_downtime
+    return (-weight, _missing_hosts(state, group))
 
 
-def _lacking(board: _Board, group: PlanGroup) -> int:
-    return len(group.hosts) - len(board.survivors(group))
+def _missing_hosts(state: _PlanState, group: PlanGroup) -> int:
+    return len(group.hosts) - len(state.survivors(group))
 
 
-def _home(board: _Board, group: PlanGroup) -> str | None:
-    """Return the domain that most of the group's survivors stand in."""
-    domains = [board.hosts[h].domain for h in board.survivors(group)]
+def _home_domain(state: _PlanState, group: PlanGroup) -> str | None:
+    """Return the domain with most of the group's survivors, None without survivors."""
+    domains = [state.hosts[h].domain for h in state.survivors(group)]
     return max(sorted(set(domains)), key=domains.count, default=None)
 
 
-def _repair_from_free(board: _Board) -> None:
-    for group in _broken_by_urgency(board):
-        home, lacking = _home(board, group), _lacking(board, group)
-        if home is not None and len(board.free.get(home, ())) >= lacking:
-            board.repair(group, board.take(home, lacking))
+def _repair_from_free(state: _PlanState) -> None:
+    for group in _broken_by_urgency(state):
+        home, missing = _home_domain(state, group), _missing_hosts(state, group)
+        if home is not None and len(state.free.get(home, ())) >= missing:
+            state.repair(group, state.take(home, missing))
 
 
-def _repair_from_broken(board: _Board) -> None:
-    """Complete one broken group with the survivors of another in its domain."""
-    for group in _broken_by_urgency(board):
-        if group.name not in board.groups:
+def _repair_from_broken(state: _PlanState) -> None:
+    """Complete broken groups with the survivors of others in the same domain."""
+    for group in _broken_by_urgency(state):
+        if group.name not in state.groups:
             continue
-        home, lacking = _home(board, group), _lacking(board, group)
-        while home is not None and len(board.free.get(home, ())) < lacking:
-            donor = _broken_donor(board, group, home)
+        home, missing = _home_domain(state, group), _missing_hosts(state, group)
+        while home is not None and len(state.free.get(home, ())) < missing:
+            donor = _broken_donor(state, group, home)
             if donor is None:
                 break
-            board.dissolve(donor, f"completes {group.name}")
-        if home is not None and len(board.free.get(home, ())) >= lacking:
-            board.repair(group, board.take(home, lacking))
+            state.dissolve(donor, f"completes {group.name}")
+        if home is not None and len(state.free.get(home, ())) >= missing:
+            state.repair(group, state.take(home, missing))
 
 
-def _broken_donor(board: _Board, group: PlanGroup, home: str) -> PlanGroup | None:
+def _broken_donor(state: _PlanState, group: PlanGroup, home: str) -> PlanGroup | None:
     others = [
         other
-        for other in board.groups.values()
+        for other in state.groups.values()
         if other.name != group.name
-        and board.is_broken(other)
-        and _home(board, other) == home
-        and _urgency(board, other) >= _urgency(board, group)
+        and state.is_broken(other)
+        and _home_domain(state, other) == home
+        and _urgency(state, other) >= _urgency(state, group)
     ]
-    supply = sum(len(board.survivors(o)) for o in others)
-    if supply + len(board.free.get(home, ())) < _lacking(board, group):
+    supply = sum(len(state.survivors(o)) for o in others)
+    if supply + len(state.free.get(home, ())) < _missing_hosts(state, group):
         return None
-    return max(others, key=lambda g: (*_urgency(board, g), g.name), default=None)
+    return max(others, key=lambda g: (*_urgency(state, g), g.name), default=None)
 
 
-def _repair_from_lighter(board: _Board) -> None:
-    """Take a serving group apart for one whose downtime is declared to weigh more."""
-    for group in _broken_by_urgency(board):
-        home, lacking = _home(board, group), _lacking(board, group)
-        if group.name not in board.groups or home is None:
+def _repair_from_lighter(state: _PlanState) -> None:
+    """Dissolve a group to repair one whose downtime has a larger declared weight."""
+    for group in _broken_by_urgency(state):
+        home, missing = _home_domain(state, group), _missing_hosts(state, group)
+        if group.name not in state.groups or home is None:
             continue
-        lighter = _lighter_groups(board, group, home)
+        lighter = _lighter_groups(state, group, home)
         if not lighter:
             continue
         donor = min(lighter, key=lambda g: (len(g.hosts), g.name))
-        if len(donor.hosts) + len(board.free.get(home, ())) < lacking:
+        if len(donor.hosts) + len(state.free.get(home, ())) < missing:
             continue
-        board.dissolve(donor, f"weighs less than {group.name}")
-        board.repair(group, board.take(home, lacking))
+        state.dissolve(donor, f"weighs less than {group.name}")
+        state.repair(group, state.take(home, missing))
 
 
-def _lighter_groups(board: _Board, group: PlanGroup, home: str) -> list[PlanGroup]:
-    weight = board.deployment(group).weights.group_downtime
+def _lighter_groups(state: _PlanState, group: PlanGroup, home: str) -> list[PlanGroup]:
+    weight = state.deployment(group).weights.group_downtime
     return [
         other
-        for other in board.groups.values()
-        if not board.is_broken(other)
-        and _home(board, other) == home
-        and board.deployment(other).weights.group_downtime < weight
+        for other in state.groups.values()
+        if not state.is_broken(other)
+        and _home_domain(state, other) == home
+        and state.deployment(other).weights.group_downtime < weight
     ]
 
 
-def _form_missing(board: _Board) -> None:
-    for deployment in _by_weight(board):
-        for _ in range(_count_missing(board, deployment)):
-            domain = _domain_for(board, deployment)
+def _form_missing(state: _PlanState) -> None:
+    for deployment in _by_weight(state):
+        for _ in range(_missing_groups(state, deployment)):
+            domain = _domain_for(state, deployment)
             if domain is None:
                 break
-            board.form(deployment, domain)
+            state.form(deployment, domain)
 
 
-def _by_weight(board: _Board) -> list[Deployment]:
+def _by_weight(state: _PlanState) -> list[Deployment]:
     return sorted(
-        board.deployments.values(), key=lambda d: (-d.weights.group_downtime, d.name)
+        state.deployments.values(), key=lambda d: (-d.weights.group_downtime, d.name)
     )
 
 
-def _count_missing(board: _Board, deployment: Deployment) -> int:
-    held = sum(g.deployment == deployment.name for g in board.groups.values())
-    return deployment.replicas - held
+def _missing_groups(state: _PlanState, deployment: Deployment) -> int:
+    existing = sum(g.deployment == deployment.name for g in state.groups.values())
+    return deployment.replicas - existing
 
 
-def _make_room(board: _Board) -> None:
-    """Clear a domain of smaller groups where a larger one fits nowhere.
+def _make_room(state: _PlanState) -> None:
+    """Clear a domain of smaller groups if a larger one fits nowhere.
 
-    Small groups scatter over the domains as hosts fail and return, and then leave no
-    domain with enough free hosts; one notices a group that stays missing although
-    enough hosts are free in all. A smaller group moves to another domain, or gives
-    way where its downtime weighs less than what the larger one gains.
+    As hosts fail and return, small groups scatter over the domains until no domain has
+    enough free hosts for a large group, although there are enough in total. A smaller
+    group moves to another domain, or is given up if its downtime weighs less than what
+    is gained by the larger one.
     """
-    smallest = min((d.hosts_per_group for d in board.deployments.values()), default=0)
-    for deployment in _by_weight(board):
+    smallest = min((d.hosts_per_group for d in state.deployments.values()), default=0)
+    for deployment in _by_weight(state):
         if deployment.hosts_per_group == smallest:
             continue
-        if _count_missing(board, deployment) <= 0:
+        if _missing_groups(state, deployment) <= 0:
             continue
-        room = {d: _room(board, deployment, d) for d in board.domains}
+        room = {d: _groups_to_clear(state, deployment, d) for d in state.domains}
         possible = {d: moved for d, moved in room.items() if moved is not None}
         if possible:
             domain = min(possible, key=lambda d: (len(possible[d]), d))
-            _clear(board, deployment, domain, possible[domain])
+            _clear(state, deployment, domain, possible[domain])
 
 
-def _room(
-    board: _Board, deployment: Deployment, domain: str
+def _groups_to_clear(
+    state: _PlanState, deployment: Deployment, domain: str
 ) -> tuple[PlanGroup, ...] | None:
-    """Return the groups to clear from a domain, None where it does not pay."""
-    free = len(board.free.get(domain, ()))
-    lacking = deployment.hosts_per_group - free - board.draining_hosts(domain)
-    if lacking <= 0:
-        # Hosts that drain already make room; clearing more would be for nothing.
+    """Return the groups to clear from a domain, None if that is not worth it."""
+    free = len(state.free.get(domain, ()))
+    missing = deployment.hosts_per_group - free - state.draining_hosts(domain)
+    if missing <= 0:
+        # The hosts that are draining already suffice.
         return ()
-    elsewhere = {d: len(pool) for d, pool in board.free.items() if d != domain}
-    gain = _gain_of_forming(board, deployment, free)
+    elsewhere = {d: len(pool) for d, pool in state.free.items() if d != domain}
+    gain = _gain_of_forming(state, deployment, free)
     cleared: list[PlanGroup] = []
-    for group in _smaller_groups(board, deployment, domain):
+    for group in _smaller_groups(state, deployment, domain):
         size = len(group.hosts)
         target = next((d for d in elsewhere if elsewhere[d] >= size), None)
         if target is None:
-            gain -= board.deployment(group).weights.group_downtime
+            gain -= state.deployment(group).weights.group_downtime
         else:
             elsewhere[target] -= size
         cleared.append(group)
-        lacking -= size
-        if lacking <= 0:
+        missing -= size
+        if missing <= 0:
             return tuple(cleared) if gain > 0 else None
     return None
 
 
-def _gain_of_forming(board: _Board, deployment: Deployment, idle_hosts: int) -> float:
-    """Return what a second with one more group and fewer idle hosts is worth."""
+def _gain_of_forming(
+    state: _PlanState, deployment: Deployment, idle_hosts: int
+) -> float:
+    """Return the value of a second with one more group and fewer idle hosts."""
     weights = deployment.weights
-    idle = idle_hosts * board.accelerators_per_host
+    idle = idle_hosts * state.accelerators_per_host
     return weights.group_downtime + weights.stranded_accelerators * idle
 
 
 def _smaller_groups(
-    board: _Board, deployment: Deployment, domain: str
+    state: _PlanState, deployment: Deployment, domain: str
 ) -> list[PlanGroup]:
     weight = deployment.weights.group_downtime
     found = [
         group
-        for group in board.groups.values()
+        for group in state.groups.values()
         if len(group.hosts) < deployment.hosts_per_group
-        and board.deployment(group).weights.group_downtime <= weight
+        and state.deployment(group).weights.group_downtime <= weight
         and all(
-            board.hosts[h].domain == domain for h in group.hosts if h in board.hosts
+            state.hosts[h].domain == domain for h in group.hosts if h in state.hosts
         )
-        and not board.is_broken(group)
+        and not state.is_broken(group)
     ]
     return sorted(found, key=lambda g: (-len(g.hosts), g.name))
 
 
 def _clear(
-    board: _Board,
+    state: _PlanState,
     deployment: Deployment,
     domain: str,
     groups: tuple[PlanGroup, ...],
 ) -> None:
     for group in groups:
-        board.dissolve(group, f"makes room for {deployment.name}")
-    if len(board.free.get(domain, ())) >= deployment.hosts_per_group:
-        board.form(deployment, domain)
-    _form_missing(board)
+        state.dissolve(group, f"makes room for {deployment.name}")
+    if len(state.free.get(domain, ())) >= deployment.hosts_per_group:
+        state.form(deployment, domain)
+    _form_missing(state)
+
 
+def _domain_for(state: _PlanState, deployment: Deployment) -> str | None:
+    """Return the domain for a new group, None if it fits nowhere.
 
-def _domain_for(board: _Board, deployment: Deployment) -> str | None:
-    """Choose a domain: a free host left over is a spare, or a stranded one."""
+    A free host that is left over counts as a spare or as stranded, depending on the
+    deployment's weights.
+    """
     size = deployment.hosts_per_group
-    reserved = _reserved_spares(board, deployment)
-    total = sum(len(pool) for pool in board.free.values())
+    reserved = _reserved_spares(state, deployment)
+    total = sum(len(pool) for pool in state.free.values())
     if total - size < reserved:
         return None
-    fitting = [d for d, pool in sorted(board.free.items()) if len(pool) >= size]
-    if not fitting:
+    candidates = [d for d, pool in sorted(state.free.items()) if len(pool) >= size]
+    if not candidates:
         return None
-    prefers_spares = _holds_spares(board, deployment)
+    prefers_spares = _keeps_spares(state, deployment)
 
     def left_over(domain: str) -> int:
-        return (len(board.free[domain]) - size) % size
+        return (len(state.free[domain]) - size) % size
 
     if prefers_spares:
-        return max(fitting, key=lambda d: (min(1, left_over(d)), len(board.free[d])))
-    return min(fitting, key=lambda d: (left_over(d), len(board.free[d])))
+        return max(candidates, key=lambda d: (min(1, left_over(d)), len(state.free[d])))
+    return min(candidates, key=lambda d: (left_over(d), len(state.free[d])))
 
 
-def _reserved_spares(board: _Board, deployment: Deployment) -> int:
-    """Count hosts that deployments of more weight keep free for repairs."""
+def _reserved_spares(state: _PlanState, deployment: Deployment) -> int:
+    """Return how many hosts other deployments of no less weight keep as spares."""
     weight = deployment.weights.group_downtime
     return sum(
         d.spares
-        for d in board.deployments.values()
+        for d in state.deployments.values()
         if d.name != deployment.name
         and d.weights.group_downtime >= weight
-        and _holds_spares(board, d)
+        and _keeps_spares(state, d)
     )
 
 
-def _holds_spares(board: _Board, deployment: Deployment) -> bool:
-    """Tell whether downtime weighs more than one host's idle accelerators."""
+def _keeps_spares(state: _PlanState, deployment: Deployment) -> bool:
+    """Return whether downtime weighs more than one host's idle accelerators."""
     weights = deployment.weights
-    idle = board.accelerators_per_host
+    idle = state.accelerators_per_host
     return weights.group_downtime > weights.stranded_accelerators * idle
 
 
-def _repair_across_domains(board: _Board) -> None:
-    for group in _broken_by_urgency(board):
-        if not board.deployment(group).span_domains or not board.survivors(group):
+def _repair_across_domains(state: _PlanState) -> None:
+    for group in _broken_by_urgency(state):
+        if not state.deployment(group).span_domains or not state.survivors(group):
             continue
-        lacking = _lacking(board, group)
-        if sum(len(pool) for pool in board.free.values()) < lacking:
+        missing = _missing_hosts(state, group)
+        if sum(len(pool) for pool in state.free.values()) < missing:
             continue
         joining: tuple[str, ...] = ()
-        for domain in sorted(board.free, key=lambda d: -len(board.free[d])):
-            joining += board.take(domain, lacking - len(joining))
-        board.repair(group, joining)
+        for domain in sorted(state.free, key=lambda d: -len(state.free[d])):
+            joining += state.take(domain, missing - len(joining))
+        state.repair(group, joining)
 
 
-def _relocate(board: _Board) -> None:
-    """Form a broken group anew in another domain that has hosts enough.
+def _relocate(state: _PlanState) -> None:
+    """Form a broken group anew in a domain that has enough hosts.
 
-    Its survivors' domain has no replacement, so the choice is between a cold load
-    elsewhere and waiting for the lost host to return.
+    The domain of its survivors has no replacement, so the choice is between a cold
+    load elsewhere and waiting for the lost host to return.
     """
-    for group in _broken_by_urgency(board):
-        deployment = board.deployment(group)
-        may_return_warm = board.survivors(group) != ()
+    for group in _broken_by_urgency(state):
+        deployment = state.deployment(group)
+        may_return_warm = state.survivors(group) != ()
         if may_return_warm and deployment.load_seconds > RETURN_SECONDS:
             continue
-        domain = _domain_for(board, deployment)
+        domain = _domain_for(state, deployment)
         if domain is not None:
-            board.dissolve(group, "forms anew in another domain")
-            board.form(deployment, domain)
+            state.dissolve(group, "forms anew in another domain")
+            state.form(deployment, domain)
 
 
-def _give_up_waiting(board: _Board) -> None:
-    """Dissolve a broken group whose survivors serve better elsewhere.
+def _give_up_waiting(state: _PlanState) -> None:
+    """Dissolve a broken group whose survivors are more useful elsewhere.
 
     Survivors keep their weights loaded and serve again as soon as the lost host is
-    back. Where another deployment could use them now, waiting is weighed: it saves
-    the downtime of a cold load and costs the survivors' accelerators meanwhile.
+    back. If another deployment could use them now, the costs are compared: waiting
+    saves the downtime of a cold load, but leaves the survivors' accelerators idle.
     """
-    for group in _broken_by_urgency(board):
-        if any(board.hosts[h].leaving for h in group.hosts if h in board.hosts):
-            board.dissolve(group, "a member leaves for good")
-        elif not board.survivors(group):
-            # Nothing is stranded, and a planner that is cut off from the engines sees
-            # no member of any group: taking them apart would load all of them anew.
+    for group in _broken_by_urgency(state):
+        if any(state.hosts[h].leaving for h in group.hosts if h in state.hosts):
+            state.dissolve(group, "a member leaves for good")
+        elif not state.survivors(group):
+            # No accelerator is stranded. A planner that is cut off from the engines
+            # sees no member of any group; dissolving them would reload all weights.
             continue
-        elif _is_waiting_too_dear(board, group) and _helps_another(board, group):
-            board.dissolve(group, "serves better elsewhere")
-            _form_missing(board)
+        elif _is_waiting_too_costly(state, group) and _helps_another(state, group):
+            state.dissolve(group, "serves better elsewhere")
+            _form_missing(state)
 
 
-def _is_waiting_too_dear(board: _Board, group: PlanGroup) -> bool:
-    deployment = board.deployment(group)
-    idle = sum(board.hosts[h].accelerators for h in board.survivors(group))
+def _is_waiting_too_costly(state: _PlanState, group: PlanGroup) -> bool:
+    deployment = state.deployment(group)
+    idle = sum(state.hosts[h].accelerators for h in state.survivors(group))
     saved = deployment.weights.group_downtime * deployment.load_seconds
     cost = deployment.weights.stranded_accelerators * idle * RETURN_SECONDS
     return cost > saved
 
 
-def _helps_another(board: _Board, group: PlanGroup) -> bool:
-    home = _home(board, group)
-    freed = len(board.free.get(home or "", ())) + len(board.survivors(group))
+def _helps_another(state: _PlanState, group: PlanGroup) -> bool:
+    home = _home_domain(state, group)
+    freed = len(state.free.get(home or "", ())) + len(state.survivors(group))
     return any(
         other.name != group.deployment
         and other.hosts_per_group <= freed
-        and _count_missing(board, other) > 0
-        for other in board.deployments.values()
+        and _missing_groups(state, other) > 0
+        for other in state.deployments.values()
     )
--- a/mallowpond/state/proposal.py
+++ b/mallowpond/state/proposal.py
@@ -1,4 +1,4 @@
-"""Decide what becomes of a proposed configuration change."""
+"""Decide on a proposed configuration change, and on a cell's next epoch."""
 
 from dataclasses import dataclass
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Wait:
-    """Some cells still lack preparers; `missing` names their members."""
+    """Some cells lack a majority; `missing` are their members that did not prepare."""
 
     missing: tuple[str, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Abort:
-    """The change took too long; `missing` names who did not prepare."""
+    """The change took too long; `missing` are the members that did not prepare."""
 
     missing: tuple[str, ...]
 
@@ -35,7 +35,11 @@
     open_seconds: float,
     abort_seconds: float,
 ) -> Decision:
-    """Weigh a proposal that this controller has seen open for `open_seconds`."""
+    """Decide on a proposal that this controller has seen open for `open_seconds`.
+
+    It is accepted when a majority of every cell has prepared it. If there is no cell,
+    it is never accepted.
+    """
     prepared = {m.name for m in members if _has_prepared(m, proposal, cells)}
     lacking = [c for c in cells if not _has_majority(c, prepared)]
     if cells and not lacking:
@@ -49,8 +53,8 @@
 def _has_prepared(
     member: MemberRow, proposal: ProposalRow, cells: tuple[CellRow, ...]
 ) -> bool:
-    # A member that prepared under an older epoch may still vouch with the members
-    # of that epoch, so its word counts only once it has noted the present one.
+    # A member of an older epoch may still confirm the old version together with the
+    # members of that epoch. So it counts only once it has acknowledged the current one.
     epochs = {c.cell: c.epoch for c in cells}
     is_current = epochs.get(member.cell) == member.epoch
     return is_current and member.prepared == proposal.proposal
@@ -67,13 +71,13 @@
     joining: tuple[str, ...],
     gone: tuple[str, ...],
 ) -> CellRow | None:
-    """Return the cell with one member more or less, once it is safe to move on.
+    """Return the cell's next epoch, or None if it must not or need not change.
 
-    `acknowledged` holds the counted members whose rows name the present epoch. Epochs
-    differ by one member and a step needs a majority that has noted the last one, so
-    majorities of neighbouring epochs share a member. Without that a cell whose hosts
+    `acknowledged` holds the members whose rows name the current epoch. Each epoch adds
+    or removes one member, and only after a majority has acknowledged the previous one,
+    so majorities of neighbouring epochs share a member. Otherwise a cell whose hosts
     were all replaced behind a partition could accept a change while the old members
-    still vouched for the old version.
+    still confirmed the old version.
     """
     if 2 * len(acknowledged.intersection(cell.members)) <= len(cell.members):
         return None
