--- a/mallowpond/state/rows.py
+++ b/mallowpond/state/rows.py
@@ -1,11 +1,14 @@
-"""Rows that the processes keep in the platform's table service."""
+"""Data classes of the rows that the processes store in the platform's table service.
+
+The field names and the values of the enums are part of the stored data.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class MemberState(str, Enum):
-    """Say what a member may still be asked to do."""
+    """Stage of a controller in its cell; only a `LIVE` one may take over work."""
 
     JOINING = "joining"
     LIVE = "live"
@@ -13,7 +16,7 @@
 
 
 class GroupState(str, Enum):
-    """Say how far a group is on its way from hosts to a serving replica."""
+    """Stage of a group on the way from free hosts to a serving replica and back."""
 
     LOADING = "loading"
     READY = "ready"
@@ -23,7 +26,7 @@
 
 
 class OrderOutcome(str, Enum):
-    """Say what is known of an order that was written down before it was sent."""
+    """What is known of an order, which is stored before it is sent."""
 
     PENDING = "pending"
     DONE = "done"
@@ -31,7 +34,7 @@
 
 
 class ClaimState(str, Enum):
-    """Say whether a request that may not be repeated has run."""
+    """Whether a request that must run at most once has run."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -41,7 +44,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MemberRow:
-    """Announce one controller; written only when something in it changes."""
+    """A controller as a member of its cell; written only when a field changes.
+
+    `applied` is the configuration version in use, `prepared` the proposal that the
+    member has prepared, and `epoch` the cell's epoch that it has acknowledged.
+    """
 
     name: str
     cell: str
@@ -57,14 +64,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeartbeatRow:
-    """Renew a member; kept apart and short, since all members read it all the time."""
+    """Heartbeat of a member: a counter that it increments.
+
+    It is a row of its own, and short, because all members read it continuously.
+    """
 
     n: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class CellRow:
-    """List the counted members of a data centre's cell; epochs differ by one."""
+    """The members whose votes count in a data centre's cell.
+
+    Successive epochs differ by one member.
+    """
 
     cell: str
     epoch: int
@@ -73,10 +86,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseRow:
-    """Hold a lease; `fence` grows with each new holder.
+    """A lease; the fencing number `fence` grows with each new holder.
 
-    The holder's member row renews it: a lease is as fresh as its holder's heartbeat,
-    so holding many leases costs no more writes than holding one.
+    The holder's heartbeat renews it, so many leases need no more writes than one.
     """
 
     holder: str
@@ -86,7 +98,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupMember:
-    """Place one host, in one incarnation, at one rank of a group."""
+    """A host, in one incarnation, at one rank of a group."""
 
     host: str
     address: str
@@ -96,7 +108,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupRow:
-    """Describe a group of hosts that together carry one replica."""
+    """A group of hosts that together run one replica; members are in order of rank."""
 
     group: str
     deployment: str
@@ -106,18 +118,18 @@
 
     @property
     def head(self) -> GroupMember:
-        """Return the member that requests are sent to."""
+        """Return the member that gets the requests."""
         return self.members[0]
 
     @property
     def hosts(self) -> tuple[str, ...]:
-        """Return the member hosts by rank."""
+        """Return the names of the member hosts by rank."""
         return tuple(member.host for member in self.members)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Holder:
-    """Name the process that holds a lease and the host it runs on."""
+    """The process that holds a lease, and the host that it runs on."""
 
     member: str
     incarnation: str
@@ -127,7 +139,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OpenOrder:
-    """Remember an order that was written down and may still arrive."""
+    """An order that was stored and may still arrive."""
 
     order: int
     holder: Holder
@@ -135,12 +147,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HostRow:
-    """Bind a host to at most one group and keep the last order meant for it.
+    """The group of a host, at most one, and the last order for it.
 
-    The row is keyed by host, so the table itself cannot hold two groups for one
-    host. `fence` and `holder` are those of the lease under which `order` was
-    written, before it was sent. `earlier` keeps orders that were replaced while it was
-    not known whether they would still arrive.
+    The row is keyed by host, so the table cannot hold two groups for one host. `fence`
+    and `holder` are those of the lease under which `order` was stored, before it was
+    sent. `earlier` lists replaced orders that may still arrive.
     """
 
     host: str
@@ -156,7 +167,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeadRow:
-    """Name the configuration version that is in force."""
+    """The configuration version that is in force."""
 
     version: int
     proposal: str
@@ -164,7 +175,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionRow:
-    """Keep the text of one accepted configuration version."""
+    """The text of one accepted configuration version."""
 
     version: int
     text: str
@@ -174,7 +185,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProposalRow:
-    """Keep the one configuration change that is being prepared."""
+    """The one configuration change that is being prepared."""
 
     version: int
     text: str
@@ -185,7 +196,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimRow:
-    """Record that one attempt may run, ran, or was withdrawn before it ran."""
+    """Claim of one attempt of a once-only request: whether it may run, or ran."""
 
     workspace: str
     key: str
@@ -197,7 +208,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LedgerRow:
-    """Count the units that one controller charged to a workspace for claims."""
+    """Units that one controller charged to a workspace for claims."""
 
     workspace: str
     member: str
@@ -206,7 +217,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QuotaRow:
-    """Count the units of a workspace's budget that were leased out in a period."""
+    """Units of a workspace's budget that were leased to gateways in a period."""
 
     workspace: str
     period: int
--- a/mallowpond/state/site_configuration.py
+++ b/mallowpond/state/site_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of an entry host: routes, services, workspaces, limits."""
+"""Data classes of an entry host's configuration: routes, services, keys, limits."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,7 +7,11 @@
 
 
 class RepeatPolicy(str, Enum):
-    """Say what may be done with a request that has perhaps run."""
+    """What may be done with a request that may already have run.
+
+    IDEMPOTENT: it may be sent again. ONCE: it must not. STREAM: it is a stream, which
+    may go on at another group.
+    """
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -16,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Backend:
-    """Send a share of a route's requests to a service."""
+    """A service that gets a share of a route's requests, by weight."""
 
     service: str
     weight: float
@@ -24,7 +28,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """Say where requests below a host and path prefix go, and how."""
+    """How requests to a host name and path prefix are handled.
+
+    timeout_seconds: time limit of a request.
+    objective_seconds: latency objective; for streams, until the first event.
+    priority: requests with a smaller number are served first.
+    max_attempts: attempts per request, the first included.
+    needs_key: the caller must present an API key.
+    resumable: a stream that broke off can go on at another group.
+    gap_objective_seconds: objective for the gap between two events of a stream.
+    """
 
     name: str
     host: str
@@ -42,7 +55,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """Describe a service; `profile` is set where its targets are model engines."""
+    """A service; `profile` is set if its targets are model engines."""
 
     name: str
     max_connections: int
@@ -52,7 +65,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KeyOwner:
-    """Name the workspace that a key belongs to."""
+    """The workspace that an API key belongs to, and its priority."""
 
     workspace: str
     priority: int = 0
@@ -60,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """Bound what a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of requests, and on the time that callers take or idle."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -70,7 +83,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SiteConfiguration:
-    """Hold one whole version of the configuration."""
+    """One version of the configuration; `keys` maps API keys to their owners."""
 
     version: int
     routes: tuple[Route, ...]
@@ -80,7 +93,7 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` with the longest prefix of `path`."""
+        """Return the route of `host` with the longest prefix of `path`, or None."""
         found = None
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
@@ -96,7 +109,11 @@
 
 
 def choose_backend(route: Route, draw: float) -> str | None:
-    """Return a service by weight; `draw` is uniform in [0, 1)."""
+    """Return the name of a backend's service, chosen by weight.
+
+    `draw` is a random number, uniform in [0, 1). The result is None if no backend has
+    a weight.
+    """
     total = sum(backend.weight for backend in route.backends)
     if total <= 0:
         return None
