--- a/mallowpond/node/group_selector.py
+++ b/mallowpond/node/group_selector.py
@@ -1,4 +1,4 @@
-"""Choose the group for a stream by what this host knows of all work."""
+"""Select the group for a stream by the known load of every group."""
 
 import random
 from collections import defaultdict
@@ -22,18 +22,22 @@
 from mallowpond.state.retry_window import RetryWindow
 
 # Share of the objective that a group's predicted first event may take. Less makes
-# streams wait for places that groups across domains could give them in time.
+# streams wait although groups that span domains could serve them in time.
 FIRST_EVENT_SHARE = 1.0
-# Groups among which a place is chosen where all work is known: with so many drawn at
-# random the best is hardly worse than the best of all.
-EXACT_GROUPS = 10
-# Shortest time for which a stream is taken to hold its place, in seconds.
-LEAST_HOLD_SECONDS = 0.1
+# Groups with a free slot that are drawn at random where all load is known: the best of
+# so many is hardly worse than the best of all.
+DRAWN_GROUPS_EXACT = 10
+# Lower bound of the time for which a stream is expected to hold its slot, in seconds.
+MIN_HOLD_SECONDS = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
-class Seek:
-    """Say what place a stream needs; groups in `avoided` are out of the question."""
+class SlotRequest:
+    """Describes the slot that a stream needs.
+
+    `objective` is the time allowed until the first event, in seconds; groups whose
+    names are in `avoided` are not selected.
+    """
 
     service: str
     profile: EngineProfile
@@ -42,13 +46,13 @@
     objective: float
     avoided: frozenset[str] = frozenset()
 
-    def without(self, groups: Collection[str]) -> "Seek":
-        """Return the same for a stream that avoids these groups too."""
+    def without(self, groups: Collection[str]) -> "SlotRequest":
+        """Return a copy that avoids these groups too."""
         return replace(self, avoided=self.avoided.union(groups))
 
 
 class GroupSelector:
-    """Choose among the groups of a directory."""
+    """Selects groups of a directory for streams."""
 
     def __init__(
         self,
@@ -69,73 +73,83 @@
         )
 
     def delay(self, service: str, model: str) -> FirstEventDelay:
-        """Return what was learnt of the first events of a model."""
+        """Return the learned delay of a model's first events beyond the prediction."""
         return self._delays[(service, model)]
 
-    def by_news(self, seek: Seek) -> Group | None:
-        """Choose by news of the others' work that is some tenths of a second old."""
+    def select_by_reports(self, request: SlotRequest) -> Group | None:
+        """Select a group by load reports, which are some tenths of a second old.
+
+        Where other hosts may have sent many streams since, the choice is between a few
+        groups drawn at random, so that not all hosts pick the same one.
+        """
         unreported = unreported_streams(
-            own_per_second=self._budget(seek.service).first_sends_per_second,
+            own_per_second=self._budget(request.service).first_sends_per_second,
             hosts=self._hosts(),
             age_seconds=self._directory.loads.load_age,
-            groups=self._directory.count_open_groups(seek.service),
+            groups=self._directory.count_open_groups(request.service),
         )
-        groups = self._groups(seek)
+        groups = self._groups(request)
         if unreported < UNREPORTED_STREAMS:
-            candidates = list(self._candidates(seek, groups))
+            candidates = list(self._candidates(request, groups))
         else:
-            candidates = self._drawn(seek, groups, DRAWN_GROUPS)
-        return self._choose(seek, groups, candidates)
-
-    def exact(self, seek: Seek) -> Group | None:
-        """Choose where all work is known."""
-        groups = self._groups(seek)
-        return self._choose(seek, groups, self._drawn(seek, groups, EXACT_GROUPS))
+            candidates = self._draw(request, groups, DRAWN_GROUPS)
+        return self._select(request, groups, candidates)
+
+    def select_exact(self, request: SlotRequest) -> Group | None:
+        """Select a group where the load of all hosts is known exactly."""
+        groups = self._groups(request)
+        return self._select(
+            request, groups, self._draw(request, groups, DRAWN_GROUPS_EXACT)
+        )
 
     def hold_seconds(self, profile: EngineProfile, model: ModelSpec) -> float:
-        """Return for how long a stream mostly holds its place."""
+        """Return the typical time for which a stream holds its slot, in seconds."""
         load = GroupLoad(running=profile.slots)
         passes = profile.typical_answer_tokens / max(1, profile.stride)
-        return max(LEAST_HOLD_SECONDS, passes * pass_seconds(profile, model, load))
+        return max(MIN_HOLD_SECONDS, passes * pass_seconds(profile, model, load))
 
-    def _groups(self, seek: Seek) -> list[Group]:
-        groups = self._directory.serving_groups(seek.service, seek.model.name)
-        return [g for g in groups if g.name not in seek.avoided]
+    def _groups(self, request: SlotRequest) -> list[Group]:
+        groups = self._directory.serving_groups(request.service, request.model.name)
+        return [g for g in groups if g.name not in request.avoided]
 
-    def _choose(
-        self, seek: Seek, groups: list[Group], candidates: list[Candidate]
+    def _select(
+        self, request: SlotRequest, groups: list[Group], candidates: list[Candidate]
     ) -> Group | None:
         chosen = choose_group(
-            seek.profile,
-            seek.model,
+            request.profile,
+            request.model,
             candidates,
-            prompt_tokens=seek.prompt_tokens,
-            limit_seconds=FIRST_EVENT_SHARE * seek.objective,
-            delay_seconds=self.delay(seek.service, seek.model.name).typical,
+            prompt_tokens=request.prompt_tokens,
+            limit_seconds=FIRST_EVENT_SHARE * request.objective,
+            delay_seconds=self.delay(request.service, request.model.name).typical,
         )
         if chosen is None:
             return None
         return next(group for group in groups if _key_of(group) == chosen.key)
 
-    def _drawn(self, seek: Seek, groups: list[Group], count: int) -> list[Candidate]:
-        """Return the first groups with a place, in a random order."""
+    def _draw(
+        self, request: SlotRequest, groups: list[Group], limit: int
+    ) -> list[Candidate]:
+        """Return up to `limit` groups with a free slot, drawn at random."""
         shuffled = self._rng.sample(groups, len(groups))
-        # Those whose head has ended come last.
+        # Groups whose head process has ended come last.
         shuffled.sort(key=self._has_ended)
         return draw_candidates(
-            seek.profile,
-            seek.model,
-            self._candidates(seek, shuffled),
-            prompt_tokens=seek.prompt_tokens,
-            limit_seconds=FIRST_EVENT_SHARE * seek.objective,
-            count=count,
+            request.profile,
+            request.model,
+            self._candidates(request, shuffled),
+            prompt_tokens=request.prompt_tokens,
+            limit_seconds=FIRST_EVENT_SHARE * request.objective,
+            count=limit,
         )
 
-    def _candidates(self, seek: Seek, groups: list[Group]) -> Iterator[Candidate]:
+    def _candidates(
+        self, request: SlotRequest, groups: list[Group]
+    ) -> Iterator[Candidate]:
         for group in groups:
             yield Candidate(
                 key=_key_of(group),
-                load=self._directory.loads.load_of(group, seek.profile),
+                load=self._directory.loads.load_of(group, request.profile),
                 is_leaving=group.is_leaving,
                 has_ended=self._has_ended(group),
             )
