--- a/mallowpond/state/tests/test_formation.py
+++ b/mallowpond/state/tests/test_formation.py
@@ -1,4 +1,4 @@
-"""Which orders the planner gives, on small fleets written out by hand."""
+"""Orders of the formation planner for small fleets."""
 
 from dataclasses import replace
 
@@ -32,7 +32,7 @@
 
 
 def target(name, domain="d0", *, staged="", group=None, rank=0, phase=None, **more):
-    """Write a target; `group` is a name and an epoch."""
+    """Return a target; `group` is a name and an epoch."""
     membership = None
     if group is not None:
         membership = Membership(
@@ -56,7 +56,7 @@
 
 
 def group(name, epoch, size, phase, *, domain="d0", model="small"):
-    """Write a whole group; only the head has `phase`."""
+    """Return the members of a complete group; only the head has `phase`."""
     key = (name, epoch)
     phases = [phase] + [GroupPhase.READY] * (size - 1)
     return [
@@ -73,7 +73,7 @@
 
 
 def plan(targets, **more):
-    """Plan on these targets."""
+    """Return the orders for these targets; `more` are fields of the view."""
     view = FormationView(
         profile=PROFILE, targets=tuple(targets), now=NOW, next_epoch=7, **more
     )
@@ -81,7 +81,7 @@
 
 
 def of_kind(steps, kind):
-    """Return the steps of one kind."""
+    """Return the orders of one class."""
     return [step for step in steps if isinstance(step, kind)]
 
 
@@ -99,7 +99,7 @@
 
 
 def models_by_domain(steps):
-    """Return the models that a plan brings into each domain, loads counted too."""
+    """Return the models that the orders bring into each domain, staged ones too."""
     models = {}
     for step in (*of_kind(steps, Join), *of_kind(steps, Stage)):
         models.setdefault(step.target.domain, []).append(step.model)
@@ -107,12 +107,10 @@
 
 
 def test_a_domain_carries_one_model_with_its_own_spare():
-    """Symptom: a group stays down for a load, although its domain has a free engine.
+    """Each domain gets one model, so that every spare can replace any lost member.
 
-    Sequence: a domain carries a group of each model and a spare of each; two members
-    of one group die.
-    Cause: the second spare held the other model's weights; with one model a domain,
-    every survivor and spare can replace any member.
+    With two models in a domain, two members of one group died and the second free
+    engine had the other model's weights. The group stayed down for a load.
     """
     fleet = [target(f"{d}{i}", d) for d in ("d0", "d1") for i in range(9)]
     models = models_by_domain(plan(fleet, is_before_traffic=True))
@@ -121,12 +119,11 @@
 
 
 def test_shares_of_the_work_are_counted_in_engines():
-    """Symptom: the larger model waits for groups while the smaller one idles, or the
-    other way round.
+    """Models of different size with equal shares get equally many engines.
 
-    Sequence: two models of 8 and 2 engines declare equal shares; a fleet is formed.
-    Cause: the shares were taken for shares of the groups, so that one model got four
-    times the engines of the other.
+    When shares were taken as shares of the groups, a model with groups of 8 got four
+    times the engines of one with groups of 2. One of them then had requests waiting
+    while the other was idle.
     """
     wide = ModelSpec(name="wide", size=8, share=0.5, load_seconds=16)
     slim = ModelSpec(name="slim", size=2, share=0.5, load_seconds=16)
@@ -142,10 +139,10 @@
 
 
 def test_nothing_is_formed_while_targets_still_arrive():
-    """Symptom: a domain of nine is cut into three groups of three with no spare.
+    """No group is formed while targets are still being registered.
 
-    Sequence: targets register one after the other; groups form of the first ones.
-    Cause: the plan was made on a list that was not complete.
+    Planned from an incomplete list, a domain of nine was cut into three groups of three
+    without a spare.
     """
     targets = [target(f"t{i}") for i in range(5)]
     steps = plan(targets, is_before_traffic=True, newest_target_at=NOW - 0.1)
@@ -163,10 +160,10 @@
 
 
 def test_a_group_is_not_opened_before_every_member_is_ready():
-    """Symptom: a request runs in a group that lacks a member's weights.
+    """A group whose third member is still joining is not opened.
 
-    Sequence: the head and one member are ready, the third still joins.
-    Cause: opening goes by the head alone, since engines do not check the others.
+    Engines do not check the other members, so if the planner went by the head alone, a
+    request would run in a group that lacks a member's weights.
     """
     members = group("g", 1, 3, GroupPhase.READY)
     joining = target("g2", staged="small", group=("g", 1), rank=2)
@@ -176,11 +173,10 @@
 
 
 def test_members_leave_before_they_join_again():
-    """Symptom: a host stands in two groups, one of which is open.
+    """Survivors of a dead group must leave it before they join another one.
 
-    Sequence: a member dies; the planner joins the others to a new group while their
-    head, which the list shows ready, is opening by an order still under way.
-    Cause: a join replaced a membership that had not been left.
+    The list shows the head as ready while an order to open it is under way. A join that
+    replaces such a membership would put a host in two groups, one of them open.
     """
     members = group("g", 1, 3, GroupPhase.READY)
     spare = target("s", staged="small")
@@ -199,7 +195,7 @@
 
 
 def leaving_group(rank):
-    """Write an open group of three of which one member is about to stop."""
+    """Return an open group of three with one member that will stop soon."""
     members = group("g", 1, 3, GroupPhase.OPEN)
     members[rank] = replace(members[rank], draining=True)
     return members
@@ -218,12 +214,11 @@
 
 
 def test_a_group_serves_on_with_a_leaving_member_until_it_must_go():
-    """Symptom: while engines are replaced in turn half of the groups are down.
+    """A group with a leaving member serves until that member must stop.
 
-    Sequence: an engine announces its end; its group is closed although no other
-    engine of the domain has the weights; the new engine needs 16 s to load them.
-    Cause: a group was closed as soon as a member was leaving, while a member that is
-    not the head stays up to 10 s.
+    A member that is not the head stays for up to 10 s. When its group was closed at
+    once and no other engine in the domain had the weights, the new engine needed 16 s
+    to load them, and half of the groups were down during a rolling replacement.
     """
     members = leaving_group(rank=2)
     early = {"g2": NOW - LEAVING_MEMBER_SECONDS + 0.1}
@@ -234,10 +229,10 @@
 
 
 def test_a_closing_group_that_loses_a_member_is_taken_apart():
-    """Symptom: survivors of a dead group stay out of use for four seconds.
+    """A closing group is dissolved when a member dies before the work has ended.
 
-    Sequence: a group is closed gracefully; before its work has ended a member dies.
-    Cause: a closing group was left alone until its head said that it broke.
+    Left alone until the head reported the break, its survivors were unused for four
+    seconds.
     """
     members = group("g", 1, 3, GroupPhase.CLOSING)
     assert plan(members) == ()
@@ -246,11 +241,10 @@
 
 
 def test_a_closed_group_is_taken_apart_and_not_opened_again():
-    """Symptom: one group is opened and closed twice a second and serves nobody.
+    """A group that was closed to be formed anew is not opened again.
 
-    Sequence: a group is closed to be formed anew; once closed it looks whole and
-    ready, and is opened.
-    Cause: nothing remembered why it was closed.
+    Once closed it looks complete and ready. Without a record that it was closed, one
+    group was opened and closed twice per second and served nobody.
     """
     members = group("g", 1, 3, GroupPhase.READY)
     steps = plan(members, closed=frozenset({("g", 1)}))
@@ -270,11 +264,10 @@
 
 
 def test_a_join_is_not_repeated_for_a_group_that_a_member_has_left_behind():
-    """Symptom: hundreds of joins are refused because their epoch is old.
+    """A formation ends when one of its members has joined a later group.
 
-    Sequence: a member of a forming group joins a later one; the planner goes on
-    ordering it into the first.
-    Cause: the first formation was kept although it could never be whole.
+    It can never be complete. When it was kept, hundreds of joins were rejected because
+    their epoch was old.
     """
     forming = group("g", 1, 3, GroupPhase.READY)[:2]
     moved = target("g2", staged="small", group=("h", 5), rank=0)
@@ -287,12 +280,12 @@
 
 
 def test_a_join_is_not_repeated_for_a_target_that_turns_out_to_stand_elsewhere():
-    """Symptom: a host joins a second group while its first one is open.
+    """A formation ends when the list shows a member in an earlier group that works.
 
-    Sequence: after a store outage a new planner's list shows a target free; its join
-    is withheld, since the target's report names a group; the list then shows that
-    group whole, and it is opened; the withheld join is ordered once more.
-    Cause: only members of later groups ended a formation, and this one is earlier.
+    After a store outage, a new planner's list shows a target as free. Its join is
+    withheld because the target's report names a group. The list then shows that group
+    complete, and it is opened. When only later groups ended a formation, the join was
+    ordered again, and a host joined a second group while its first one was open.
     """
     standing = group("old", 1, 3, GroupPhase.OPEN)
     joined = target("g1", staged="small", group=("g", 5), rank=1)
@@ -307,11 +300,12 @@
 
 
 def test_a_target_whose_join_is_under_way_is_not_taken_for_another_group():
-    """Symptom: a host joins a second group while its first one is open.
+    """All members of a formation stay reserved until they have joined it.
 
-    Sequence: of three joins one is taken and two get no answer; the two targets look
-    free, and a second group is formed of them while the joins are repeated.
-    Cause: only formations of which nothing showed yet kept their targets.
+    Of three joins, one is accepted and two get no answer, so two targets look free.
+    When only formations without any listed member reserved their targets, a second
+    group was formed of them while the joins were repeated, and a host was in two
+    groups.
     """
     first = target("g2", staged="small", group=("g", 1), rank=2)
     waiting = [target("g0", staged="small"), target("g1", staged="small")]
@@ -384,8 +378,8 @@
     return frozenset(t.process for t in targets)
 
 
-def again(old):
-    """Write the next process of a target: it holds its staged weights only."""
+def next_process(old):
+    """Return the next process of a target, which has only the staged weights."""
     return replace(old, born=2, model="", membership=None)
 
 
@@ -394,14 +388,14 @@
     "phase", [GroupPhase.OPEN, GroupPhase.CLOSING, GroupPhase.READY, GroupPhase.JOINING]
 )
 def test_a_group_with_a_member_that_started_again_is_taken_apart(phase, rank):
-    """Symptom: a group serves nobody until its head says that it is broken.
+    """A group is dissolved when a member restarts under its id without a group.
 
-    Sequence: a member starts again under its id and registers without a group.
-    Cause: an entry without the group was taken for one that is only cut off.
+    When such an entry was taken for one that is only cut off, the group served nobody
+    until its head reported the break.
     """
     members = group("g", 1, 3, phase)
     seen = {("g", 1): processes(members)}
-    members[rank] = again(members[rank])
+    members[rank] = next_process(members[rank])
     steps = plan(members, seen=seen)
     others = {m.id for m in members} - {members[rank].id}
     assert {s.target.id for s in of_kind(steps, Leave)} == others
@@ -409,10 +403,10 @@
 
 
 def test_a_member_that_joined_again_as_another_process_ends_its_group():
-    """Symptom: a group stands still although every member shows ready.
+    """A group ends even if the new process of a member has joined it.
 
-    Sequence: a member starts again, and a late copy of its join is carried out.
-    Cause: the group was whole by ids, while its head waits for the earlier process.
+    A delayed copy of the join can reach the new process. By ids the group is complete,
+    but the head waits for the former process, so the group does no work.
     """
     members = group("g", 1, 3, GroupPhase.OPEN)
     seen = {("g", 1): processes(members)}
@@ -422,16 +416,15 @@
 
 
 def test_a_target_that_started_again_joins_once_its_earlier_group_is_over():
-    """Symptom: an engine joins another group while its first one is open.
+    """A restarted target joins another group only after the former group has ended.
 
-    Sequence: a member starts again, holds nothing, and is joined elsewhere before the
-    head of its earlier group has left it.
-    Cause: the target looks free as soon as it registers.
+    It looks free as soon as it registers. Joined before the head of its former group
+    has left, it would join another group while its first one is open.
     """
     members = group("g", 1, 3, GroupPhase.OPEN)
     seen = {("g", 1): processes(members)}
     spares = [target("s", staged="small"), target("t", staged="small")]
-    restarted = again(members[2])
+    restarted = next_process(members[2])
     steps = plan([*members[:2], restarted, *spares], seen=seen)
     assert of_kind(steps, Join) == []
     headless = [members[1], restarted, *spares]
@@ -440,17 +433,16 @@
 
 
 def test_a_formation_of_which_nothing_shows_ends_with_a_member_that_started_again():
-    """Symptom: targets stand idle for four seconds.
+    """An ordered formation ends when a member restarts before any join shows.
 
-    Sequence: a group is ordered; before a join shows, a member starts again.
-    Cause: the formation kept its targets by their ids.
+    When it reserved its targets by their ids, they were idle for four seconds.
     """
     free = [target(f"g{i}", staged="small") for i in range(3)]
     known = Formation(
         group="g", epoch=1, model="small", members=("g0", "g1", "g2"), ordered_at=NOW
     )
     seen = {("g", 1): processes(free)}
-    told = {"formations": {("g", 1): known}, "seen": seen}
-    assert of_kind(plan(free, **told), Join) == []
-    joins = of_kind(plan([*free[:2], again(free[2])], **told), Join)
+    fields = {"formations": {("g", 1): known}, "seen": seen}
+    assert of_kind(plan(free, **fields), Join) == []
+    joins = of_kind(plan([*free[:2], next_process(free[2])], **fields), Join)
     assert {join.epoch for join in joins} == {7}
