--- a/mallowpond/state/tests/test_leaving.py
+++ b/mallowpond/state/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""How long a target that leaves is remembered."""
+"""How long a process that announced its stop is remembered."""
 
 from mallowpond.state.fleet import Process
 from mallowpond.state.leaving import RETENTION_SECONDS, LeavingTargets
@@ -16,7 +16,7 @@
 
 
 def test_a_target_whose_entry_lapses_and_returns_is_still_known():
-    """Guards against sends to a target that leaves while the list has lost it."""
+    """A process that announced its stop gets no requests after its entry returns."""
     leaving = LeavingTargets()
     leaving.add(TARGET, 10.0)
     leaving.keep({TARGET}, 100.0)
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -1,4 +1,4 @@
-"""What is remembered of the orders to one process, and that it ends with it."""
+"""Orders are tracked per process, and dropped with their process."""
 
 from dataclasses import replace
 
@@ -15,26 +15,26 @@
 FIRST = Target(
     id="a", service="engines", address="a:1", data_centre="d", slots=4, born=7
 )
-# The clock of its host was set back: the later process has the lower `born`.
+# The host's clock was set back, so the later process has the smaller `born`.
 SECOND = replace(FIRST, born=3)
 KEY = ("g", 1)
 
 
 def make_join(target):
-    """Write a join that loads weights."""
+    """Return a join that loads weights."""
     return Join(
         target=target, group="g", epoch=1, model="m", members=("a", "b"), loads=True
     )
 
 
-def settled(book, *targets, now=NOW):
-    """Show these targets to the book."""
+def reconciled(book, *targets, now=NOW):
+    """Return the book after it was reconciled with these targets."""
     book.reconcile({t.id: t for t in targets}, now=now, shows_orders=True)
     return book
 
 
 def book_of_first():
-    """Return a book in which the first process has taken a join."""
+    """Return a book in which the first process has accepted a join."""
     book = OrderBook()
     join = make_join(FIRST)
     book.record_report(FIRST, 4, now=NOW)
@@ -45,16 +45,16 @@
 
 
 def test_everything_that_is_kept_ends_with_its_process():
-    """Symptom: a target that holds nothing counts as busy, loading and joined.
+    """All records of a process are dropped when its target restarts under the same id.
 
-    Sequence: a process takes a join and starts again under its id.
-    Cause: what was known was kept by the id.
+    Kept by id, they made a new process without any state count as busy, loading and
+    joined.
     """
-    book = settled(book_of_first(), FIRST)
+    book = reconciled(book_of_first(), FIRST)
     assert book.busy == {"a"}
     assert book.loading == {"a": "m"}
     assert (book.count(FIRST), book.joined(FIRST)) == (5, KEY)
-    settled(book, SECOND)
+    reconciled(book, SECOND)
     assert (book.busy, book.loading) == (frozenset(), {})
     assert (book.count(SECOND), book.joined(SECOND)) == (None, None)
     assert book.shows_last_order(SECOND, NOW)
@@ -62,10 +62,10 @@
 
 
 def test_a_count_that_falls_back_is_out_of_date_and_one_that_starts_anew_counts():
-    """Symptom: an order that goes by an old count is refused and its group waits.
+    """A lower count is ignored within one process and accepted from a new one.
 
-    Sequence: an order is taken; a report of before it comes late.
-    Cause: the count fell back; that of another process may.
+    A report from before an order can arrive late. If it set the count back, the next
+    order would be rejected and its group would wait.
     """
     book = book_of_first()
     book.invalidate_count(FIRST)
@@ -90,10 +90,10 @@
 
 
 def test_a_count_that_is_not_sure_does_not_outlast_a_report():
-    """Symptom: a target gets no more orders at all.
+    """A count that is not certain yields to the target's own report.
 
-    Sequence: a leave is answered as held already, which may not have been counted.
-    Cause: the guess was held against the target's own reports.
+    When a leave is answered as already done, the process may not have counted it. When
+    that guess overruled the reports, the target got no more orders at all.
     """
     book = book_of_first()
     leave = Leave(target=FIRST, group="g", epoch=1)
@@ -111,17 +111,17 @@
     assert book.without_left_group(shown).membership is None
     assert book.joined(FIRST) is None
     assert not book.is_busy(FIRST)
-    again = replace(shown, born=SECOND.born)
-    assert book.without_left_group(again) == again
+    next_process = replace(shown, born=SECOND.born)
+    assert book.without_left_group(next_process) == next_process
 
 
 def test_an_order_is_under_way_until_it_shows_or_its_time_is_over():
-    book = settled(book_of_first(), FIRST, now=NOW + EFFECT_SECONDS)
+    book = reconciled(book_of_first(), FIRST, now=NOW + EFFECT_SECONDS)
     assert book.is_busy(FIRST)
     place = Membership(group="g", epoch=1, rank=0, phase=GroupPhase.JOINING)
-    settled(book, replace(FIRST, membership=place))
+    reconciled(book, replace(FIRST, membership=place))
     assert not book.is_busy(FIRST)
-    book = settled(book_of_first(), FIRST, now=NOW + EFFECT_SECONDS + 0.1)
+    book = reconciled(book_of_first(), FIRST, now=NOW + EFFECT_SECONDS + 0.1)
     assert not book.is_busy(FIRST)
 
 
@@ -132,16 +132,18 @@
     assert book.loading == {"a": "m"}
     book.release_later(stage, NOW)
     assert book.loading == {}
-    assert settled(book, FIRST, now=NOW + RETRY_PAUSE_SECONDS).is_busy(FIRST)
-    assert not settled(book, FIRST, now=NOW + RETRY_PAUSE_SECONDS + 0.1).is_busy(FIRST)
+    assert reconciled(book, FIRST, now=NOW + RETRY_PAUSE_SECONDS).is_busy(FIRST)
+    assert not reconciled(book, FIRST, now=NOW + RETRY_PAUSE_SECONDS + 0.1).is_busy(
+        FIRST
+    )
 
 
 def test_a_count_that_starts_anew_counts_also_where_targets_tell_no_start():
-    """Symptom: a target that started again gets no more orders.
+    """A lower count is accepted from a target without a start time once it must be new.
 
-    Sequence: it tells no start; its report, asked for long after the last order, has
-    fewer orders than were taken.
-    Cause: the report was held for a late one, each time.
+    A report requested long after the last order, with fewer orders than were accepted,
+    comes from a restarted target. When it was always taken for a late one, the target
+    got no more orders.
     """
     book, target = OrderBook(), replace(FIRST, born=None)
     join = make_join(target)
--- a/mallowpond/state/tests/test_planner.py
+++ b/mallowpond/state/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Group planning, decision by decision."""
+"""The controllers' group planner, one decision per test."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/mallowpond/state/tests/test_processes.py
+++ b/mallowpond/state/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Which process of a target is the present one, by direct answers and the list."""
+"""The current process of a target, derived from direct answers and the list."""
 
 from dataclasses import replace
 
@@ -21,16 +21,16 @@
 THIRD = replace(SECOND, born=6)
 
 
-def heard(processes, answered, *, asked=FIRST, asked_at=1.0):
-    """Take an answer."""
+def record(processes, answered, *, asked=FIRST, asked_at=1.0):
+    """Record a direct answer."""
     processes.record_answer(asked=asked, answered=answered, asked_at=asked_at)
 
 
 def test_an_answer_of_another_process_ends_the_listed_one():
     processes = CurrentProcesses()
-    heard(processes, FIRST)
+    record(processes, FIRST)
     assert processes.current(FIRST) == FIRST
-    heard(processes, SECOND, asked_at=2.0)
+    record(processes, SECOND, asked_at=2.0)
     current = processes.current(FIRST)
     assert current.process == SECOND.process
     assert current.membership is None
@@ -39,47 +39,47 @@
 
 
 def test_an_answer_that_was_asked_for_earlier_changes_nothing():
-    """Symptom: the earlier process of a target counts as the present one again.
+    """An answer to an earlier question does not replace one to a later question.
 
-    Sequence: two questions are under way; the answer to the first comes last.
-    Cause: answers were taken in the order in which they came.
+    Of two questions under way, the first may be answered last. When answers counted in
+    order of arrival, the former process of a target became the current one again.
     """
     processes = CurrentProcesses()
-    heard(processes, THIRD, asked_at=2.0)
-    heard(processes, SECOND, asked_at=1.0)
+    record(processes, THIRD, asked_at=2.0)
+    record(processes, SECOND, asked_at=1.0)
     assert processes.current(FIRST).process == THIRD.process
 
 
 def test_an_answer_ends_only_the_process_that_was_asked():
-    """Symptom: a process that has just registered is taken for gone.
+    """An answer ends only the process that was listed when the question was asked.
 
-    Sequence: a question is under way when the list shows a next process; another one
-    answers, and nobody knows which of the two is later.
-    Cause: the answer was held against what the list showed afterwards.
+    While a question is under way, the list may show a next process. When another
+    process answers, the order of these two is unknown. When the answer counted against
+    the list's newer entry, a process that had just registered was taken for ended.
     """
     processes = CurrentProcesses()
-    heard(processes, THIRD, asked=FIRST)
+    record(processes, THIRD, asked=FIRST)
     assert processes.current(SECOND) == SECOND
     assert processes.current(FIRST).process == THIRD.process
 
 
 def test_the_list_decides_when_it_shows_a_third_process_later():
     processes = CurrentProcesses()
-    heard(processes, SECOND)
+    record(processes, SECOND)
     assert processes.current(THIRD) == THIRD
     assert processes.current(FIRST).process == SECOND.process
 
 
 def test_a_process_that_answers_again_later_is_present():
     processes = CurrentProcesses()
-    heard(processes, SECOND)
-    heard(processes, FIRST, asked_at=2.0)
+    record(processes, SECOND)
+    record(processes, FIRST, asked_at=2.0)
     assert processes.current(FIRST) == FIRST
 
 
 def test_targets_that_are_gone_are_forgotten():
     processes = CurrentProcesses()
-    heard(processes, SECOND)
+    record(processes, SECOND)
     processes.reconcile({}, now=1.0)
     assert processes.current(FIRST) == FIRST
 
--- a/mallowpond/state/tests/test_proposal.py
+++ b/mallowpond/state/tests/test_proposal.py
@@ -1,4 +1,4 @@
-"""Acceptance, abortion and the cell's epochs."""
+"""Acceptance and abort of proposals, and the epochs of a cell."""
 
 from mallowpond.state.proposal import (
     Abort,
--- a/mallowpond/state/tests/test_site_configuration.py
+++ b/mallowpond/state/tests/test_site_configuration.py
@@ -1,4 +1,4 @@
-"""Which route a request takes."""
+"""Choice of the route and the backend of a request."""
 
 from mallowpond.state.site_configuration import (
     Backend,
@@ -10,7 +10,7 @@
 
 
 def route(prefix, host="h", **more):
-    """Write a route."""
+    """Return a route."""
     return Route(
         name=prefix,
         host=host,
