--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -343,7 +343,7 @@
         self._log_restarted(current)
         self._loads_begun = [at for at in self._loads_begun if now - at < 10.0]
         self._probes.probe_due()
-        if self._directory.is_lost:
+        if self._directory.is_list_lost:
             self._poll_pending(now)
 
     def _log_restarted(self, current: dict[str, Target]) -> None:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -216,7 +216,7 @@
             fanout=self.fanout,
             configuration=self.configuration,
         )
-        self.readers.on_news.append(self.streams.placement.wake_all)
+        self.readers.after_digest.append(self.streams.placement.wake_all)
         self.configuration.on_new_version.append(self._publish_version)
         self.leadership.on_acquired.append(
             lambda: self.peers.broadcast(self._describe())
@@ -385,7 +385,7 @@
 
     def _on_slot_freed(self) -> None:
         """Tell whoever counts places that this host holds one less."""
-        self.readers.tell_dispatcher()
+        self.readers.send_work_to_dispatcher()
         self.dispatcher.wake()
 
     def _publish_version(self) -> None:
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -345,16 +345,16 @@
     @rule(data=st.data())
     def read_in_vain(self, data):
         """Get a whole list that is older than the changes heard meanwhile."""
-        before, read_at = dict(self.directory.targets), self.directory._whole_at
+        before, read_at = dict(self.directory.targets), self.directory._full_read_at
         until = data.draw(st.integers(0, self.directory._revision - 1))
         self.read(self.platform.entries(until).values(), until)
-        self.directory._whole_at = read_at
+        self.directory._full_read_at = read_at
         assert self.directory.targets == before
 
     def read(self, entries, version):
         """Let the node read a whole list."""
         self.rig.source.listed.append(listing(*entries, revision=version))
-        self.directory._whole_at = float("-inf")
+        self.directory._full_read_at = float("-inf")
         self.loop.run_until_complete(self.directory.refresh())
 
     @rule(engine=engines, is_late=st.booleans())
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -414,7 +414,9 @@
     await node.directory.refresh()
     targets.script("g0", answer(1))
     told = []
-    node.readers.tell_dispatcher = lambda: told.append(node.directory.loads.own_loads())
+    node.readers.send_work_to_dispatcher = lambda: told.append(
+        node.directory.loads.own_loads()
+    )
     rig = rig_over(node, clock, targets, source)
     await node.streams.serve(rig.work(FakeExchange()))
     assert told == [{}]
