--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -88,7 +88,7 @@
             priority=question.priority,
             objective_deadline=now + question.on_time,
             queued_at=now,
-            until=now + min(question.patience, MOST_PATIENCE_SECONDS),
+            deadline=now + min(question.patience, MOST_PATIENCE_SECONDS),
             has_begun=question.has_begun,
         )
         asker = Asker(node=question.node, number=question.number)
@@ -104,7 +104,7 @@
             wait = self._expected_wait(line, seek, claim)
             if wait > claim.patience or len(line) >= MAX_WAITING:
                 return self._answer(asker, PlaceVerdict.REFUSED, wait=wait)
-        line.join(asker, claim)
+        line.add(asker, claim)
         self._seeks[asker] = seek
         return self._answer(asker, PlaceVerdict.WAITING)
 
@@ -112,7 +112,7 @@
         self, line: PlacementQueue[Asker], seek: Seek, claim: QueueEntry
     ) -> Group | None:
         """Return a group for a new stream unless another one goes before it."""
-        if line.goes_before(claim, self._clock.now()):
+        if line.has_entry_ahead_of(claim, self._clock.now()):
             return None
         return self._choice.exact(seek)
 
@@ -138,7 +138,7 @@
                 pass
 
     def _give_one(self, line: PlacementQueue[Asker]) -> bool:
-        for asker in line.over(self._clock.now()):
+        for asker in line.expired(self._clock.now()):
             self._drop(line, asker)
         waiting = line.in_order(self._clock.now())
         for asker in list(islice(waiting, TRIED_STREAMS)):
@@ -156,7 +156,7 @@
             self._drop(line, asker)
 
     def _drop(self, line: PlacementQueue[Asker], asker: Asker) -> None:
-        line.leave(asker)
+        line.discard(asker)
         self._seeks.pop(asker, None)
 
     def _grant(self, asker: Asker, seek: Seek, group: Group) -> PlaceAnswer:
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -91,7 +91,7 @@
         self._store_was_reached = True
         # The last place that this host was given, which its work holds.
         self.granted: Callable[[], int] = lambda: 0
-        self.on_news: list[Callable[[], None]] = []
+        self.after_digest: list[Callable[[], None]] = []
         configuration.is_reader = lambda: self.reads
         configuration.ask_readers = self._ask
         directory.is_reader = lambda: self.reads
@@ -191,7 +191,7 @@
                 self._tell_work()
             return
         known = self._configuration.configuration
-        if known is None or self._directory.is_lost:
+        if known is None or self._directory.is_list_lost:
             return
         self._turn += 1
         if self.stands_by and self._peers.is_large_fleet and self._turn % STANDBY_TURNS:
@@ -221,7 +221,7 @@
         self._directory.loads.record_published(loads)
         self._send_work(loads, {*self.names, self.dispatcher})
 
-    def tell_dispatcher(self) -> None:
+    def send_work_to_dispatcher(self) -> None:
         """Tell this host's work at once to the one that counts places for all."""
         host = self.dispatcher
         if host == self._name:
@@ -287,7 +287,7 @@
         self._fanout.pass_on(digest)
         self._directory.hear_digest(digest.changed, decode_loads(digest))
         self._configuration.hear_version(digest.version)
-        for notify in self.on_news:
+        for notify in self.after_digest:
             notify()
 
     def _note_work(self, work: Work) -> None:
