--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -15,8 +15,8 @@
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.streams import StreamService
 from mallowpond.node.traffic import TrafficSeen
+from mallowpond.state.admission import jittered_retry_after
 from mallowpond.state.fleet import EngineProfile, ModelSpec
-from mallowpond.state.limits import spread_retry_after
 from mallowpond.state.site_configuration import (
     RepeatPolicy,
     Route,
@@ -214,7 +214,7 @@
         )
 
     def _retry_later(self, reason: Reason) -> Refusal:
-        after = spread_retry_after(UNSURE_RETRY_SECONDS, self._rng.random())
+        after = jittered_retry_after(UNSURE_RETRY_SECONDS, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
     def _apply_limits(self, configuration: SiteConfiguration) -> None:
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -16,7 +16,7 @@
 from mallowpond.node.ports import EngineReport, Targets
 from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.observer_doubt import ObserverDoubt
+from mallowpond.state.observer_health import ObserverHealth
 from mallowpond.state.order_book import OrderBook
 from mallowpond.state.processes import CurrentProcesses
 
@@ -69,7 +69,7 @@
         self._running_probes: dict[Process, asyncio.Task[bool]] = {}
         self._lapse_probed: dict[Process, float] = {}
         self._unhealthy: dict[Process, int] = {}
-        self._doubt = ObserverDoubt()
+        self._doubt = ObserverHealth()
         self._others = IndirectProbe(
             peers=peers, look=self._probe_for_peer, spawn=spawn
         )
@@ -197,8 +197,8 @@
         the same; without any that can tell, its own finding counts.
         """
         now = self._clock.now()
-        self._doubt.note_silent(target.id, target.domain, now)
-        if not self._doubt.is_doubtful(now):
+        self._doubt.record_silence(target.id, target.domain, now)
+        if not self._doubt.is_suspect(now):
             return True
         if not await self._others.sees(target.id):
             return True
@@ -233,7 +233,7 @@
             return
         async with self._gate.turn():
             # It takes a slot as a request does.
-            self._intake.note_sent(target)
+            self._intake.record_sent(target)
             healthy = await self._targets.is_healthy(target, service.health_path)
         if isinstance(healthy, Unavailable):
             await self.probe(target)
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -208,7 +208,7 @@
         self.streams.placement.dispatcher_client = self.dispatcher_client
         self.streams.on_end.append(self._on_slot_freed)
         self.dispatcher_client.on_unused_grant.append(self._on_slot_freed)
-        self.readers.granted = lambda: self.dispatcher_client.granted
+        self.readers.grant_number = lambda: self.dispatcher_client.grant_number
         self.sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
@@ -371,7 +371,7 @@
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
             loads=encode_loads(self.directory.loads.own_loads()),
-            granted=self.dispatcher_client.granted,
+            grant_number=self.dispatcher_client.grant_number,
         )
 
     def _find_model(self, service: str, model: str) -> ServedModel | None:
@@ -398,7 +398,7 @@
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
         self.directory.loads.record_peer_loads(
-            heartbeat.node, decode_loads(heartbeat), heartbeat.granted
+            heartbeat.node, decode_loads(heartbeat), heartbeat.grant_number
         )
         # Places that other hosts' streams freed are known only from here: without
         # this a stream waited until one of this host's own ended.
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -385,7 +385,7 @@
         if engine.phase not in SERVING:
             return False
         members = [self.fleet.engines[m] for m in engine.members]
-        return all(member.group_key == engine.formation for member in members)
+        return all(member.formation == engine.formation for member in members)
 
 
 def setup_module():
