--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -18,9 +18,9 @@
 from mallowpond.node.group_selector import GroupSelector, Seek
 from mallowpond.node.messages import PlaceAnswer, PlaceQuestion, PlaceVerdict
 from mallowpond.node.peers import PeerNetwork
+from mallowpond.state.admission import expected_wait
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
-from mallowpond.state.limits import expected_wait
-from mallowpond.state.place_line import MAX_WAITING, PlacementQueue, QueueEntry
+from mallowpond.state.placement_queue import MAX_WAITING, PlacementQueue, QueueEntry
 
 # Longest time that a stream waits in the line, in seconds, whatever its asker says.
 MOST_PATIENCE_SECONDS = 60.0
@@ -125,7 +125,7 @@
             return 0.0
         return expected_wait(
             ahead=line.ahead_of(claim),
-            places=len(groups) * seek.profile.slots,
+            slots=len(groups) * seek.profile.slots,
             service_seconds=self._choice.hold_seconds(seek.profile, seek.model),
         )
 
@@ -161,16 +161,16 @@
 
     def _grant(self, asker: Asker, seek: Seek, group: Group) -> PlaceAnswer:
         self._granted[asker.node] += 1
-        granted = self._granted[asker.node]
+        grant_number = self._granted[asker.node]
         self._directory.loads.note_grant(
-            asker.node, granted, group.key, seek.prompt_tokens
+            asker.node, grant_number, group.key, seek.prompt_tokens
         )
         return self._answer(
             asker,
             PlaceVerdict.GRANTED,
             group=group.name,
             epoch=group.epoch,
-            granted=granted,
+            grant_number=grant_number,
         )
 
     def _answer(
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -82,7 +82,7 @@
     cores: float = 0.0
     loads: LoadColumns = LoadColumns()
     # The last place that the dispatcher gave, whose stream `loads` holds.
-    granted: int = 0
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -181,12 +181,13 @@
 class Work:
     """Tell the readers one host's work by group.
 
-    It holds the streams of all places that the dispatcher gave up to `granted`.
+    It includes the streams of all places that the dispatcher granted up to the one
+    numbered `grant_number`.
     """
 
     node: Name
     loads: LoadColumns
-    granted: int = 0
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -222,8 +223,8 @@
 class PlaceAnswer:
     """Answer a question for a place.
 
-    A granted place is on `group`, and `granted` counts those given to that host. One
-    that is refused would have to wait for `wait` seconds.
+    A granted place is on `group`; `grant_number` counts the places granted to that host
+    so far. A refused stream would have to wait for `wait` seconds.
     """
 
     node: Name
@@ -231,7 +232,7 @@
     verdict: PlaceVerdict
     group: str = ""
     epoch: int = 0
-    granted: int = 0
+    grant_number: int = 0
     wait: float = 0.0
 
 
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -14,10 +14,9 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.waiting import WaitQueue
+from mallowpond.state.admission import expected_wait, jittered_retry_after
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
-from mallowpond.state.limits import expected_wait, spread_retry_after
-from mallowpond.state.place_line import Claim
 from mallowpond.state.placement import (
     Candidate,
     GroupLoad,
@@ -25,6 +24,7 @@
     first_event_seconds,
     pass_seconds,
 )
+from mallowpond.state.placement_queue import QueueEntry
 
 # Share of a caller's patience that a stream may wait here for a place: the rest is
 # for reading the prompt and the first pass.
@@ -174,11 +174,11 @@
         patience = min(self._patience(work), work.deadline - now)
         if self.dispatcher_client is None or patience <= LEAST_SECONDS:
             return None
-        claim = Claim(
+        claim = QueueEntry(
             priority=work.priority,
-            on_time_until=self._on_time_until(work),
-            since=now,
-            until=now + patience,
+            objective_deadline=self._on_time_until(work),
+            queued_at=now,
+            deadline=now + patience,
             has_begun=work.has_begun,
         )
         self._metrics.waiting.inc()
@@ -197,7 +197,7 @@
         line = self._lines.setdefault(work.model.name, WaitQueue())
         wait = expected_wait(
             ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
-            places=len(groups) * work.profile.slots,
+            slots=len(groups) * work.profile.slots,
             # Every host gets its part of the places that free.
             service_seconds=self.selector.hold_seconds(work.profile, work.model)
             * self._hosts(),
@@ -212,7 +212,7 @@
         try:
             came = await line.wait(
                 priority=work.priority,
-                on_time_until=self._on_time_until(work),
+                objective_deadline=self._on_time_until(work),
                 seconds=patience,
                 has_begun=work.has_begun,
             )
@@ -293,7 +293,7 @@
 
     def refuse(self, reason: Reason, wait: float) -> Refusal:
         """Refuse a stream that did not run, to come back after about `wait` seconds."""
-        after = spread_retry_after(wait, self._rng.random())
+        after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
     def wake(self, model: str) -> None:
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -133,10 +133,10 @@
             verdict=PlaceVerdict.GRANTED,
             group="a",
             epoch=1,
-            granted=1,
+            grant_number=1,
         )
 
-    site.dispatcher.ask = lambda asker, seek, claim: grant(asker.number)
+    site.dispatcher.request_slot = lambda asker, seek, claim: grant(asker.number)
     outcome = await serving
     assert (outcome.status, outcome.reason) == (503, Reason.RATE_LIMITED)
     assert rig.targets.sends == []
--- a/mallowpond/state/limits.py
+++ b/mallowpond/state/admission.py
@@ -11,7 +11,7 @@
 # Bounds of the time to come back for callers whose own time is a few seconds, and its
 # spread: callers refused together return apart instead of all at once.
 SHORT_RETRY_AFTER_SECONDS = (0.1, 3.0)
-RETRY_SPREAD = (0.6, 1.4)
+RETRY_JITTER = (0.6, 1.4)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -92,7 +92,7 @@
     _samples: int = 1
 
     @property
-    def cautious(self) -> float:
+    def upper_bound(self) -> float:
         """Return a time within which most requests end.
 
         Going by the mean alone, half of the requests that were let in at the last
@@ -110,32 +110,32 @@
         self.deviation += weight * (abs(error) - self.deviation)
 
 
-def expected_wait(*, ahead: int, places: int, service_seconds: float) -> float:
+def expected_wait(*, ahead: int, slots: int, service_seconds: float) -> float:
     """Return the seconds until a place frees for one behind `ahead` others."""
-    if places <= 0:
+    if slots <= 0:
         return float("inf")
-    return (ahead + 1) * service_seconds / places
+    return (ahead + 1) * service_seconds / slots
 
 
-def judge_wait(
-    *, ahead: int, places: int, service_seconds: float, remaining: float
+def refuse_if_late(
+    *, ahead: int, slots: int, service_seconds: float, remaining: float
 ) -> Refused | None:
     """Refuse a request at once when its deadline cannot be met in the queue."""
-    wait = expected_wait(ahead=ahead, places=places, service_seconds=service_seconds)
+    wait = expected_wait(ahead=ahead, slots=slots, service_seconds=service_seconds)
     if wait + service_seconds <= remaining:
         return None
     late_by = wait + service_seconds - remaining
-    return Refused(reason="overloaded", retry_after=bounded_retry_after(late_by))
+    return Refused(reason="overloaded", retry_after=clamp_retry_after(late_by))
 
 
-def bounded_retry_after(seconds: float) -> float:
+def clamp_retry_after(seconds: float) -> float:
     """Keep a time to come back within what a caller can use."""
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
 
 
-def spread_retry_after(seconds: float, draw: float) -> float:
+def jittered_retry_after(seconds: float, draw: float) -> float:
     """Return a time to come back around `seconds`; `draw` is uniform in [0, 1)."""
     least, most = SHORT_RETRY_AFTER_SECONDS
-    low, high = RETRY_SPREAD
+    low, high = RETRY_JITTER
     bounded = min(most, max(least, seconds))
     return round(bounded * (low + (high - low) * draw), 2)
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -5,9 +5,9 @@
 import pytest
 
 from mallowpond.state.first_event import (
-    LEAST_SAMPLES,
+    DEFAULT_UPPER_BOUND_SECONDS,
+    MIN_SAMPLES,
     SAMPLES,
-    UNKNOWN_SECONDS,
     FirstEventDelay,
 )
 from mallowpond.state.silence import (
@@ -52,15 +52,15 @@
     Cause: what sound groups taught was expected of them unchanged.
     """
     delay = FirstEventDelay()
-    for _ in range(LEAST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         delay.note(observed=PREDICTED + 0.3, predicted=PREDICTED, slowness=2.5)
     assert delay.usual == pytest.approx(0.12)
 
 
 def test_nothing_is_said_on_a_few_samples():
-    delay = seen(0.12, count=LEAST_SAMPLES - 1)
+    delay = seen(0.12, count=MIN_SAMPLES - 1)
     assert delay.usual == 0.0
-    assert delay.longest == UNKNOWN_SECONDS
+    assert delay.upper_bound == DEFAULT_UPPER_BOUND_SECONDS
 
 
 def waiting(delay, silent, has_running=False):
@@ -69,7 +69,7 @@
         silent_seconds=silent,
         predicted_gap=0.03,
         allowed_gap=OBJECTIVE,
-        first_event_seconds=PREDICTED + delay.longest,
+        first_event_seconds=PREDICTED + delay.upper_bound,
         has_running=has_running,
     )
 
