--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -135,7 +135,7 @@
         self._reset()
         leadership.on_acquired.append(self._reset)
         directory.on_change.append(self._record_members)
-        watch.on_suspect.append(self._investigate)
+        watch.on_suspect.append(self._on_suspicion)
 
     def _reset(self) -> None:
         self._probes.reset()
@@ -431,9 +431,9 @@
         known = self._book.count(target)
         if known is not None:
             return known
-        report = await self._probes.report(target)
+        report = await self._probes.fetch_report(target)
         if isinstance(report, Unavailable):
-            self._probes.investigate(target)
+            self._probes.start_probe(target)
             return None
         if report.target.group_key != target.group_key:
             # Another planner's order came after the list was read: a count that
@@ -493,7 +493,7 @@
             case OrderLost():
                 self._book.invalidate_count(target)
                 self._release_target(step)
-                self._probes.investigate(target)
+                self._probes.start_probe(target)
 
     def _record_accepted(self, step: Step) -> None:
         self._book.record_taken(step, self._clock.now())
@@ -522,7 +522,7 @@
 
     # -- probes --------------------------------------------------------------
 
-    def _investigate(self, key: GroupKey) -> None:
+    def _on_suspicion(self, key: GroupKey) -> None:
         if not self._leadership.fence:
             return
         group = self._directory.groups.get(key)
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -1,4 +1,4 @@
-"""Find out which targets live, by asking them."""
+"""Probe targets directly to find out which ones are alive."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -22,19 +22,19 @@
 
 log = structlog.get_logger()
 
-# Pause between two probes of a target that did not answer, in seconds.
+# Interval between two probes of a target that did not answer, in seconds.
 PROBE_INTERVAL_SECONDS = 2.0
-# Probes in a row that must fail before a target counts as lost.
+# Consecutive requests without an answer after which a target counts as lost.
 PROBE_ATTEMPTS = 2
-# Pause between two probes of a member that the list has lost, in seconds.
+# Interval between two probes of a group member whose list entry lapsed, in seconds.
 LAPSED_PROBE_INTERVAL_SECONDS = 1.0
-# Probes in a row that find a target unhealthy before it counts as leaving: a head
-# whose slots are full refuses a probe as it refuses a request.
+# Consecutive failed health checks after which a target counts as leaving. One is not
+# enough: a head whose slots are all taken refuses a health check like a request.
 UNHEALTHY_THRESHOLD = 2
 
 
 class TargetProbes:
-    """Remember which targets do not answer, and which leave unannounced."""
+    """Probes targets, and tracks those that are lost or stop without announcing it."""
 
     def __init__(
         self,
@@ -62,46 +62,52 @@
         self._intake = intake
         self._is_report_current = is_report_current
         self._spawn = spawn
-        # What is known of a process ends with it: kept by the id, a target that has
-        # just started again would count as dead, or share the answer of the earlier.
-        self._lost: dict[Process, float] = {}
-        self._replaced: dict[Process, float] = {}
+        # Keyed by process, not by target id: a target that has just restarted would
+        # otherwise count as lost, or share the answer of its earlier process.
+        self._lost: dict[Process, float] = {}  # time of the last failed probe
+        self._replaced: dict[Process, float] = {}  # time of the refused order
         self._running_probes: dict[Process, asyncio.Task[bool]] = {}
-        self._lapse_probed: dict[Process, float] = {}
-        self._unhealthy: dict[Process, int] = {}
-        self._doubt = ObserverHealth()
-        self._others = IndirectProbe(
+        self._lapsed_probed_at: dict[Process, float] = {}
+        self._unhealthy: dict[Process, int] = {}  # consecutive failed health checks
+        self._observer_health = ObserverHealth()
+        self._indirect_probe = IndirectProbe(
             peers=peers, look=self._probe_for_peer, spawn=spawn
         )
 
     @property
     def lost(self) -> frozenset[str]:
-        """Return the targets that do not answer, or at whose address another does."""
+        """Return the ids of targets that do not answer or were replaced by another."""
         return frozenset(process.id for process in (*self._lost, *self._replaced))
 
     def is_leaving(self, target: Target) -> bool:
-        """Tell whether a target is about to stop although the list does not say so."""
+        """Return whether a target is about to stop although it is not listed so."""
         if self._intake.is_leaving(target):
             return True
         unhealthy = self._unhealthy.get(target.process, 0)
         return target.lapsed and unhealthy >= UNHEALTHY_THRESHOLD
 
     def reset(self) -> None:
-        """Forget what an earlier planner's time taught."""
+        """Drop the findings of this node's earlier term as planner."""
         self._lost.clear()
         self._replaced.clear()
-        self._lapse_probed.clear()
+        self._lapsed_probed_at.clear()
         self._unhealthy.clear()
 
     def probe_due(self) -> None:
-        """Probe again what is due: lost targets, and those the list has lost."""
+        """Start the probes of lost targets and lapsed group members that are due."""
         now = self._clock.now()
         targets = self._directory.targets
         listed = {target.process: target for target in targets.values()}
-        for known in (self._lost, self._replaced, self._lapse_probed, self._unhealthy):
+        for known in (
+            self._lost,
+            self._replaced,
+            self._lapsed_probed_at,
+            self._unhealthy,
+        ):
             for process in [p for p in known if p not in listed]:
                 del known[process]
-        # What the list still shows by then is written anew, so the word was wrong.
+        # An entry that is still listed by then was written again by the process, so
+        # the report of its replacement was wrong.
         for process, at in list(self._replaced.items()):
             if now - at > STALE_ENTRY_SECONDS:
                 del self._replaced[process]
@@ -115,24 +121,27 @@
             ):
                 self._spawn(self.probe(listed[process]))
 
-    def investigate(self, target: Target) -> None:
-        """Probe a target that did not answer an order or a question."""
+    def start_probe(self, target: Target) -> None:
+        """Start a probe of a target that did not answer, if none is running."""
         process = target.process
         if process not in self._running_probes and process not in self._lost:
             self._spawn(self.probe(target))
 
     def mark_replaced(self, target: Target) -> None:
-        """Note that another engine refused what was meant for this one.
+        """Record that another process at a target's address refused its order.
 
-        Its report would be no news of this one, and looks like a late one of it: a
-        formation waited three seconds for a member that was gone.
+        A probe cannot show this: the report of the other process looks like an outdated
+        one of the target. A formation waited three seconds for a member that was gone.
         """
         if target.process not in self._replaced:
             log.warning("planner: target lost", target=target.id, reason="replaced")
         self._replaced[target.process] = self._clock.now()
 
     async def probe(self, target: Target) -> bool:
-        """Ask whether a process lives; whoever asks meanwhile shares the answer."""
+        """Return whether the target's listed process answers.
+
+        Concurrent callers share one probe.
+        """
         process = target.process
         running = self._running_probes.get(process)
         if running is None:
@@ -141,13 +150,13 @@
             running.add_done_callback(lambda _: self._running_probes.pop(process, None))
         return await asyncio.shield(running)
 
-    async def report(self, target: Target) -> EngineReport | Unavailable:
-        """Ask a target what it holds, and note which of its processes answers."""
+    async def fetch_report(self, target: Target) -> EngineReport | Unavailable:
+        """Fetch a target's report and record which process answered."""
         async with self._gate.turn():
-            return await self._report(target)
+            return await self._fetch_report(target)
 
-    async def _report(self, target: Target) -> EngineReport | Unavailable:
-        asked_at = self._clock.now()
+    async def _fetch_report(self, target: Target) -> EngineReport | Unavailable:
+        sent_at = self._clock.now()
         report = await self._targets.report(target)
         self._gate.note(answered=not isinstance(report, Unavailable))
         if isinstance(report, Unavailable):
@@ -155,7 +164,7 @@
         self._processes.record_answer(
             asked=target,
             answered=report.target,
-            asked_at=asked_at,
+            asked_at=sent_at,
             shows_orders=self._is_report_current(report.target),
         )
         self._book.raise_min_count(report.target, report.orders)
@@ -171,7 +180,7 @@
     async def _probe(self, target: Target) -> bool:
         reason = ""
         for _ in range(PROBE_ATTEMPTS):
-            report = await self.report(target)
+            report = await self.fetch_report(target)
             if isinstance(report, Unavailable):
                 reason = report.reason
                 continue
@@ -191,27 +200,27 @@
         return False
 
     async def _is_confirmed_silent(self, target: Target) -> bool:
-        """Tell whether a target's silence is its own, not this host's.
+        """Return whether a target's silence is not caused by this host.
 
-        Where so many fall silent that this host doubts itself, another one must find
-        the same; without any that can tell, its own finding counts.
+        When so many targets are silent that this host itself may be at fault, another
+        host probes the target indirectly. If none can answer, the silence counts.
         """
         now = self._clock.now()
-        self._doubt.record_silence(target.id, target.domain, now)
-        if not self._doubt.is_suspect(now):
+        self._observer_health.record_silence(target.id, target.domain, now)
+        if not self._observer_health.is_suspect(now):
             return True
-        if not await self._others.sees(target.id):
+        if not await self._indirect_probe.sees(target.id):
             return True
         log.warning("planner: target seen by another host", target=target.id)
         return False
 
     async def _probe_for_peer(self, identifier: str) -> bool | None:
-        """Tell another host whether a target answers here, None if it is not known."""
+        """Probe a target for another host; return None if it is not listed here."""
         target = self._directory.targets.get(identifier)
         if target is None:
             return None
         for _ in range(PROBE_ATTEMPTS):
-            if not isinstance(await self.report(target), Unavailable):
+            if not isinstance(await self.fetch_report(target), Unavailable):
                 return True
         return False
 
@@ -219,20 +228,20 @@
         if target.process in self._lost:
             self._directory.drop_lapsed(target.id)
         elif (
-            now - self._lapse_probed.get(target.process, 0.0)
+            now - self._lapsed_probed_at.get(target.process, 0.0)
             > LAPSED_PROBE_INTERVAL_SECONDS
         ):
-            self._lapse_probed[target.process] = now
+            self._lapsed_probed_at[target.process] = now
             self._spawn(self._probe_lapsed(target))
 
     async def _probe_lapsed(self, target: Target) -> None:
-        """Tell a target that is cut off from the list from one that leaves."""
+        """Check the health of a lapsed target, which may be cut off or stopping."""
         configuration = self._configuration.configuration
         service = configuration and configuration.services.get(target.service)
         if not service or not self._intake.may_send(target):
             return
         async with self._gate.turn():
-            # It takes a slot as a request does.
+            # A health check takes up a slot like a request.
             self._intake.record_sent(target)
             healthy = await self._targets.is_healthy(target, service.health_path)
         if isinstance(healthy, Unavailable):
@@ -240,8 +249,8 @@
             return
         if healthy:
             self._unhealthy.pop(target.process, None)
-            # A target that started again is healthy too, yet its group is over: its
-            # streams would be turned away for as long as it was vouched for.
+            # A restarted target is healthy too, but it has lost its group: it would
+            # refuse every stream sent to it while it is recorded as healthy.
             if not await self.probe(target):
                 return
             if self._processes.current(target).group_key != target.group_key:
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -845,7 +845,7 @@
     await rig.steps(2)
     for target in members:
         rig.targets.reports[target.id] = Unavailable(reason="timeout")
-        rig.planner._probes.investigate(target)
+        rig.planner._probes.start_probe(target)
     await rig.steps(10)
     return rig
 
