--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -14,21 +14,21 @@
     POLL_SECONDS,
     Directory,
 )
-from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.model_summary import demand, log_summary, utilization
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import (
-    OrderEnd,
     OrderFenced,
     OrderLost,
     OrderMisdirected,
+    OrderResult,
     OrderTaken,
     OrderUnfit,
     Targets,
 )
 from mallowpond.node.probes import TargetProbes
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.node.traffic import TrafficSeen
 from mallowpond.node.watch import GroupWatch
 from mallowpond.state.fleet import (
@@ -99,7 +99,7 @@
         metrics: NodeMetrics,
         stall_seconds: float,
         traffic_seen: TrafficSeen,
-        intake: Intake,
+        availability: TargetAvailability,
     ) -> None:
         self._configuration = configuration
         self._directory = directory
@@ -128,7 +128,7 @@
             book=self._book,
             clock=clock,
             gate=self._gate,
-            intake=intake,
+            availability=availability,
             is_report_current=self._is_report_current,
             spawn=self._spawn,
         )
@@ -384,13 +384,13 @@
             return
         # Planned before this node lost the lease and took it anew, an order rests on
         # what was since forgotten.
-        async with self._gate.turn():
+        async with self._gate.admit():
             is_held = fence and fence == self._leadership.fence
             if not is_held or self._has_paused or self._is_outdated(step):
                 self._release_target(step)
                 return
             end = await self._targets.order(step, fence=fence, expected=expected)
-        self._gate.note(answered=not isinstance(end, OrderLost))
+        self._gate.record_result(answered=not isinstance(end, OrderLost))
         self._handle_result(step, end, expected=expected)
 
     def _is_outdated(self, step: Step) -> bool:
@@ -453,7 +453,7 @@
             return False
         return self._processes.current(listed).process == target.process
 
-    def _handle_result(self, step: Step, end: OrderEnd, *, expected: int) -> None:
+    def _handle_result(self, step: Step, end: OrderResult, *, expected: int) -> None:
         target = step.target
         is_late = not self._is_present(target)
         kind = type(step).__name__.lower()
@@ -473,7 +473,7 @@
         match end:
             case OrderTaken(began=began):
                 if began or isinstance(step, Leave):
-                    self._book.record_begun(step, expected=expected, is_sure=began)
+                    self._book.record_begun(step, expected=expected, is_certain=began)
                 self._record_accepted(step)
             case OrderFenced():
                 self._book.invalidate_count(target)
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -11,9 +11,9 @@
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.directory import Directory
 from mallowpond.node.indirect_probe import IndirectProbe
-from mallowpond.node.intake import Intake
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.observer_health import ObserverHealth
@@ -47,7 +47,7 @@
         book: OrderBook,
         clock: Clock,
         gate: CallGate,
-        intake: Intake,
+        availability: TargetAvailability,
         is_report_current: Callable[[Target], bool],
         spawn: Callable[[Coroutine[Any, Any, Any]], None],
     ) -> None:
@@ -59,7 +59,7 @@
         self._book = book
         self._clock = clock
         self._gate = gate
-        self._intake = intake
+        self._availability = availability
         self._is_report_current = is_report_current
         self._spawn = spawn
         # Keyed by process, not by target id: a target that has just restarted would
@@ -71,7 +71,7 @@
         self._unhealthy: dict[Process, int] = {}  # consecutive failed health checks
         self._observer_health = ObserverHealth()
         self._indirect_probe = IndirectProbe(
-            peers=peers, look=self._probe_for_peer, spawn=spawn
+            peers=peers, probe=self._probe_for_peer, spawn=spawn
         )
 
     @property
@@ -81,7 +81,7 @@
 
     def is_leaving(self, target: Target) -> bool:
         """Return whether a target is about to stop although it is not listed so."""
-        if self._intake.is_leaving(target):
+        if self._availability.is_leaving(target):
             return True
         unhealthy = self._unhealthy.get(target.process, 0)
         return target.lapsed and unhealthy >= UNHEALTHY_THRESHOLD
@@ -152,13 +152,13 @@
 
     async def fetch_report(self, target: Target) -> EngineReport | Unavailable:
         """Fetch a target's report and record which process answered."""
-        async with self._gate.turn():
+        async with self._gate.admit():
             return await self._fetch_report(target)
 
     async def _fetch_report(self, target: Target) -> EngineReport | Unavailable:
         sent_at = self._clock.now()
         report = await self._targets.report(target)
-        self._gate.note(answered=not isinstance(report, Unavailable))
+        self._gate.record_result(answered=not isinstance(report, Unavailable))
         if isinstance(report, Unavailable):
             return report
         self._processes.record_answer(
@@ -238,11 +238,11 @@
         """Check the health of a lapsed target, which may be cut off or stopping."""
         configuration = self._configuration.configuration
         service = configuration and configuration.services.get(target.service)
-        if not service or not self._intake.may_send(target):
+        if not service or not self._availability.can_send(target):
             return
-        async with self._gate.turn():
+        async with self._gate.admit():
             # A health check takes up a slot like a request.
-            self._intake.record_sent(target)
+            self._availability.record_sent(target)
             healthy = await self._targets.is_healthy(target, service.health_path)
         if isinstance(healthy, Unavailable):
             await self.probe(target)
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -20,7 +20,6 @@
 from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.fanout import Fanout
 from mallowpond.node.ingress import Ingress
-from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
 from mallowpond.node.messages import Heartbeat, decode_loads, encode_loads
 from mallowpond.node.metrics import NodeMetrics
@@ -34,8 +33,9 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.settings import NodeSettings
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.node.traffic import TrafficSeen
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.node.watch import GroupWatch
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.transport.http_server import Exchange, HttpRequest, HttpServer
@@ -80,7 +80,7 @@
         self._budgets: dict[str, RetryWindow] = {}
         self._traffic = TrafficSeen(seen=not settings.first_start)
         self.metrics = metrics or NodeMetrics()
-        notes = UnreadableNotes(counter=self.metrics.unreadable)
+        notes = UnreadableLog(counter=self.metrics.unreadable)
         self.configuration = ConfigurationFollower(
             source=ports.source, clock=clock, revoke_seconds=settings.bounds.revoke
         )
@@ -112,7 +112,7 @@
             metrics=self.metrics,
             peers=self.peers,
         )
-        intake = Intake(
+        availability = TargetAvailability(
             rate_limits=self.rate_limits, directory=self.directory, clock=clock
         )
         parts = ServingParts(
@@ -125,7 +125,7 @@
             hosts=lambda: self.peers.hosts,
             rng=self._rng,
             quarantine=quarantine,
-            intake=intake,
+            availability=availability,
         )
         self.streams = StreamService(parts=parts)
         self.ingress = Ingress(
@@ -169,7 +169,7 @@
             metrics=self.metrics,
             stall_seconds=settings.bounds.stall,
             traffic_seen=self._traffic,
-            intake=intake,
+            availability=availability,
         )
         self.fanout = Fanout(
             name=settings.name,
@@ -254,8 +254,8 @@
             self.readers.run(),
             self.planner.run(),
             self.rate_limits.run(),
-            self.quarantine_sharing.run_telling(),
-            self.quarantine_sharing.run_asking(),
+            self.quarantine_sharing.run_sending(),
+            self.quarantine_sharing.run_querying(),
             self.quarantine_sharing.run_writing(),
             self.quarantine_sharing.run_reading(),
         ):
