--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -1,10 +1,11 @@
-"""Decide whether a node may be sure which configuration version is in force.
-
-A node admits new work only while one of three sources vouches for its version:
-its own read of the head, a peer's read, or, with the table service dark, a majority
-of its cell. Acceptance needs a majority of preparers in every cell, so every
-majority that could vouch for the old version holds a member that has prepared the
-new one and refuses to vouch. See ``docs/design/configuration.md``.
+"""Decide whether a node knows which configuration version is in force.
+
+A node admits new work only while one of three sources confirms its version: its own
+read of the head row, a peer's read of it, or, while the table service is unreachable,
+a majority of the node's cell. A version is accepted only after a majority of every
+cell has prepared it. So every majority that could confirm the old version contains a
+member that has prepared the new one and does not confirm. See
+``docs/design/configuration.md``.
 """
 
 from dataclasses import dataclass
@@ -12,7 +13,7 @@
 
 
 class Source(str, Enum):
-    """Name what vouches for the version."""
+    """What confirms the version."""
 
     OWN_READ = "own_read"
     PEER_READ = "peer_read"
@@ -21,7 +22,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeadRead:
-    """Hold this node's last read of the head; `asked_at` is before the call."""
+    """This node's last read of the head row.
+
+    `asked_at` is the time before the read was sent, so it never overstates freshness.
+    """
 
     version: int
     asked_at: float
@@ -29,7 +33,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PeerAnswer:
-    """Hold a peer's last answer; `asked_at` is this node's time before asking."""
+    """A peer's last answer about the configuration that it knows.
+
+    `asked_at` is this node's clock before the query was sent. `read_age` is the age in
+    seconds of the peer's last read of the head, None if it has not read it since its
+    start. With `holds_newer` the peer has prepared a newer version than `head_version`.
+    """
 
     member: str
     asked_at: float
@@ -41,7 +50,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CellView:
-    """Name the counted members of the cell, in the epoch this node last read."""
+    """The voting members of the cell, in the epoch that this node last read."""
 
     epoch: int
     members: tuple[str, ...]
@@ -49,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Assured:
-    """The version in force is known, and stays so until `until` (own clock)."""
+    """The version in force is known, until `until` on this node's clock."""
 
     version: int
     source: Source
@@ -58,7 +67,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotAssured:
-    """Nothing vouches for a version: new work has to be refused as not run."""
+    """No source confirms a version, so new work must be refused as not run."""
 
     reason: str
 
@@ -73,19 +82,25 @@
     holds_newer: bool,
     peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured | NotAssured:
-    """Return the longest assurance that any of the three sources gives."""
+    """Return the assurance by reads if it still holds, else by the cell's majority.
+
+    An assurance lasts `limit_seconds` from the time at which its source was read.
+    `holds_newer` says that this node has prepared a version newer than its own read.
+    """
     if own_read is None:
-        # A restarted member may have prepared a change that it has forgotten.
-        return NotAssured(reason="the head was not read since the start")
-    reads = _assured_by_reads(own_read, peer_answers, limit_seconds)
-    if now < reads.until:
-        return reads
-    vouched = _assured_by_majority(
+        # A restarted member may have lost a version that it had prepared.
+        return NotAssured(reason="the head has not been read since the start")
+    by_reads = _assured_by_reads(own_read, peer_answers, limit_seconds)
+    if now < by_reads.until:
+        return by_reads
+    by_majority = _assured_by_majority(
         member, now, limit_seconds, cell, own_read, holds_newer, peer_answers
     )
-    if now < vouched.until:
-        return vouched
-    return NotAssured(reason="neither the table, a peer nor the cell vouches")
+    if now < by_majority.until:
+        return by_majority
+    return NotAssured(
+        reason="neither the table, a peer nor the cell confirms a version"
+    )
 
 
 def _assured_by_reads(
@@ -96,13 +111,13 @@
         source=Source.OWN_READ,
         until=own_read.asked_at + limit_seconds,
     )
-    for vouch in peer_answers:
-        if vouch.read_age is None:
+    for answer in peer_answers:
+        if answer.read_age is None:
             continue
-        until = vouch.asked_at - vouch.read_age + limit_seconds
-        if (vouch.head_version, until) > (best.version, best.until):
+        until = answer.asked_at - answer.read_age + limit_seconds
+        if (answer.head_version, until) > (best.version, best.until):
             best = Assured(
-                version=vouch.head_version, source=Source.PEER_READ, until=until
+                version=answer.head_version, source=Source.PEER_READ, until=until
             )
     return best
 
@@ -116,18 +131,20 @@
     holds_newer: bool,
     peer_answers: tuple[PeerAnswer, ...],
 ) -> Assured:
-    nothing = Assured(version=own_read.version, source=Source.CELL_MAJORITY, until=now)
+    not_assured = Assured(
+        version=own_read.version, source=Source.CELL_MAJORITY, until=now
+    )
     if holds_newer or member not in cell.members:
-        return nothing
-    fresh = [v for v in peer_answers if now - v.asked_at < limit_seconds]
-    if any(_forbids(v, cell, own_read, now, limit_seconds) for v in fresh):
-        return nothing
-    agreeing = [v for v in fresh if _agrees(v, cell, own_read)]
+        return not_assured
+    fresh = [a for a in peer_answers if now - a.asked_at < limit_seconds]
+    if any(_contradicts(a, cell, own_read, now, limit_seconds) for a in fresh):
+        return not_assured
+    confirming = [a for a in fresh if _confirms(a, cell, own_read)]
     needed = len(cell.members) // 2 + 1
-    if 1 + len(agreeing) < needed:
-        return nothing
-    # The weakest vouch of the smallest majority bounds the assurance.
-    latest_first = sorted((v.asked_at for v in agreeing), reverse=True)
+    if 1 + len(confirming) < needed:
+        return not_assured
+    # The oldest answer of the most recent majority bounds the assurance.
+    latest_first = sorted((a.asked_at for a in confirming), reverse=True)
     oldest = min([now, *latest_first[: needed - 1]])
     return Assured(
         version=own_read.version,
@@ -136,31 +153,33 @@
     )
 
 
-def _forbids(
-    vouch: PeerAnswer,
+def _contradicts(
+    answer: PeerAnswer,
     cell: CellView,
     own_read: HeadRead,
     now: float,
     limit_seconds: float,
 ) -> bool:
-    knows_later = vouch.head_version > own_read.version or vouch.epoch > cell.epoch
-    return knows_later or _has_read(vouch, now, limit_seconds)
+    knows_newer = answer.head_version > own_read.version or answer.epoch > cell.epoch
+    return knows_newer or _can_read_table(answer, now, limit_seconds)
 
 
-def _has_read(vouch: PeerAnswer, now: float, limit_seconds: float) -> bool:
-    # A member that still reads the table proves that it is not dark: the others
-    # should take its word (the second source) and not outvote it.
-    if vouch.read_age is None:
+def _can_read_table(answer: PeerAnswer, now: float, limit_seconds: float) -> bool:
+    # A member that still reads the table proves that the service is reachable: the
+    # others must rely on that read (the second source) and not outvote it.
+    if answer.read_age is None:
         return False
-    return now - vouch.asked_at + vouch.read_age < limit_seconds
+    return now - answer.asked_at + answer.read_age < limit_seconds
 
 
-def _agrees(vouch: PeerAnswer, cell: CellView, own_read: HeadRead) -> bool:
-    same = vouch.head_version == own_read.version and vouch.epoch == cell.epoch
-    has_read_once = vouch.read_age is not None
+def _confirms(answer: PeerAnswer, cell: CellView, own_read: HeadRead) -> bool:
+    has_same_state = (
+        answer.head_version == own_read.version and answer.epoch == cell.epoch
+    )
+    has_read_head = answer.read_age is not None
     return (
-        same
-        and has_read_once
-        and not vouch.holds_newer
-        and (vouch.member in cell.members)
+        has_same_state
+        and has_read_head
+        and not answer.holds_newer
+        and (answer.member in cell.members)
     )
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -1,4 +1,4 @@
-"""What vouches for the configuration version, case by case."""
+"""Which sources confirm the configuration version, case by case."""
 
 from dataclasses import replace
 
@@ -16,13 +16,13 @@
 
 LIMIT = 4.0
 CELL = CellView(epoch=5, members=("a", "b", "c", "d", "e"))
-DARK = 100.0
+OUTAGE = 100.0
 
 
-def vouch(member, **changes):
+def answer(member, **changes):
     base = PeerAnswer(
         member=member,
-        asked_at=DARK - 0.5,
+        asked_at=OUTAGE - 0.5,
         epoch=5,
         head_version=7,
         read_age=50.0,
@@ -31,12 +31,12 @@
     return replace(base, **changes)
 
 
-def judge(
+def assess_case(
     peer_answers=(), own_read=HeadRead(version=7, asked_at=40.0), holds_newer=False
 ):
     return assess(
         member="a",
-        now=DARK,
+        now=OUTAGE,
         limit_seconds=LIMIT,
         cell=CELL,
         own_read=own_read,
@@ -46,17 +46,17 @@
 
 
 def test_own_recent_read_assures():
-    verdict = judge(own_read=HeadRead(version=7, asked_at=98.0))
+    verdict = assess_case(own_read=HeadRead(version=7, asked_at=98.0))
     assert verdict == Assured(version=7, source=Source.OWN_READ, until=102.0)
 
 
 def test_peer_that_read_assures_and_brings_newer_version():
-    verdict = judge([vouch("b", read_age=1.0, head_version=8)])
+    verdict = assess_case([answer("b", read_age=1.0, head_version=8)])
     assert verdict == Assured(version=8, source=Source.PEER_READ, until=102.5)
 
 
 def test_majority_keeps_service_up_in_a_dark_table():
-    verdict = judge([vouch("b"), vouch("c", asked_at=98.0)])
+    verdict = assess_case([answer("b"), answer("c", asked_at=98.0)])
     assert verdict == Assured(version=7, source=Source.CELL_MAJORITY, until=102.0)
 
 
@@ -64,32 +64,35 @@
     "peer_answers",
     [
         pytest.param([], id="cut off from all"),
-        pytest.param([vouch("b")], id="minority"),
-        pytest.param([vouch("b"), vouch("x")], id="stranger does not count"),
-        pytest.param([vouch("b"), vouch("c", holds_newer=True)], id="prepared newer"),
-        pytest.param([vouch("b"), vouch("c", read_age=None)], id="restarted member"),
-        pytest.param([vouch("b"), vouch("c", epoch=4)], id="older epoch"),
-        pytest.param([vouch("b"), vouch("c"), vouch("d", epoch=6)], id="later epoch"),
-        pytest.param([vouch("b"), vouch("c", asked_at=95.0)], id="old answer"),
+        pytest.param([answer("b")], id="minority"),
+        pytest.param([answer("b"), answer("x")], id="stranger does not count"),
+        pytest.param([answer("b"), answer("c", holds_newer=True)], id="prepared newer"),
+        pytest.param([answer("b"), answer("c", read_age=None)], id="restarted member"),
+        pytest.param([answer("b"), answer("c", epoch=4)], id="older epoch"),
         pytest.param(
-            [vouch("b"), vouch("c"), vouch("d", head_version=8)], id="newer head known"
+            [answer("b"), answer("c"), answer("d", epoch=6)], id="later epoch"
+        ),
+        pytest.param([answer("b"), answer("c", asked_at=95.0)], id="old answer"),
+        pytest.param(
+            [answer("b"), answer("c"), answer("d", head_version=8)],
+            id="newer head known",
         ),
     ],
 )
 def test_nothing_vouches(peer_answers):
-    assert isinstance(judge(peer_answers), NotAssured)
+    assert isinstance(assess_case(peer_answers), NotAssured)
 
 
 def test_holder_of_newer_proposal_does_not_lean_on_majority():
-    verdict = judge([vouch("b"), vouch("c"), vouch("d")], holds_newer=True)
+    verdict = assess_case([answer("b"), answer("c"), answer("d")], holds_newer=True)
     assert isinstance(verdict, NotAssured)
 
 
 def test_restarted_node_is_not_assured_by_a_majority():
+    """Guard against an accepted version that reverts on a restarted node.
+
+    The node prepares a version, restarts while the table service is down, and has
+    lost what it prepared, so its own vote must not count towards the majority.
     """
-    Symptom: an accepted version reverts on a restarted node.
-    Events: the node prepares a change, restarts, and finds the table dark.
-    Cause: it has forgotten what it prepared, so its own voice may not count.
-    """
-    everyone = [vouch(m) for m in "bcde"]
-    assert isinstance(judge(everyone, own_read=None), NotAssured)
+    everyone = [answer(m) for m in "bcde"]
+    assert isinstance(assess_case(everyone, own_read=None), NotAssured)
