--- a/mallowpond/state/backoff.py
+++ b/mallowpond/state/backoff.py
@@ -1,4 +1,7 @@
-"""Remember how long targets that turned a request away want none of this host."""
+"""Track the backoffs that targets asked for when they refused a request.
+
+A backoff counts for this host alone, which got the refusal.
+"""
 
 from collections.abc import Container
 
@@ -6,22 +9,22 @@
 
 
 class TargetBackoffs:
-    """Tell which targets are to be left alone, and until when."""
+    """The end of the backoff of each target that asked for one."""
 
     def __init__(self) -> None:
         self._until: dict[Process, float] = {}
 
     @property
     def has_entries(self) -> bool:
-        """Tell whether any target asked for a backoff that is not forgotten."""
+        """Return whether any backoff is recorded, also one that is over."""
         return bool(self._until)
 
     def record(self, process: Process, seconds: float, now: float) -> None:
-        """Take a target's word; a shorter one does not end a longer one."""
+        """Start a backoff, unless a longer one is in force already."""
         self._until[process] = max(self._until.get(process, now), now + seconds)
 
     def seconds_left(self, process: Process, now: float) -> float:
-        """Return how long a target wants no request."""
+        """Return the seconds until a target may be sent a request, 0 if it may now."""
         until = self._until.get(process)
         if until is None:
             return 0.0
@@ -31,7 +34,7 @@
         return until - now
 
     def prune(self, listed: Container[Process], now: float) -> None:
-        """Forget what is over, and the processes that are not listed any more."""
+        """Drop backoffs that are over, and processes that are not listed any more."""
         self._until = {
             process: until
             for process, until in self._until.items()
--- a/mallowpond/state/balancer.py
+++ b/mallowpond/state/balancer.py
@@ -1,4 +1,4 @@
-"""Choose the group that a request goes to."""
+"""Choose the group that a request is sent to."""
 
 import random
 from collections.abc import Sequence
@@ -8,18 +8,29 @@
 
 from mallowpond.state.ownership import owner_of
 
+# Time constant with which a reported load of other gateways decays, in seconds.
 REPORT_DECAY_SECONDS = 2.0
+# Load that the preferred target of a prefix may have, as a multiple of the mean.
 AFFINITY_SLACK = 1.25
+# Weight of a new sample in the moving average of the latency.
 LATENCY_SMOOTHING = 0.2
+# Multiple of the median latency from which a target is an outlier, and samples that
+# are needed to tell.
 OUTLIER_FACTOR = 3.0
 OUTLIER_SAMPLES = 5
+# Time for which an outlier is ejected, in seconds, and the largest share of the targets
+# that is ejected at once.
 EJECT_SECONDS = 10.0
 MAX_EJECTED_SHARE = 0.25
 
 
 @dataclass(kw_only=True)
 class TargetLoad:
-    """Hold what this gateway knows of one target's load."""
+    """What this gateway knows of one target's load.
+
+    `own` counts this gateway's requests in flight, `others` those of other gateways as
+    of the report at `reported_at`. `latency` is a moving average in seconds per token.
+    """
 
     own: int = 0
     others: float = 0.0
@@ -29,24 +40,28 @@
     ejected_until: float = 0.0
 
     def estimate(self, now: float) -> float:
-        """Return requests in flight: own exactly, those of others aged."""
+        """Estimate the requests in flight; the reported load of others decays."""
         age = max(0.0, now - self.reported_at)
         return self.own + self.others * exp(-age / REPORT_DECAY_SECONDS)
 
 
 @dataclass(kw_only=True)
 class Balancer:
-    """Balance by two random choices, with bounded prefix affinity and ejection."""
+    """Balance by the power of two random choices.
+
+    Requests with the same prefix prefer one target within a bound on its load, and
+    latency outliers are ejected for a time.
+    """
 
     rng: random.Random
     _loads: dict[str, TargetLoad] = field(default_factory=dict)
 
     def load(self, target: str) -> TargetLoad:
-        """Return what is known of `target`."""
+        """Return the load of `target`, a new record if it is not known."""
         return self._loads.setdefault(target, TargetLoad())
 
     def forget_absent(self, present: frozenset[str]) -> None:
-        """Drop idle targets that are served no more."""
+        """Drop the targets that are not `present` and have no request in flight."""
         gone = [t for t, load in self._loads.items() if t not in present]
         for target in gone:
             if self._loads[target].own == 0:
@@ -60,22 +75,26 @@
         limit: int,
         prefix: str | None = None,
     ) -> str | None:
-        """Return the target to use, None when every one is at its limit."""
-        kept = self._without_ejected(targets, now)
-        open_targets = [t for t in kept if self.load(t).estimate(now) < limit]
+        """Return the target to use, None if all have `limit` requests in flight.
+
+        Requests with the same `prefix` go to the same target while its load is within
+        a bound.
+        """
+        candidates = self._without_ejected(targets, now)
+        open_targets = [t for t in candidates if self.load(t).estimate(now) < limit]
         if not open_targets:
             return None
         if prefix is not None:
-            favourite = self._favourite(open_targets, prefix, now)
-            if favourite is not None:
-                return favourite
+            preferred = self._preferred(open_targets, prefix, now)
+            if preferred is not None:
+                return preferred
         if len(open_targets) == 1:
             return open_targets[0]
         first, second = self.rng.sample(open_targets, 2)
         return min(first, second, key=lambda t: self.load(t).estimate(now))
 
     def start(self, target: str) -> None:
-        """Count a request that is being sent."""
+        """Count a request that is being sent to `target`."""
         self.load(target).own += 1
 
     def finish(
@@ -85,7 +104,7 @@
         now: float,
         latency: float | None = None,
     ) -> None:
-        """Count a request that has ended; `latency` is seconds a token."""
+        """Count a request that has ended; `latency` is in seconds per token."""
         load = self.load(target)
         load.own -= 1
         if latency is None:
@@ -96,20 +115,20 @@
         self._eject_if_outlier(target, now)
 
     def record_reported_load(self, target: str, *, in_flight: int, now: float) -> None:
-        """Note the load that rode on a response."""
+        """Record the load that a target reported with a response."""
         load = self.load(target)
         load.others = max(0.0, float(in_flight - load.own))
         load.reported_at = now
 
-    def _favourite(self, targets: Sequence[str], prefix: str, now: float) -> str | None:
-        # Without a bound a popular prefix would pile onto one group; one would see
-        # its queue grow while its neighbours idle.
-        favourite = owner_of(prefix, targets)
+    def _preferred(self, targets: Sequence[str], prefix: str, now: float) -> str | None:
+        # Without a bound, all requests with a popular prefix would queue at one group
+        # while the others are idle.
+        preferred = owner_of(prefix, targets)
         loads = [self.load(t).estimate(now) for t in targets]
         bound = AFFINITY_SLACK * (sum(loads) + 1) / len(loads)
-        if favourite is None or self.load(favourite).estimate(now) > bound:
+        if preferred is None or self.load(preferred).estimate(now) > bound:
             return None
-        return favourite
+        return preferred
 
     def _without_ejected(self, targets: Sequence[str], now: float) -> list[str]:
         ejected = [t for t in targets if self.load(t).ejected_until > now]
@@ -125,5 +144,5 @@
             return
         if load.latency > OUTLIER_FACTOR * median(v.latency for v in known):
             load.ejected_until = now + EJECT_SECONDS
-            # A fresh look after the ejection decides on new samples alone.
+            # After the ejection only new samples count.
             load.samples = 0
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -16,13 +16,13 @@
 
 LIMIT = 4.0
 CELL = CellView(epoch=5, members=("a", "b", "c", "d", "e"))
-OUTAGE = 100.0
+NOW = 100.0
 
 
 def answer(member, **changes):
     base = PeerAnswer(
         member=member,
-        asked_at=OUTAGE - 0.5,
+        asked_at=NOW - 0.5,
         epoch=5,
         head_version=7,
         read_age=50.0,
@@ -36,7 +36,7 @@
 ):
     return assess(
         member="a",
-        now=OUTAGE,
+        now=NOW,
         limit_seconds=LIMIT,
         cell=CELL,
         own_read=own_read,
--- a/mallowpond/state/tests/test_backoff.py
+++ b/mallowpond/state/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""How long a target is left alone."""
+"""Backoffs that targets ask for."""
 
 from mallowpond.state.backoff import TargetBackoffs
 from mallowpond.state.fleet import Process
@@ -15,7 +15,7 @@
 
 
 def test_a_shorter_word_does_not_end_a_longer_one():
-    """Guards against an answer that was under way and asks for less."""
+    """Guard against a late answer that shortens a backoff already in force."""
     backoffs = TargetBackoffs()
     backoffs.record(TARGET, 3.0, 10.0)
     backoffs.record(TARGET, 0.1, 10.2)
@@ -30,9 +30,9 @@
 
 def test_what_is_over_or_gone_is_forgotten():
     backoffs = TargetBackoffs()
-    gone, over = Process(id="u", born=1), Process(id="v", born=1)
+    unlisted, over = Process(id="u", born=1), Process(id="v", born=1)
     backoffs.record(TARGET, 3.0, 10.0)
-    backoffs.record(gone, 3.0, 10.0)
+    backoffs.record(unlisted, 3.0, 10.0)
     backoffs.record(over, 1.0, 10.0)
     backoffs.prune({TARGET, over}, 11.0)
     assert list(backoffs._until) == [TARGET]
--- a/mallowpond/state/tests/test_balancer.py
+++ b/mallowpond/state/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""Balancing between groups."""
+"""Balancing of requests between groups."""
 
 import random
 
