--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -1,4 +1,8 @@
-"""Decide whether a request that may not be repeated is allowed to run."""
+"""Decide whether a request that must run at most once is allowed to run.
+
+A claim is the stored row of one such request: it names the attempt that may be sent and
+how that attempt ended.
+"""
 
 from dataclasses import dataclass, replace
 
@@ -7,14 +11,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Granted:
-    """The request may be sent once; the row that says so still has to be kept."""
+    """The attempt may be sent once `row` is stored."""
 
     row: ClaimRow
 
 
 @dataclass(frozen=True, kw_only=True)
 class Withdrawn:
-    """This very attempt was withdrawn before its claim arrived."""
+    """The same attempt was withdrawn before its claim arrived."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -24,12 +28,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AlreadyRun:
-    """Another attempt has run to its end."""
+    """Another attempt has run to completion."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class OutcomeUnknown:
-    """Another attempt was sent, and nobody can tell whether it ran."""
+    """Another attempt was sent, and it is not known whether it ran."""
 
 
 ClaimDecision = Granted | Withdrawn | InProgress | AlreadyRun | OutcomeUnknown
@@ -38,12 +42,15 @@
 def decide_claim(
     *, stored: ClaimRow | None, requested: ClaimRow, live_gateways: frozenset[str]
 ) -> ClaimDecision:
-    """Weigh an attempt against the claim that the table holds."""
+    """Decide on the `requested` claim of an attempt against the `stored` one.
+
+    `live_gateways` are those that can still end the attempts that they claimed.
+    """
     match stored:
         case None:
             return Granted(row=requested)
         case ClaimRow(state=ClaimState.VOID, attempt=attempt):
-            # A late duplicate of a withdrawn claim must not bring it back to life.
+            # A late duplicate of a withdrawn claim must not make it valid again.
             return (
                 Withdrawn() if attempt == requested.attempt else Granted(row=requested)
             )
@@ -61,7 +68,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settled:
-    """Write this row and add `units` (negative for a refund) to the ledger."""
+    """Change to store: `row`, and `units` to add to the ledger (negative: a refund)."""
 
     row: ClaimRow
     units: int
@@ -80,11 +87,11 @@
 
 
 def settle_void(*, stored: ClaimRow | None, requested: ClaimRow) -> Settled | None:
-    """Return the change that withdraws an attempt of which nothing was sent.
+    """Return the change that withdraws an attempt that was not sent, None if none.
 
-    The claim's own commit may still be on its way. It was decided on an absent row or
-    on another attempt's void row, so either is written anew: the commit then conflicts
-    instead of charging for a request that was refused.
+    The commit of its claim may still be in flight. That commit expects no row or the
+    void row of another attempt, so in both cases a void row is written: the late commit
+    then conflicts instead of charging for a request that was refused.
     """
     if stored is None or _is_void_of_another(stored, requested):
         return Settled(row=replace(requested, state=ClaimState.VOID), units=0)
--- a/mallowpond/state/confirmation.py
+++ b/mallowpond/state/confirmation.py
@@ -1,34 +1,34 @@
-"""Know how old a node's certainty about its configuration is.
+"""Track how recently a node's configuration version was confirmed as the newest.
 
-A key that was taken away must stop working everywhere within a bound, also at a
-node that lost the table service. So a node counts the age of the last answer that
-confirmed its version, from before the question was sent, and admits requests with
-a key only while that age is below the bound.
+A revoked key must stop working everywhere within a bound, also at a node that has lost
+the table service. So a node takes the age of the last answer that confirmed its
+version, counted from before the query was sent, and admits requests with a key only
+while that age is below the bound.
 """
 
 from dataclasses import dataclass
 
-# Part of the revocation bound that is kept back, in seconds: the time between the
-# check and the moment the request counts as sent, and clocks that run apart.
+# Margin below the revocation bound, in seconds: the time between the check and the
+# moment at which the request counts as sent, and clock drift.
 ADMISSION_MARGIN_SECONDS = 0.3
 
 
 @dataclass(frozen=True, kw_only=True)
 class Confirmation:
-    """Hold a version and the moment at which it was surely the newest."""
+    """A version and the time at which it is known to have been the newest."""
 
     version: int
     confirmed_at: float
 
     def age(self, now: float) -> float:
-        """Return the seconds since the version was surely the newest."""
+        """Return the seconds since the version is known to have been the newest."""
         return now - self.confirmed_at
 
 
 def may_admit(
     confirmation: Confirmation | None, *, now: float, bound_seconds: float
 ) -> bool:
-    """Tell whether a request that depends on a key may be admitted."""
+    """Return whether a request with a key may be admitted within the bound."""
     if confirmation is None:
         return False
     return confirmation.age(now) < bound_seconds - ADMISSION_MARGIN_SECONDS
@@ -37,7 +37,7 @@
 def merge(
     known: Confirmation | None, *, version: int, confirmed_at: float
 ) -> Confirmation:
-    """Return what is known after another confirmation; versions never go back."""
+    """Return the newer of two confirmations; the version never decreases."""
     if known is None or version > known.version:
         return Confirmation(version=version, confirmed_at=confirmed_at)
     if version < known.version:
--- a/mallowpond/state/tests/test_call_window.py
+++ b/mallowpond/state/tests/test_call_window.py
@@ -1,4 +1,4 @@
-"""The calls under way follow what is answered."""
+"""The window of concurrent calls follows answers and timeouts."""
 
 from mallowpond.state.call_window import (
     DECREASE_PAUSE_SECONDS,
--- a/mallowpond/state/tests/test_claims.py
+++ b/mallowpond/state/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims, alone and explored over interleavings."""
+"""Claims: single decisions, and a state machine over interleavings."""
 
 from dataclasses import replace
 
@@ -71,14 +71,15 @@
     """Two gateways race on one key through a table that loses answers.
 
     Each attempt is claimed, then sent or voided. A commit is decided against one
-    version of the row and arrives, perhaps late, only if the row still stands there.
+    version of the row; it may arrive late and succeeds only if the row still has that
+    version.
     """
 
     def __init__(self):
         super().__init__()
         self.row, self.version, self.ledger = None, 0, 0
-        self.on_its_way = []
-        self.granted, self.given_up, self.voided = set(), set(), set()
+        self.in_flight = []
+        self.granted, self.timed_out, self.voided = set(), set(), set()
         self.sent = []
         self.attempts = 0
 
@@ -91,12 +92,12 @@
             stored=self.row, requested=requested, live_gateways=alive
         )
         if isinstance(decision, Granted):
-            self.on_its_way.append((self.version, decision.row, requested.units))
+            self.in_flight.append((self.version, decision.row, requested.units))
 
-    @precondition(lambda self: self.on_its_way)
-    @rule(place=st.integers(0, 5), answer_lost=st.booleans())
-    def arrive(self, place, answer_lost):
-        version, row, units = self.on_its_way.pop(place % len(self.on_its_way))
+    @precondition(lambda self: self.in_flight)
+    @rule(position=st.integers(0, 5), answer_lost=st.booleans())
+    def arrive(self, position, answer_lost):
+        version, row, units = self.in_flight.pop(position % len(self.in_flight))
         committed = version == self.version
         if committed:
             self.row, self.version = row, self.version + 1
@@ -106,30 +107,30 @@
         if committed and not answer_lost:
             self.granted.add(row.attempt)
         else:
-            self.given_up.add(row.attempt)
+            self.timed_out.add(row.attempt)
 
     @rule(number=st.integers(1, 6))
-    def give_up_while_commit_is_out(self, number):
-        """The answer of a commit times out; its void may overtake it."""
+    def give_up_while_commit_is_in_flight(self, number):
+        """The answer to a commit times out; its void may overtake the commit."""
         attempt = f"a{number}"
-        out = any(row.attempt == attempt for _, row, _ in self.on_its_way)
-        if out and attempt not in self.granted:
-            self.given_up.add(attempt)
+        is_in_flight = any(row.attempt == attempt for _, row, _ in self.in_flight)
+        if is_in_flight and attempt not in self.granted:
+            self.timed_out.add(attempt)
 
-    @precondition(lambda self: self.given_up)
+    @precondition(lambda self: self.timed_out)
     @rule()
     def void(self):
-        self.voided |= self.given_up
-        for attempt in sorted(self.given_up):
+        self.voided |= self.timed_out
+        for attempt in sorted(self.timed_out):
             settled = settle_void(stored=self.row, requested=claim(attempt))
             if settled is not None:
                 self.row, self.version = settled.row, self.version + 1
                 self.ledger += settled.units
 
-    @precondition(lambda self: self.granted - self.given_up)
+    @precondition(lambda self: self.granted - self.timed_out)
     @rule()
     def send(self):
-        attempt = sorted(self.granted - self.given_up)[0]
+        attempt = sorted(self.granted - self.timed_out)[0]
         self.granted.discard(attempt)
         self.sent.append(attempt)
 
@@ -146,13 +147,13 @@
         assert len(self.sent) <= 1
 
     @invariant()
-    def charged_for_the_standing_claim_only(self):
+    def charged_for_the_stored_claim_only(self):
         charged = self.row is not None and self.row.state is not ClaimState.VOID
         assert self.ledger == (5 if charged else 0)
 
     @invariant()
     def voided_attempt_is_never_charged(self):
-        """A commit that arrives after its void must not stand."""
+        """A commit that arrives after its void must not take effect."""
         claimed = self.row is not None and self.row.state is ClaimState.CLAIMED
         assert not claimed or self.row.attempt not in self.voided
 
--- a/mallowpond/state/tests/test_confirmation.py
+++ b/mallowpond/state/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""How long a node may admit requests on the version that it knows."""
+"""How long a node may admit requests by a version after its confirmation."""
 
 from mallowpond.state.confirmation import Confirmation, may_admit, merge
 
@@ -10,10 +10,10 @@
 
 
 def test_a_key_that_was_taken_away_stops_working_within_the_bound():
-    """Symptom: a request with a revoked key runs six seconds after the revocation.
+    """Guard against a request with a revoked key that runs 6 s after the revocation.
 
-    Sequence: the store turns the node away; the key is revoked; the node serves on.
-    Cause: the node's certainty had no age.
+    The store refuses the node, the key is revoked, and the node continues to serve
+    because its confirmed version never expires.
     """
     known = Confirmation(version=3, confirmed_at=100.0)
     assert may_admit(known, now=104.0, bound_seconds=BOUND)
