--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -1,9 +1,9 @@
-"""Decide which requests end the targets that run them, and are held back.
+"""Decide which requests crash the targets that run them, and quarantine them.
 
-The load pattern: one caller's request ends each target that begins to run it and comes
-again at any host, so that no bound on one exchange or host ends it. All requests that
-run on a target lose it together, so standing there proves little by itself; having
-stood on three targets that ended, and never having been answered, does.
+One caller's request may crash each target that begins to run it and be retried at any
+host, so no limit on one exchange or one host stops it. All requests that run on a
+target lose it together, so one end is weak evidence against any of them. A request that
+was running on three targets as they ended, and was never answered, is quarantined.
 """
 
 from collections.abc import Iterator
@@ -12,26 +12,26 @@
 from mallowpond.state.decoding import Identifier
 from mallowpond.state.fleet import Process
 
-# Targets that must have ended under a request before it is held back. Fewer would hold
-# back what stood on two targets that were lost by themselves.
+# Targets that must have ended while they ran a request before it is quarantined. With
+# fewer, a request would be quarantined that ran on two targets lost for other reasons.
 ENDINGS_TO_QUARANTINE = 3
-# Of these, how many must not be explained by a request that is held back already: those
-# that stood beside it came to share its endings, and one more may be chance.
+# How many of these must not be explained by another quarantined request: bystanders of
+# that one share its endings, and one further ending may be chance.
 UNEXPLAINED_TO_QUARANTINE = 2
-# Time for which a request is held back after the last target that it ended, in seconds:
-# a target is replaced or repaired in minutes, and one more try then costs one target.
+# Time in quarantine after the last target that ended under a request, in seconds: a
+# target is replaced or repaired in minutes, and one more try then costs one target.
 QUARANTINE_SECONDS = 600.0
-# Time after which a request's endings are forgotten, in seconds: until then one more
-# ending holds it back again.
+# Time after which a request's endings expire, in seconds: until then one more ending
+# quarantines it again.
 RECORD_EXPIRY_SECONDS = 3600.0
 # Time for which an answered request counts as harmless, in seconds: a request that many
-# callers send alike stands on several targets of a fabric domain that fails.
+# callers send identically runs on several targets of a fabric domain that fails.
 ANSWERED_SECONDS = 60.0
-# Time after a target's end in which what is sent there counts as sent to nobody, in
-# seconds: later on, another process has started under the same id.
+# Time after a target's end in which a request sent there cannot have caused an ending,
+# in seconds: later, another process may have started under the same id.
 ENDED_SECONDS = 2.0
-# Bounds of what one host keeps: requests with endings, targets that ended under each,
-# answered requests, and targets that ended.
+# Maximum numbers that one host keeps: requests with endings, endings of each request,
+# answered requests, and ended targets.
 MAX_REQUESTS = 2_000
 MAX_ENDINGS = 16
 MAX_ANSWERED = 2_000
@@ -40,9 +40,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ending:
-    """Say that a target ended while it ran a request, `ran` seconds after the send.
+    """The end of a target while it ran a request, `ran` seconds after the send.
 
-    With `refuted` the request was answered whole since, so it is no evidence any more.
+    With `refuted` the request has been answered completely since, so the ending is no
+    evidence against it any more.
     """
 
     process: Process
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CrashRecord:
-    """Hold the endings of one request, the last of them `age` seconds ago."""
+    """The endings of one request, the last of them `age` seconds ago."""
 
     request: Identifier
     endings: tuple[Ending, ...]
@@ -60,7 +61,7 @@
 
     @property
     def has_enough_evidence(self) -> bool:
-        """Tell whether this record by itself may hold the request back."""
+        """Return whether this record alone suffices to suspect the request."""
         evidence = [ending for ending in self.endings if not ending.refuted]
         return len(evidence) >= ENDINGS_TO_QUARANTINE
 
@@ -76,79 +77,81 @@
 
     @property
     def ran(self) -> list[float]:
-        """Return for how long the request ran on each target that counts."""
+        """Return the seconds that the request ran on each target that counts."""
         return [e.ran for e in self.endings.values() if not e.refuted]
 
 
 class CrashLedger:
-    """Keep which targets ended under which requests, as far as this host has heard."""
+    """Which targets ended under which requests, as far as this host knows."""
 
     def __init__(self) -> None:
-        # Least lately changed first.
+        # Least recently changed first.
         self._entries: dict[str, _Entry] = {}
         self._answered: dict[str, float] = {}
-        # When each target ended, as this host first saw or heard.
+        # When each target ended, by the first observation or report.
         self._ended: dict[Process, float] = {}
-        # Requests with enough endings to be held back, explained or not.
+        # Requests with enough endings for a quarantine, explained or not.
         self._suspects: set[str] = set()
-        self._held: frozenset[str] = frozenset()
+        self._quarantined: frozenset[str] = frozenset()
 
     def quarantined(self, now: float) -> frozenset[str]:
-        """Return the requests that are held back."""
+        """Return the requests that are quarantined."""
         return frozenset(
-            r for r in self._held if self.quarantine_seconds_left(r, now) > 0.0
+            r for r in self._quarantined if self.quarantine_seconds_left(r, now) > 0.0
         )
 
     def quarantine_seconds_left(self, request: str, now: float) -> float:
-        """Return for how long a request is held back from now on, 0 if it is not."""
-        if request not in self._held:
+        """Return the seconds of quarantine that a request has left, 0 if none."""
+        if request not in self._quarantined:
             return 0.0
         return max(0.0, self._entries[request].last_at + QUARANTINE_SECONDS - now)
 
     def record_alive(self, process: Process) -> None:
-        """Note that a target goes on: what broke off there was only a connection."""
+        """Record that a target is alive: at most a connection to it was lost."""
         self._ended.pop(process, None)
 
     def has_ended(self, process: Process, now: float) -> bool:
-        """Tell whether a target ended just now and has shown no life since."""
+        """Return whether a target ended recently, without a sign of life since."""
         ended_at = self._ended.get(process)
         return ended_at is not None and now - ended_at <= ENDED_SECONDS
 
     def ended_before(self, process: Process, sent_at: float) -> bool:
-        """Tell whether what was sent to a target then found it ended."""
+        """Return whether a request that was sent to a target then found it ended."""
         ended_at = self._ended.get(process)
         return ended_at is not None and ended_at < sent_at <= ended_at + ENDED_SECONDS
 
     def record_ending(
         self, request: str, ending: Ending, now: float
     ) -> CrashRecord | None:
-        """Take an ending that this host saw, and return all that is known of it.
+        """Add an ending that this host observed, and return the request's record.
 
-        None if the target had ended before: until the list shows that, requests go on
-        being sent there, and none of them is what ended it.
+        None if the target had ended before the send: until the list of targets shows
+        that, requests are still sent there, and none of them caused the end.
         """
         sent_at = now - ending.ran
         if self.ended_before(ending.process, sent_at):
             return None
-        self._note_ended(ending.process, sent_at, now)
+        self._record_observed_end(ending.process, sent_at, now)
         self.merge(CrashRecord(request=Identifier(request), endings=(ending,)), now)
         return self.record(request, now)
 
-    def _note_ended(self, process: Process, sent_at: float, now: float) -> None:
-        """Remember when a target ended, for each of its lives."""
+    def _record_observed_end(
+        self, process: Process, sent_at: float, now: float
+    ) -> None:
+        """Record when a target ended, anew if it was restarted in between."""
         if sent_at > self._ended.get(process, now):
             del self._ended[process]
-        self._hear_ended(process, now)
+        self._record_end(process, now)
 
-    def _hear_ended(self, process: Process, ended_at: float) -> None:
+    def _record_end(self, process: Process, ended_at: float) -> None:
         self._ended.setdefault(process, ended_at)
         if len(self._ended) > MAX_ENDED:
             del self._ended[next(iter(self._ended))]
 
     def record_answer(self, request: str, now: float) -> CrashRecord | None:
-        """Note a whole answer; return what it refutes, None if there was nothing.
+        """Record a complete answer; return the refuted record, None if there is none.
 
-        A request that ends each target which runs it is never answered.
+        A request that crashes every target is never answered.
         """
         self._answered.pop(request, None)
         self._answered[request] = now
@@ -158,16 +161,16 @@
         if entry is None or not entry.evidence:
             return None
         self._refute(entry)
-        self._judge(request)
+        self._update_suspect(request)
         return self._record(request, now)
 
     def merge(self, record: CrashRecord, now: float) -> bool:
-        """Take what another host knows; return whether any of it was new.
+        """Merge a record of another host; return whether any of it was new.
 
-        Records may come late, doubled and in any order: what each of them says is added
-        and nothing is taken back.
+        Records may arrive late, duplicated and in any order: their endings and
+        refutations are only added, never removed.
         """
-        self._forget(now)
+        self._drop_expired(now)
         entry = self._entries.get(record.request)
         if entry is None:
             entry = _Entry(last_at=now - record.age)
@@ -176,7 +179,7 @@
             known = before.get(ending.process)
             if known is None:
                 known = ending
-                self._hear_ended(ending.process, now - record.age)
+                self._record_end(ending.process, now - record.age)
             entry.endings[ending.process] = replace(
                 ending,
                 ran=min(known.ran, ending.ran),
@@ -191,20 +194,20 @@
         entry.last_at = max(entry.last_at, now - record.age)
         self._entries.pop(record.request, None)
         self._entries[record.request] = entry
-        self._judge(record.request)
-        self._limit()
+        self._update_suspect(record.request)
+        self._enforce_limit()
         return True
 
     def records(self, now: float) -> Iterator[CrashRecord]:
-        """Yield all that is known, what is held back and what is newest first."""
-        newest = sorted(
+        """Yield all records, quarantined requests first, then the newest first."""
+        ordered = sorted(
             self._entries,
-            key=lambda r: (r not in self._held, -self._entries[r].last_at),
+            key=lambda r: (r not in self._quarantined, -self._entries[r].last_at),
         )
-        return (self._record(request, now) for request in newest)
+        return (self._record(request, now) for request in ordered)
 
     def record(self, request: str, now: float) -> CrashRecord | None:
-        """Return what is known of one request, None if nothing is."""
+        """Return the record of one request, None if there is none."""
         return self._record(request, now) if request in self._entries else None
 
     def _record(self, request: str, now: float) -> CrashRecord:
@@ -225,8 +228,8 @@
             for process, ending in entry.endings.items()
         }
 
-    def _judge(self, request: str) -> None:
-        """Choose again what is held back, if this request's endings bear on it."""
+    def _update_suspect(self, request: str) -> None:
+        """Update the suspects, and the quarantine if this request was or is one."""
         was_suspect = request in self._suspects
         entry = self._entries.get(request)
         if entry is not None and len(entry.evidence) >= ENDINGS_TO_QUARANTINE:
@@ -234,45 +237,45 @@
         else:
             self._suspects.discard(request)
         if was_suspect or request in self._suspects:
-            self._choose_held()
+            self._select_quarantined()
 
-    def _choose_held(self) -> None:
-        """Hold back what explains the most endings, then what explains the rest.
+    def _select_quarantined(self) -> None:
+        """Quarantine what explains the most endings, then what explains the rest.
 
-        A bystander's endings are a part of those of the request that caused them. With
-        the same ones, that which ran for the most alike time is the likelier cause: it
-        ends each target the same time after it begins there, and a bystander may come
-        at any moment. Chosen wrongly, the cause ends one more target
-        and from then on explains more than the other.
+        A bystander's endings are a subset of those of the request that caused them.
+        Among requests with the same endings, the one whose run times vary least is the
+        likeliest cause: it crashes each target the same time after it starts there,
+        while a bystander may start at any time. If the choice is wrong, the cause ends
+        one more target and from then on explains more endings than the bystander.
         """
         explained: set[Process] = set()
-        held = []
+        quarantined = []
         for request in sorted(self._suspects, key=self._rank):
             evidence = self._entries[request].evidence
             if len(evidence - explained) >= UNEXPLAINED_TO_QUARANTINE:
-                held.append(request)
+                quarantined.append(request)
                 explained |= evidence
-        self._held = frozenset(held)
+        self._quarantined = frozenset(quarantined)
 
     def _rank(self, request: str) -> tuple[int, float, float, str]:
         ran = self._entries[request].ran
         spread, mean = max(ran) - min(ran), sum(ran) / len(ran)
         return (-len(ran), spread, mean, request)
 
-    def _forget(self, now: float) -> None:
-        """Drop what is too old, from the least lately changed on."""
+    def _drop_expired(self, now: float) -> None:
+        """Drop the records that are too old, the least recently changed first."""
         while self._entries:
             oldest = next(iter(self._entries))
             if now - self._entries[oldest].last_at <= RECORD_EXPIRY_SECONDS:
                 return
             self._drop(oldest)
 
-    def _limit(self) -> None:
-        """Drop the oldest entries beyond the bound, those of held requests last."""
+    def _enforce_limit(self) -> None:
+        """Drop the oldest entry beyond the limit, one of a quarantined request last."""
         if len(self._entries) > MAX_REQUESTS:
-            others = (r for r in self._entries if r not in self._held)
+            others = (r for r in self._entries if r not in self._quarantined)
             self._drop(next(others, next(iter(self._entries))))
 
     def _drop(self, request: str) -> None:
         del self._entries[request]
-        self._judge(request)
+        self._update_suspect(request)
--- a/mallowpond/state/placement_queue.py
+++ b/mallowpond/state/placement_queue.py
@@ -1,9 +1,9 @@
-"""Order the streams of a whole fleet that wait for a place.
+"""Queue of the streams of a whole fleet that wait for a slot on a group.
 
-The load pattern: a burst, or groups lost at once, fill every place for seconds. In a
-first-come order every stream waits as long as the line is, and once that passes the
-objective all of them are late. With the newest first, as many are on time as there are
-places. Those that have become late get what is left, and go before all others once
+A burst, or the loss of several groups at once, fills every slot for seconds. In
+first-come order every stream waits for the whole queue, and once that takes longer than
+the objective all of them are late. With the newest first, as many streams are on time
+as there are slots. Late streams get the remaining slots, and go before all others once
 most of their patience is used, so that they are served rather than lost.
 """
 
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-# Streams that wait in one line, at most: beyond them nobody could be served in time.
+# Maximum number of streams in one queue: any more could not be served in time.
 MAX_WAITING = 5_000
-# Share of its patience, the last part, in which a late stream goes before others.
+# Last part of a late stream's patience, as a share, in which it goes before others.
 AGED_SHARE = 0.3
 
 Asker = TypeVar("Asker")
@@ -21,10 +21,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QueueEntry:
-    """Say what a waiting stream is owed; times are of the dispatcher's clock.
+    """Priority and deadlines of a waiting stream, on the dispatcher's clock.
 
-    One that `has_begun` needs a place for its rest only, and its caller has part of
-    the answer: behind newcomers it would be cut off and its work lost.
+    A slot after `objective_deadline` is too late for the stream's objective; at
+    `deadline` it stops waiting. A lower `priority` goes first. A stream that
+    `has_begun` needs a slot only for the rest of its answer: behind new streams it
+    would be cut off and the work on it lost.
     """
 
     priority: int
@@ -35,13 +37,15 @@
 
     @property
     def patience(self) -> float:
-        """Return for how many seconds it waits at most."""
+        """Return the maximum waiting time in seconds."""
         return self.deadline - self.queued_at
 
     def rank(self, number: int, now: float) -> tuple[bool, int, int, int]:
-        """Return the order of who came as `number`, lower first.
+        """Return the sort key of the entry that was added as `number`, lowest first.
 
-        Begun; late with little patience left; on time, the newest first; late.
+        Streams that have begun go first. Within these and within the others, those come
+        first that are late with little patience left, then those that can be on time,
+        the newest first, then the other late ones.
         """
         if self.objective_deadline > now:
             return (not self.has_begun, 1, self.priority, -number)
@@ -51,47 +55,49 @@
 
 @dataclass(kw_only=True)
 class PlacementQueue(Generic[Asker]):
-    """Hold the streams of one model that wait, each by whom to tell."""
+    """The waiting streams of one model, keyed by who asked for a slot."""
 
-    _claims: dict[Asker, tuple[int, QueueEntry]] = field(default_factory=dict)
+    _entries: dict[Asker, tuple[int, QueueEntry]] = field(default_factory=dict)
     _next_number: int = 0
 
     def __len__(self) -> int:
-        return len(self._claims)
+        return len(self._entries)
 
     def __contains__(self, asker: Asker) -> bool:
-        return asker in self._claims
+        return asker in self._entries
 
-    def add(self, asker: Asker, claim: QueueEntry) -> None:
-        """Let a stream wait, or wait on where it stands."""
-        if asker not in self._claims:
-            self._claims[asker] = (self._next_number, claim)
+    def add(self, asker: Asker, entry: QueueEntry) -> None:
+        """Add a stream; one that waits already keeps its entry and position."""
+        if asker not in self._entries:
+            self._entries[asker] = (self._next_number, entry)
             self._next_number += 1
 
-    def has_entry_ahead_of(self, claim: QueueEntry, now: float) -> bool:
-        """Tell whether some stream that waits goes before a new one."""
-        new = claim.rank(self._next_number, now)
-        return any(known.rank(n, now) < new for n, known in self._claims.values())
+    def has_entry_ahead_of(self, entry: QueueEntry, now: float) -> bool:
+        """Return whether some waiting stream goes before a new one."""
+        new = entry.rank(self._next_number, now)
+        return any(e.rank(n, now) < new for n, e in self._entries.values())
 
     def discard(self, asker: Asker) -> None:
-        """Take a stream out of the line, if it stands there."""
-        self._claims.pop(asker, None)
+        """Remove a stream if it waits."""
+        self._entries.pop(asker, None)
 
     def expired(self, now: float) -> list[Asker]:
-        """Return those whose time is over."""
-        return [a for a, (_, claim) in self._claims.items() if claim.deadline <= now]
+        """Return who asked for the streams whose deadline has passed."""
+        return [a for a, (_, entry) in self._entries.items() if entry.deadline <= now]
 
-    def ahead_of(self, claim: QueueEntry) -> int:
-        """Return how many streams go before one that would be late."""
-        claims = (known for _, known in self._claims.values())
-        if claim.has_begun:
-            return sum(known.has_begun for known in claims)
-        return sum(c.has_begun or c.priority <= claim.priority for c in claims)
+    def ahead_of(self, entry: QueueEntry) -> int:
+        """Return how many streams would go before this one once it is late."""
+        entries = (waiting for _, waiting in self._entries.values())
+        if entry.has_begun:
+            return sum(waiting.has_begun for waiting in entries)
+        return sum(e.has_begun or e.priority <= entry.priority for e in entries)
 
     def in_order(self, now: float) -> Iterator[Asker]:
-        """Yield who waits, the first first."""
+        """Yield who asked, in the order in which slots are granted."""
         ranked = sorted(
-            self._claims,
-            key=lambda asker: self._claims[asker][1].rank(self._claims[asker][0], now),
+            self._entries,
+            key=lambda asker: self._entries[asker][1].rank(
+                self._entries[asker][0], now
+            ),
         )
         yield from ranked
--- a/mallowpond/state/tests/test_crash_ledger.py
+++ b/mallowpond/state/tests/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests are held back, by the targets that ended under them."""
+"""Which requests are quarantined, by the targets that ended under them."""
 
 import random
 from dataclasses import replace
@@ -23,21 +23,21 @@
 
 
 def ending(target, ran=0.1):
-    """Write the ending of a target."""
+    """Build the ending of a target."""
     return Ending(process=Process(id=str(target), born=1), ran=ran)
 
 
 def record(request, *targets, ran=0.1, age=0.0):
-    """Write a record of a request under which these targets ended."""
+    """Build the record of a request under which these targets ended."""
     endings = tuple(ending(target, ran) for target in targets)
     return CrashRecord(request=request, endings=endings, age=age)
 
 
 def ledger_of(*records):
-    """Build a ledger that heard these records."""
+    """Build a ledger that has merged these records."""
     ledger = CrashLedger()
-    for known in records:
-        ledger.merge(known, 0.0)
+    for received in records:
+        ledger.merge(received, 0.0)
     return ledger
 
 
@@ -65,26 +65,26 @@
 
 @pytest.mark.parametrize("seed", range(50))
 def test_hosts_agree_whatever_the_order_in_which_they_hear(seed):
-    """Symptom: a host goes on sending what all others hold back.
+    """Guard against a host that goes on sending what all others quarantine.
 
-    Sequence: records come late, doubled and in any order.
-    Cause: what was told replaced what was known.
+    Records arrive late, duplicated and in any order; a received record must not replace
+    what is known.
     """
     rng = random.Random(seed)
-    told = [record("bad", n, ran=0.1) for n in range(4)]
-    told += [record("beside", n, ran=rng.random()) for n in (0, 1, 2)]
-    told += [record("other", n, ran=0.3) for n in (7, 8)]
-    heard = told + rng.choices(told, k=5)
-    rng.shuffle(heard)
-    assert ledger_of(*heard).quarantined(0.0) == {"bad"}
+    records = [record("bad", n, ran=0.1) for n in range(4)]
+    records += [record("beside", n, ran=rng.random()) for n in (0, 1, 2)]
+    records += [record("other", n, ran=0.3) for n in (7, 8)]
+    received = records + rng.choices(records, k=5)
+    rng.shuffle(received)
+    assert ledger_of(*received).quarantined(0.0) == {"bad"}
 
 
 def test_who_stood_beside_it_each_time_is_not_held_back():
-    """Symptom: a request that harms nobody is refused for minutes.
+    """Guard against a harmless request that is refused for minutes.
 
-    Sequence: with few groups, it comes again to the very groups to which the one that
-    ends them comes again; all three end under both.
-    Cause: standing on targets that ended was all that counted.
+    With few groups, its retries go to the same groups as those of the request that
+    ends them, so all three targets end under both. Running on ended targets must not be
+    all that counts.
     """
     ledger = ledger_of(
         record("beside", "a", "b", "c", ran=0.4), record("bad", "a", "b", "c", ran=0.1)
@@ -93,7 +93,7 @@
 
 
 def test_who_came_just_before_an_end_is_not_taken_for_its_cause():
-    """Guard against holding back a bystander that ran for less time than the cause."""
+    """Guard against a quarantined bystander that ran for less time than the cause."""
 
     def ran(request, *seconds):
         ends = tuple(ending(n, ran) for n, ran in enumerate(seconds))
@@ -130,18 +130,18 @@
 
 def test_a_whole_answer_clears_a_request():
     ledger = ledger_of(record("fine", "a", "b"))
-    told = ledger.record_answer("fine", 1.0)
-    assert all(known.refuted for known in told.endings)
+    refuted = ledger.record_answer("fine", 1.0)
+    assert all(ending.refuted for ending in refuted.endings)
     ledger.merge(record("fine", "c"), 1.0 + ANSWERED_SECONDS + 1.0)
     assert not ledger.quarantined(70.0)
     assert ledger.record_answer("never seen", 1.0) is None
 
 
 def test_what_a_host_refutes_is_refuted_where_it_is_heard_late():
-    """Symptom: a request that was answered is held back on another host.
+    """Guard against an answered request that is quarantined on another host.
 
-    Sequence: the news that it was answered comes before that of a target's end.
-    Cause: the later news counted for more.
+    The record of its answer arrives before that of a target's end; the later arrival
+    must not count for more.
     """
     first = ledger_of(record("fine", "a", "b", "c"))
     refuted = first.record_answer("fine", 1.0)
@@ -150,10 +150,10 @@
 
 
 def test_a_request_that_many_send_alike_is_not_held_back_for_a_domains_end():
-    """Symptom: a popular request is refused for minutes after an outage.
+    """Guard against a popular request that is refused for minutes after an outage.
 
-    Sequence: it runs on several targets of a fabric domain, which all end at once.
-    Cause: three ended targets counted although it had just been answered.
+    It runs on several targets of a fabric domain that all end at once. These must not
+    count, as it has been answered just before.
     """
     ledger = CrashLedger()
     ledger.record_answer("popular", 0.0)
@@ -198,17 +198,16 @@
 
 def test_a_record_of_another_host_is_taken_as_it_was_told():
     first = ledger_of(record("bad", "a", "b", "c"))
-    told = replace(next(first.records(2.0)))
-    assert told.age == 2.0
-    assert ledger_of(told).quarantined(0.0) == {"bad"}
+    received = replace(next(first.records(2.0)))
+    assert received.age == 2.0
+    assert ledger_of(received).quarantined(0.0) == {"bad"}
 
 
 def test_what_is_sent_to_a_target_that_has_ended_did_not_end_it():
-    """Symptom: requests that harm nobody are held back after a target's end.
+    """Guard against harmless requests that are quarantined after a target's end.
 
-    Sequence: a target ends; until the list shows it, others are sent there and break
-    off at once.
-    Cause: each send that broke off counted against its request.
+    Until the list shows that the target has ended, other requests are sent there and
+    fail at once. These sends must not count against them.
     """
     ledger = CrashLedger()
     assert ledger.record_ending("bad", ending("a", ran=0.1), 10.0) is not None
@@ -219,17 +218,17 @@
 
 
 def test_an_ending_that_another_host_saw_counts_like_an_own_one():
-    """Guard against holding back who was sent to a target that others saw end."""
+    """Guard against a quarantine for sends to a target that others saw end."""
     ledger = CrashLedger()
     ledger.merge(record("bad", "a", age=0.2), 10.2)
     assert ledger.has_ended(Process(id="a", born=1), 10.3)
     assert ledger.record_ending("beside", ending("a", ran=0.002), 10.3) is None
-    # Sent before the end, it stood there too.
+    # It was sent before the end, so it was running there too.
     assert ledger.record_ending("before", ending("a", ran=0.4), 10.3) is not None
 
 
 def test_a_target_counts_as_ended_until_it_shows_life_or_may_have_started_again():
-    """Guard against leaving a target alone because of one broken connection."""
+    """Guard against a target that is avoided because of one broken connection."""
     ledger = ledger_of(record("bad", "a", "b"))
     first, second = (Process(id=name, born=1) for name in "ab")
     ledger.record_alive(first)
@@ -239,19 +238,19 @@
 
 
 def test_a_target_that_starts_again_untold_under_its_id_may_end_again():
-    """Symptom: a request ends a target again and again, and it is not noted.
+    """Guard against a request that ends a target repeatedly without being recorded.
 
-    Sequence: targets do not tell their start; one ends, starts under its id, and gets
-    the same request first.
-    Cause: its first end made all later sends count as sent to nobody.
+    Targets do not report the start of their process. One ends, restarts under its id,
+    and gets the same request first. Its first end must not make all later sends count
+    as sent to an ended target.
     """
     ledger = CrashLedger()
-    untold = Ending(process=Process(id="a", born=None), ran=0.1)
-    assert ledger.record_ending("first", untold, 10.0) is not None
+    unreported = Ending(process=Process(id="a", born=None), ran=0.1)
+    assert ledger.record_ending("first", unreported, 10.0) is not None
     later = 10.2 + ENDED_SECONDS
-    assert ledger.record_ending("bad", untold, later) is not None
-    assert ledger.record_ending("beside", untold, later + 0.05) is not None
-    assert ledger.record_ending("late", untold, later + 0.5) is None
+    assert ledger.record_ending("bad", unreported, later) is not None
+    assert ledger.record_ending("beside", unreported, later + 0.05) is not None
+    assert ledger.record_ending("late", unreported, later + 0.5) is None
 
 
 def test_a_ledger_full_of_held_requests_takes_no_more_and_does_not_fail(monkeypatch):
