--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -82,11 +82,12 @@
     busy: targets with an order under way.
     formations: formations whose member lists this planner knows.
     first_seen: time at which each listed group was first seen here.
-    seen: processes that were ordered into each group or listed in it.
+    seen: processes that were ordered into each group or listed as its members.
     disclaimed: groups of which a listed member answers that it is not in them.
     repeatedly_suspected: groups that fell silent again and again, although all of
         their members answer probes.
-    closed: groups that were ordered to close, to be dissolved once they are idle.
+    closed: groups whose head was ordered to close, or whose members to leave; they
+        are dissolved once they are idle, and not opened again.
     leaving_since: time at which each stopping target was first seen to be stopping.
     loads_begun: times of recent orders that load weights.
     loading: models that targets were ordered to load and do not list as loaded yet.
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Pending:
-    """An order under way, and the time at which it is no longer waited for."""
+    """An order under way; at time `until` the planner stops waiting for it."""
 
     step: Step
     until: float
@@ -64,8 +64,12 @@
 class _Record:
     """State of one process.
 
-    `count` is the number of orders that it has begun, None if unknown; it is certainly
-    not below `min_count`.
+    count: number of orders that it has begun, None if unknown.
+    min_count: lower bound on the count.
+    pending: the order under way.
+    left, joined: the groups that it last left and joined by an order from here.
+    ordered_at: time at which it last accepted an order.
+    load: the weight load that the list does not show yet.
     """
 
     count: int | None = None
@@ -112,13 +116,13 @@
             record.load = Load(model=step.model, at=now)
 
     def release_later(self, step: Step, now: float) -> None:
-        """Free the process for another order after `RETRY_PAUSE_SECONDS`."""
+        """Drop an order that was rejected or lost; another may follow after a pause."""
         record = self._record(step.target)
         record.pending = Pending(step=step, until=now + RETRY_PAUSE_SECONDS)
         record.load = None
 
     def end(self, target: Target) -> None:
-        """Free the process for another order now."""
+        """End the order under way, so that another one may follow at once."""
         self._record(target).pending = None
 
     def record_taken(self, step: Step, now: float) -> None:
@@ -187,9 +191,9 @@
     def record_begun(self, step: Step, *, expected: int, is_certain: bool) -> None:
         """Count an order that was accepted with the count `expected`.
 
-        Reports lag behind, and with an old count the next join would be rejected and
-        its whole group would wait. With `is_certain` false the process may not have
-        counted the order.
+        Reports lag behind, so the count is kept here: with an old one the next join
+        would be rejected, and its whole group would wait. If `is_certain` is false, the
+        process may not have counted the order.
         """
         record = self._record(step.target)
         if expected + 1 < record.min_count:
--- a/mallowpond/state/tests/test_leaving.py
+++ b/mallowpond/state/tests/test_leaving.py
@@ -16,7 +16,7 @@
 
 
 def test_a_target_whose_entry_lapses_and_returns_is_still_known():
-    """A process that announced its stop gets no requests after its entry returns."""
+    """Guards against sends to a leaving target whose entry lapsed and came back."""
     leaving = LeavingTargets()
     leaving.add(TARGET, 10.0)
     leaving.keep({TARGET}, 100.0)
--- a/mallowpond/state/tests/test_planner.py
+++ b/mallowpond/state/tests/test_planner.py
@@ -160,8 +160,8 @@
         PlanHost(name="3", domain="b", accelerators=8, group="s1"),
         PlanHost(name="4", domain="b", accelerators=8, group="s2"),
     ]
-    held = [group("s1", "3", "small"), group("s2", "4", "small")]
-    assert plan(hosts=known, deployments=[large, SMALL], groups=held) == ()
+    existing = [group("s1", "3", "small"), group("s2", "4", "small")]
+    assert plan(hosts=known, deployments=[large, SMALL], groups=existing) == ()
 
 
 def test_weights_decide_whether_a_spare_is_left():
@@ -187,11 +187,11 @@
 
 def test_stranded_counts_idle_hosts_only_while_groups_lack():
     layout = hosts({"a": "1 2 3"})
-    whole = [group("g", "1 2")]
-    lacking = stranded(hosts=layout, deployments=[METEOR], groups=whole)
-    assert lacking == 8
+    complete = [group("g", "1 2")]
+    stranded_count = stranded(hosts=layout, deployments=[METEOR], groups=complete)
+    assert stranded_count == 8
     one = Deployment(name="meteor", model="m", replicas=1, hosts_per_group=2)
-    assert stranded(hosts=layout, deployments=[one], groups=whole) == 0
+    assert stranded(hosts=layout, deployments=[one], groups=complete) == 0
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -200,7 +200,7 @@
     names = [str(n) for n in range(12)]
     unusable = data.draw(st.sets(st.sampled_from(names)))
     layout = {"a": " ".join(names[:5]), "b": " ".join(names[5:])}
-    held = [group("g", "0 1"), group("h", "2 3"), group("i", "5 6", "light")]
+    existing = [group("g", "0 1"), group("h", "2 3"), group("i", "5 6", "light")]
     light = Deployment(
         name="light",
         model="l",
@@ -208,8 +208,8 @@
         hosts_per_group=2,
         weights=data.draw(st.sampled_from([DOWNTIME_FIRST, STRANDED_FIRST])),
     )
-    actions = make(layout, held, [METEOR, light], unusable)
-    placed = {g.name: g.hosts for g in held}
+    actions = make(layout, existing, [METEOR, light], unusable)
+    placed = {g.name: g.hosts for g in existing}
     for number, action in enumerate(actions):
         match action:
             case Form(hosts=chosen):
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -251,11 +251,11 @@
     def _order_missing_joins(
         self, group: Group, formation: Formation, model: ModelSpec
     ) -> None:
-        """Order the joins again that do not show, unless an order is under way."""
+        """Repeat the joins of targets that are not listed as members and not busy."""
         view = self._view
-        present = {member.id for member in group.members}
+        joined = {member.id for member in group.members}
         for target in view.targets:
-            if target.id not in formation.members or target.id in present:
+            if target.id not in formation.members or target.id in joined:
                 continue
             if target.id in view.busy:
                 continue
