--- a/mallowpond/state/decoding.py
+++ b/mallowpond/state/decoding.py
@@ -45,6 +45,7 @@
 # Types for fields of data classes that accept only some values of their base type.
 Name = NewType("Name", str)
 Identifier = NewType("Identifier", str)
+# HOST:PORT, where the host is a name or an IP address.
 Address = NewType("Address", str)
 # Text that is valid as a header value, and as the path in a request line. Any other
 # text would make each request that carries it fail.
