--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -518,7 +518,7 @@
             target = found[identifier]
             self._by_service.setdefault(target.service, {})[identifier] = target
         self.loads.forget_idle(self._groups)
-        self._broken.keep(self._groups)
+        self._broken.prune(self._groups)
         for group in broken:
             self._record_broken(group, BreakCause.RESTARTED, is_known_to_peers=True)
         for notify in self.on_change:
--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -100,7 +100,7 @@
             return
         listed = {target.process for target in self._directory.targets.values()}
         self._backoffs.prune(listed, self._clock.now())
-        self._leaving.keep(listed, self._clock.now())
+        self._leaving.prune(listed, self._clock.now())
 
     def record_sent(self, target: Target) -> None:
         """Count a request to a target."""
--- a/mallowpond/state/broken_groups.py
+++ b/mallowpond/state/broken_groups.py
@@ -59,6 +59,6 @@
         del self._broken[group.key]
         return True
 
-    def keep(self, keys: Container[GroupKey]) -> None:
+    def prune(self, keys: Container[GroupKey]) -> None:
         """Drop the formations that are not in `keys`, which are those still listed."""
         self._broken = {k: b for k, b in self._broken.items() if k in keys}
--- a/mallowpond/state/leaving.py
+++ b/mallowpond/state/leaving.py
@@ -27,7 +27,7 @@
         self._last_seen[process] = now
         return is_new
 
-    def keep(self, listed: Container[Process], now: float) -> None:
+    def prune(self, listed: Container[Process], now: float) -> None:
         """Drop processes neither listed nor announced for `RETENTION_SECONDS`."""
         limit = now - RETENTION_SECONDS
         self._last_seen = {
