--- a/mallowpond/state/fingerprint.py
+++ b/mallowpond/state/fingerprint.py
@@ -1,4 +1,4 @@
-"""Name what stays the same when a caller sends a request again."""
+"""Fingerprints by which a request is recognised when its caller retries it."""
 
 from hashlib import blake2b
 
@@ -7,13 +7,13 @@
 
 
 def fingerprint(*, host: str, target: str, workspace: str | None, body: bytes) -> str:
-    """Return the name that a request and its returns share, in hexadecimal.
+    """Return the hexadecimal digest that a request shares with its retries.
 
-    Neither the request's id nor its deadline counts: both change with each return.
+    The request's id and deadline are left out, as both change with each retry.
     """
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (host.encode(), target.encode(), (workspace or "").encode(), body):
-        # With its length, no part can borrow bytes from the next one.
+        # The length keeps the boundary between two parts unambiguous.
         digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/mallowpond/state/tests/test_fingerprint.py
+++ b/mallowpond/state/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Returns of a request share a name, and other requests have another one."""
+"""Retries of a request share its fingerprint; other requests have another one."""
 
 import pytest
 
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -1,4 +1,4 @@
-"""What is learnt of first events, and what it does to the trust in silent groups."""
+"""The estimated delay of first events, and its effect on suspicions of groups."""
 
 import random
 
@@ -7,7 +7,7 @@
 from mallowpond.state.first_event import (
     DEFAULT_UPPER_BOUND_SECONDS,
     MIN_SAMPLES,
-    SAMPLES,
+    WINDOW_SAMPLES,
     FirstEventDelay,
 )
 from mallowpond.state.silence import (
@@ -22,8 +22,8 @@
 OBJECTIVE = 0.3
 
 
-def seen(seconds, count=SAMPLES, spread=0.01, seed=1):
-    """Learn from first events of engines that take so long before each."""
+def estimate_from(seconds, count=WINDOW_SAMPLES, spread=0.01, seed=1):
+    """Build the estimate from engines that take so long before each first event."""
     rng = random.Random(seed)
     delay = FirstEventDelay()
     for _ in range(count):
@@ -34,22 +34,21 @@
 
 @pytest.mark.parametrize("seconds", [0.01, 0.12, 0.4])
 def test_the_delay_of_engines_is_learnt_within_a_fiftieth_of_a_second(seconds):
-    assert seen(seconds).typical == pytest.approx(seconds, abs=0.02)
+    assert estimate_from(seconds).typical == pytest.approx(seconds, abs=0.02)
 
 
 def test_a_few_first_events_of_a_dying_group_do_not_move_the_estimate():
-    delay = seen(0.12)
-    for _ in range(SAMPLES // 5):
+    delay = estimate_from(0.12)
+    for _ in range(WINDOW_SAMPLES // 5):
         delay.record(observed=2.0, predicted=PREDICTED)
     assert delay.typical == pytest.approx(0.12, abs=0.02)
 
 
 def test_the_delay_on_a_slow_group_is_counted_as_on_a_sound_one():
-    """Symptom: groups across domains are taken for dead one after the other.
+    """Guard against groups across domains that are taken for dead one after the other.
 
-    Sequence: such groups are 2.5 times as slow, and so is what their first events take
-    beyond the declared timing.
-    Cause: what sound groups taught was expected of them unchanged.
+    Such groups are 2.5 times as slow, and so is the delay of their first events beyond
+    the declared timing. The delay learnt from healthy groups must be scaled for them.
     """
     delay = FirstEventDelay()
     for _ in range(MIN_SAMPLES):
@@ -58,13 +57,13 @@
 
 
 def test_nothing_is_said_on_a_few_samples():
-    delay = seen(0.12, count=MIN_SAMPLES - 1)
+    delay = estimate_from(0.12, count=MIN_SAMPLES - 1)
     assert delay.typical == 0.0
     assert delay.upper_bound == DEFAULT_UPPER_BOUND_SECONDS
 
 
 def waiting(delay, silent, has_running=False):
-    """Describe streams on one group that have waited so long."""
+    """Build the silence of a group whose streams have waited so long."""
     return GroupSilence(
         silent_seconds=silent,
         predicted_gap=0.03,
@@ -75,15 +74,15 @@
 
 
 @pytest.mark.parametrize("seconds", [0.01, 0.12, 0.4])
-@pytest.mark.parametrize("count", [0, SAMPLES])
+@pytest.mark.parametrize("count", [0, WINDOW_SAMPLES])
 def test_streams_that_wait_for_slow_first_events_bring_no_suspicion(seconds, count):
-    """Symptom: sound groups are taken for dead by the dozen.
+    """Guard against healthy groups that are taken for dead by the dozen.
 
-    Sequence: engines take 0.4 s before each first event; all streams of a host on one
-    group wait for theirs; the host has just started, or has seen many.
-    Cause: the limit followed the declared timing, which does not tell that time.
+    Engines take 0.4 s before each first event, and all streams of a host on one group
+    wait for theirs; the host has just started, or has seen many first events. The
+    silence limit must include that time, which the declared timing does not cover.
     """
-    delay = seen(seconds, count=count)
+    delay = estimate_from(seconds, count=count)
     rng = random.Random(2)
     for _ in range(1000):
         first = PREDICTED + seconds + rng.uniform(-0.01, 0.01)
@@ -93,10 +92,10 @@
 
 
 def test_a_dead_group_is_suspected_soon_also_if_all_its_streams_wait():
-    limit = silence_limit(waiting(seen(0.12), 0.0))
+    limit = silence_limit(waiting(estimate_from(0.12), 0.0))
     assert limit < PREDICTED + 0.12 + 0.06
 
 
 def test_a_running_stream_makes_silence_count_whatever_others_wait_for():
-    delay = seen(0.4)
+    delay = estimate_from(0.4)
     assert silence_limit(waiting(delay, 0.0, has_running=True)) < 0.2
--- a/mallowpond/state/tests/test_lease.py
+++ b/mallowpond/state/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases compare no clocks across hosts."""
+"""Leases that do not compare clocks across hosts."""
 
 from mallowpond.state.lease import ExpiryWatch, HeldLease
 
@@ -23,10 +23,10 @@
 
 
 def test_outage_of_the_table_lapses_nobody():
-    """
-    Symptom: after an outage all controllers take over from each other at once.
-    Events: the table is dark for a minute; the first read shows counters that could
-    not move. Cause: time in which nothing could be seen counted as standing still.
+    """Guard against controllers that all take over from each other after an outage.
+
+    The table is unreachable for a minute, and the first read afterwards shows unchanged
+    counters. Time without reads must not count towards the expiry of a lease.
     """
     watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=0.0)
