--- a/mallowpond/state/admission.py
+++ b/mallowpond/state/admission.py
@@ -1,22 +1,25 @@
-"""Decide at once whether a request is sent, waits its turn, or is refused."""
+"""Admission of requests: fair queueing, expected waits and early refusal."""
 
 import heapq
 from dataclasses import dataclass, field
 from itertools import count
 
+# Smallest weight of a new sample in the moving averages of the service time.
 SERVICE_SMOOTHING = 0.1
-CAUTION_DEVIATIONS = 2.0
+# Mean absolute deviations that the upper bound adds to the mean service time.
+UPPER_BOUND_DEVIATIONS = 2.0
+# Bounds of the retry delay in seconds.
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 60.0
-# Bounds of the time to come back for callers whose own time is a few seconds, and its
-# spread: callers refused together return apart instead of all at once.
+# Bounds of the retry delay in seconds for callers that wait only a few seconds, and the
+# factors of its jitter, which keeps callers refused together from retrying at once.
 SHORT_RETRY_AFTER_SECONDS = (0.1, 3.0)
 RETRY_JITTER = (0.6, 1.4)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """Stand for one waiting request."""
+    """The entry of one waiting request."""
 
     number: int
     workspace: str
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The request cannot be served in time; come back after `retry_after`."""
+    """The request cannot be served in time; retry after `retry_after` seconds."""
 
     reason: str
     retry_after: float
@@ -33,7 +36,7 @@
 
 @dataclass(kw_only=True)
 class FairQueue:
-    """Order waiting requests so that workspaces share by their declared weight."""
+    """Weighted fair queue of waiting requests, with one weight for each workspace."""
 
     _heap: list[tuple[float, int, Ticket]] = field(default_factory=list)
     _last_finish: dict[str, float] = field(default_factory=dict)
@@ -45,7 +48,7 @@
         return len(self._heap) - len(self._cancelled)
 
     def push(self, *, workspace: str, share: float, deadline: float) -> Ticket:
-        """Add a request and return its ticket."""
+        """Add a request of a workspace with weight `share` and return its ticket."""
         start = max(self._virtual, self._last_finish.get(workspace, 0.0))
         finish = start + 1.0 / share
         self._last_finish[workspace] = finish
@@ -55,12 +58,12 @@
         return ticket
 
     def cancel(self, ticket: Ticket) -> None:
-        """Take back a request that still waits."""
+        """Remove a request if it still waits."""
         if any(entry[2] is ticket for entry in self._heap):
             self._cancelled.add(ticket.number)
 
     def pop(self) -> Ticket | None:
-        """Return the request whose turn it is."""
+        """Remove and return the next request, None if none waits."""
         while self._heap:
             finish, number, ticket = heapq.heappop(self._heap)
             if number in self._cancelled:
@@ -72,7 +75,7 @@
         return None
 
     def requeue(self, ticket: Ticket) -> None:
-        """Put back a request that turned out to have no place yet."""
+        """Put a popped request back at the head, as no slot was free for it."""
         heapq.heappush(self._heap, (self._virtual, ticket.number, ticket))
 
     def ahead_of(self, workspace: str, share: float) -> int:
@@ -85,7 +88,10 @@
 
 @dataclass(kw_only=True)
 class ServiceTime:
-    """Track how long requests hold a place; the declared time is a first sample."""
+    """Moving average and deviation of the time for which requests hold a slot.
+
+    The declared time that `seconds` starts with counts as the first sample.
+    """
 
     seconds: float
     deviation: float = 0.0
@@ -93,16 +99,16 @@
 
     @property
     def upper_bound(self) -> float:
-        """Return a time within which most requests end.
+        """Return a time in seconds within which most requests end.
 
-        Going by the mean alone, half of the requests that were let in at the last
-        moment would miss their deadline after having run; one would see refusals
-        turn from not run into unknown under overload.
+        With the mean alone, half of the requests that are admitted at the last moment
+        would miss their deadline after they have run. Under overload they would end as
+        unknown instead of being refused as not run.
         """
-        return self.seconds + CAUTION_DEVIATIONS * self.deviation
+        return self.seconds + UPPER_BOUND_DEVIATIONS * self.deviation
 
     def record(self, seconds: float) -> None:
-        """Add one observation."""
+        """Add one observed service time in seconds."""
         self._samples += 1
         weight = max(SERVICE_SMOOTHING, 1 / self._samples)
         error = seconds - self.seconds
@@ -111,7 +117,7 @@
 
 
 def expected_wait(*, ahead: int, slots: int, service_seconds: float) -> float:
-    """Return the seconds until a place frees for one behind `ahead` others."""
+    """Return the seconds until a slot is free for a request behind `ahead` others."""
     if slots <= 0:
         return float("inf")
     return (ahead + 1) * service_seconds / slots
@@ -120,7 +126,10 @@
 def refuse_if_late(
     *, ahead: int, slots: int, service_seconds: float, remaining: float
 ) -> Refused | None:
-    """Refuse a request at once when its deadline cannot be met in the queue."""
+    """Return a refusal if a request cannot wait and be served in `remaining` seconds.
+
+    None if it can. `ahead` requests go before it on `slots` slots in total.
+    """
     wait = expected_wait(ahead=ahead, slots=slots, service_seconds=service_seconds)
     if wait + service_seconds <= remaining:
         return None
@@ -129,12 +138,12 @@
 
 
 def clamp_retry_after(seconds: float) -> float:
-    """Keep a time to come back within what a caller can use."""
+    """Clamp a retry delay to the bounds that a caller can use."""
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
 
 
 def jittered_retry_after(seconds: float, draw: float) -> float:
-    """Return a time to come back around `seconds`; `draw` is uniform in [0, 1)."""
+    """Return a retry delay around `seconds`; `draw` is uniform in [0, 1)."""
     least, most = SHORT_RETRY_AFTER_SECONDS
     low, high = RETRY_JITTER
     bounded = min(most, max(least, seconds))
--- a/mallowpond/state/observer_health.py
+++ b/mallowpond/state/observer_health.py
@@ -1,32 +1,34 @@
-"""Tell when an observer should doubt itself rather than what it observes.
+"""Detect that an observer itself is the likely cause of the failures that it sees.
 
-Engines die alone, by the handful, or with their domain. Where many of several domains
-fall silent for one observer within a second, the observer is the likelier cause: a link
-that is full, a processor that is used up, a cut. Taken at its word, a planner that
-could not read its answers had 852 of 1,095 sound targets taken out of their groups.
+Engines fail alone, a few at a time, or with their domain. If many targets of several
+domains stop answering one observer within a second, the likelier cause is the observer:
+a saturated link, an exhausted processor, or a network partition. Without this check, a
+planner that could not read its answers removed 852 of 1,095 healthy targets from their
+groups.
 """
 
 from collections import deque
 
-# Targets that fall silent within a time in seconds, and the domains that they are of,
-# from which the observer asks another one: more than die together by chance.
+# Numbers of silent targets and of their domains from which the observer is suspect and
+# asks another one, and the window in seconds in which they are counted. Fewer targets
+# may fail together by chance.
 MIN_SILENT_TARGETS = 8
 MIN_SILENT_DOMAINS = 2
 SILENCE_WINDOW_SECONDS = 1.0
 
 
 class ObserverHealth:
-    """Count what fell silent for this observer of late."""
+    """Sliding window of the targets that did not answer this observer."""
 
     def __init__(self) -> None:
         self._silent: deque[tuple[float, str, str]] = deque()
 
     def record_silence(self, target: str, domain: str, now: float) -> None:
-        """Note that a target does not answer."""
+        """Record that a target did not answer."""
         self._silent.append((now, target, domain))
 
     def is_suspect(self, now: float) -> bool:
-        """Tell whether what fell silent of late says more of the observer."""
+        """Return whether the recent silence suggests a fault of the observer."""
         while self._silent and now - self._silent[0][0] > SILENCE_WINDOW_SECONDS:
             self._silent.popleft()
         targets = {target for _, target, _ in self._silent}
--- a/mallowpond/state/ownership.py
+++ b/mallowpond/state/ownership.py
@@ -1,13 +1,13 @@
-"""Rendezvous hashing: who owns what, given the same members."""
+"""Rendezvous hashing: all hosts with the same members agree on who owns a key."""
 
 from collections.abc import Iterable, Mapping
 from functools import lru_cache
 from hashlib import blake2b
 from heapq import nlargest
 
-# Weights that are kept: a few keys over all hosts of a fleet, which rank their peers
-# many times a second.
-KEPT_SCORES = 4096
+# Number of cached scores: those of a few keys for all hosts of a fleet, as hosts rank
+# their peers many times a second.
+CACHED_SCORES = 4096
 
 
 def _score(member: str, key: str) -> int:
@@ -15,36 +15,37 @@
     return int.from_bytes(digest, "big")
 
 
-@lru_cache(maxsize=KEPT_SCORES)
+@lru_cache(maxsize=CACHED_SCORES)
 def rendezvous_score(member: str, key: str) -> int:
-    """Return the weight of `member` for `key`."""
+    """Return the score of `member` for `key`, from a cache."""
     return _score(member, key)
 
 
 def owner_of(key: str, members: Iterable[str]) -> str | None:
-    """Return the member with the highest weight for `key`."""
+    """Return the member with the highest score for `key`, None without members."""
     scored = ((rendezvous_score(member, key), member) for member in members)
     return max(scored, default=(0, None))[1]
 
 
 def ranked_owners(key: str, members: Iterable[str]) -> list[str]:
-    """Return the members by falling weight for `key`."""
+    """Return the members in descending order of their score for `key`."""
     return sorted(members, key=lambda m: rendezvous_score(m, key), reverse=True)
 
 
 def first_owners(key: str, members: Iterable[str], count: int) -> list[str]:
-    """Return the members with the highest weights for a key that is asked for seldom.
+    """Return the `count` members with the highest scores for a rarely used key.
 
-    Its weights are not kept: they would push out those that are needed all the time.
+    The scores are not cached: they would evict those that are needed all the time.
     """
     return nlargest(count, members, key=lambda m: _score(m, key))
 
 
 def ranked_by_capacity(key: str, members: Mapping[str, float]) -> list[str]:
-    """Return the members, those with the most cores first, then by weight for `key`.
+    """Return the members in descending order of capacity, then of score for `key`.
 
-    What one host does for a whole fleet goes to a host that can bear it: a weak one
-    reads answers too late and takes sound targets for lost.
+    `members` maps each member to its number of cores. Work that one host does for the
+    whole fleet must go to a host with enough of them: a weak host reads answers too
+    late and takes healthy targets for lost.
     """
     return sorted(
         members,
--- a/mallowpond/state/tests/test_admission.py
+++ b/mallowpond/state/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Queueing and early refusal."""
+"""Fair queueing and early refusal."""
 
 from mallowpond.state.admission import FairQueue, jittered_retry_after, refuse_if_late
 
@@ -49,10 +49,10 @@
 
 
 def test_callers_refused_together_come_back_apart():
-    """Symptom: a burst that was refused comes back as one, and is refused again.
+    """Guard against a refused burst that retries at once and is refused again.
 
-    Sequence: a hundred callers are refused in a moment, all with the same time.
-    Cause: the time to come back had no spread.
+    A hundred callers are refused together. Without jitter, all get the same retry
+    delay.
     """
     times = {jittered_retry_after(1.0, draw / 10) for draw in range(10)}
     assert len(times) == 10
--- a/mallowpond/state/tests/test_ownership.py
+++ b/mallowpond/state/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing moves little."""
+"""Rendezvous hashing is stable and moves few keys when a member leaves."""
 
 from mallowpond.state.ownership import owner_of, ranked_by_capacity, ranked_owners
 
--- a/mallowpond/state/tests/test_quota.py
+++ b/mallowpond/state/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Chunks of a budget."""
+"""Leased chunks of a workspace's budget."""
 
 from mallowpond.state.quota import Chunk, chunk_size, grant
 
