--- a/mallowpond/state/__init__.py
+++ b/mallowpond/state/__init__.py
@@ -1,4 +1,4 @@
-"""Pure data and decisions: no input or output, time is an argument."""
+"""Pure data and decision logic: no input or output, and time is an argument."""
 
 __all__ = [
     "admission",
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -1,8 +1,8 @@
-"""Choose the group for a stream by when its first event would come.
+"""Choose the group for a stream by the predicted time of its first event.
 
-The load pattern: short streams with prompts of very different length arrive at many
-groups through several entry hosts, while groups die and come back. Going by requests
-in flight alone sends a stream behind a long prompt that is still being read.
+Short streams with prompts of very different length arrive at many groups through
+several entry hosts, while groups fail and recover. By requests in flight alone, a
+stream would be sent to a group that is still busy with the prefill of a long prompt.
 """
 
 import random
@@ -12,26 +12,30 @@
 
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 
-# Requests beyond the slots that an engine may be given: its queue admits them as
-# soon as a slot frees, so a slot never idles for the length of a round trip.
+# Requests beyond its slots that an engine may be sent: its queue admits them as soon as
+# a slot is free, so that no slot is idle for a round trip.
 QUEUE_BEYOND_SLOTS = 1
-# Passes from the arrival of a request to its first event beside the reading: the one
-# under way, and one that writes.
+# Passes from the arrival of a request to its first event, besides the prefill: the one
+# in progress, and one that generates the event.
 FIRST_EVENT_PASSES = 2.0
-# Passes after which a group that works has shown some event, beside the reading.
+# Passes, besides the prefill, within which a healthy group sends some event.
 SILENT_PASSES = 1.5
-# Streams that the other hosts may have sent to a group since it was last heard of, from
-# which hosts choose among a few groups drawn at random: all with the same old figures,
-# they would send every stream to the one group that was best then.
+# Number of unreported streams per group from which hosts choose among a few groups
+# drawn at random. With the same outdated load figures, all hosts would otherwise send
+# their streams to the one group that was best then.
 UNREPORTED_STREAMS = 1.0
 DRAWN_GROUPS = 2
-# Context of a running request whose prompt is not known, in tokens.
+# Assumed context of a running request in tokens, where no typical prompt is declared.
 DEFAULT_CONTEXT_TOKENS = 1000.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class GroupLoad:
-    """Hold what is known of a group's work: own and that of other entry hosts."""
+    """Known work of a group, of this and of all other entry hosts.
+
+    `prefill_tokens` are prompt tokens that the group has yet to process; `slowness` is
+    the factor by which it is slower than the declared pace.
+    """
 
     running: int
     prefill_tokens: float = 0.0
@@ -40,17 +44,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """Offer one group to be chosen."""
+    """One group that may be chosen."""
 
     key: str
     load: GroupLoad
     is_leaving: bool = False
-    # Its head broke off just now and has shown no life since.
+    # Its head failed recently and has shown no sign of life since.
     has_ended: bool = False
 
 
 def pass_seconds(profile: EngineProfile, model: ModelSpec, load: GroupLoad) -> float:
-    """Return the time of one pass, which is the usual gap between events."""
+    """Return the seconds of one pass, which is the typical gap between events."""
     context = profile.typical_prompt_tokens or DEFAULT_CONTEXT_TOKENS
     step = profile.step_seconds
     step += profile.request_seconds * load.running
@@ -61,33 +65,33 @@
 def prefill_seconds(
     profile: EngineProfile, model: ModelSpec, tokens: float, slowness: float = 1.0
 ) -> float:
-    """Return the time that a group needs to read `tokens` of prompts."""
+    """Return the seconds that the prefill of `tokens` prompt tokens takes."""
     return tokens / profile.prefill_tokens_per_second * model.pace * slowness
 
 
 def first_event_seconds(
     profile: EngineProfile, model: ModelSpec, load: GroupLoad, prompt_tokens: float
 ) -> float:
-    """Predict the time to the first event of a stream that is sent now.
+    """Predict the seconds to the first event of a stream that is sent now.
 
-    The passes before its first, the prompts that wait and its own; beyond the slots
-    it waits for others to end.
+    They cover the passes before its first event, the prefill of the waiting prompts and
+    of its own, and, if all slots are taken, the wait for other streams to end.
     """
     one_pass = pass_seconds(profile, model, load)
-    reading = prefill_seconds(
+    prefill = prefill_seconds(
         profile, model, load.prefill_tokens + prompt_tokens, load.slowness
     )
     beyond = max(0, load.running + 1 - profile.slots)
     passes = profile.typical_answer_tokens / max(1, profile.stride)
     ending = beyond * passes * one_pass / max(1, profile.slots)
-    return FIRST_EVENT_PASSES * one_pass + reading + ending
+    return FIRST_EVENT_PASSES * one_pass + prefill + ending
 
 
 def silent_seconds(profile: EngineProfile, model: ModelSpec, load: GroupLoad) -> float:
-    """Return how long a group that works may show no event on any of its streams."""
+    """Predict the longest silence of a healthy group, over all streams, in seconds."""
     one_pass = pass_seconds(profile, model, load)
-    reading = prefill_seconds(profile, model, load.prefill_tokens, load.slowness)
-    return SILENT_PASSES * one_pass + reading
+    prefill = prefill_seconds(profile, model, load.prefill_tokens, load.slowness)
+    return SILENT_PASSES * one_pass + prefill
 
 
 def has_capacity(
@@ -98,11 +102,11 @@
     prompt_tokens: float,
     limit_seconds: float,
 ) -> bool:
-    """Tell whether a group takes one more stream.
+    """Return whether a group takes one more stream.
 
-    Beyond the slots nothing starts. Before them, a group that still has to read many
-    prompts takes no more: each would come late and delay the events of those that
-    run. A group with nothing to read always takes one, however slow it is.
+    No stream is placed beyond the slots and the queue. Below that, a group with a long
+    prefill backlog takes no more: a new stream would be late and delay the events of
+    the running ones. A group without a backlog always takes one, however slow it is.
     """
     if load.running >= profile.slots + QUEUE_BEYOND_SLOTS:
         return False
@@ -113,9 +117,9 @@
 
 
 def scaled_delay(load: GroupLoad, delay_seconds: float) -> float:
-    """Return what a first event takes on a group beyond the declared timing.
+    """Scale the delay of first events beyond the declared timing to a group's slowness.
 
-    It grows with a group's slowness, as on groups across fabric domains.
+    Slow groups, such as those across fabric domains, have a longer delay.
     """
     return delay_seconds * max(1.0, load.slowness)
 
@@ -123,7 +127,10 @@
 def unreported_streams(
     *, own_per_second: float, hosts: int, age_seconds: float, groups: int
 ) -> float:
-    """Return the streams that each group got from other hosts since it was heard of."""
+    """Estimate the streams per group that other hosts sent since the last load report.
+
+    It assumes that each of the `hosts` sends at this host's rate `own_per_second`.
+    """
     others = own_per_second * max(0, hosts - 1)
     return others * age_seconds / max(1, groups)
 
@@ -137,12 +144,12 @@
     limit_seconds: float,
     count: int = DRAWN_GROUPS,
 ) -> list[Candidate]:
-    """Return the first few groups with a place, of candidates in a random order.
+    """Return the first `count` candidates with capacity, of candidates in random order.
 
-    The choice is between these, so the others need not be looked at: in a large fleet
-    that would cost more than the rest of what a host does for the placing.
+    The choice is made among these, so the others are not evaluated: in a large fleet
+    that would cost more than all other work of a host on placement.
     """
-    places = (
+    with_capacity = (
         candidate
         for candidate in candidates
         if has_capacity(
@@ -153,7 +160,7 @@
             limit_seconds=limit_seconds,
         )
     )
-    return list(islice(places, count))
+    return list(islice(with_capacity, count))
 
 
 def choose_group(
@@ -167,17 +174,17 @@
     unreported: float = 0.0,
     rng: random.Random | None = None,
 ) -> Candidate | None:
-    """Return the group with the earliest first event, None when all are full.
+    """Return the group with the earliest predicted first event, None if all are full.
 
-    A group with a member that is about to stop comes late: a stream there may have
-    to move once more. One whose head has probably ended comes last. Where much is
-    unseen the choice is between two groups drawn at random.
+    A group with a member that is about to stop ranks after the others, as a stream
+    there may have to move again. One whose head has probably ended ranks last. With
+    many `unreported` streams the choice is between two groups drawn at random.
 
-    `delay_seconds` is what first events take beyond the declared timing on a sound
-    group. It counts against slow groups, but not for whether there is a place: who
-    would come a little late comes later still from the waiting line.
+    `delay_seconds` is the delay of first events beyond the declared timing on a healthy
+    group. It counts against slow groups, but not for whether a group has capacity: a
+    stream that would be a little late would be even later after a wait in the queue.
     """
-    open_places = [
+    available = [
         candidate
         for candidate in candidates
         if has_capacity(
@@ -188,10 +195,10 @@
             limit_seconds=limit_seconds,
         )
     ]
-    if not open_places:
+    if not available:
         return None
     if rng is not None and unreported >= UNREPORTED_STREAMS:
-        open_places = rng.sample(open_places, min(DRAWN_GROUPS, len(open_places)))
+        available = rng.sample(available, min(DRAWN_GROUPS, len(available)))
 
     def rank(candidate: Candidate) -> tuple[bool, bool, float]:
         seconds = first_event_seconds(profile, model, candidate.load, prompt_tokens)
@@ -199,4 +206,4 @@
         seconds += scaled_delay(candidate.load, delay_seconds)
         return (candidate.has_ended, candidate.is_leaving, seconds)
 
-    return min(open_places, key=rank)
+    return min(available, key=rank)
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -1,51 +1,53 @@
-"""Judge when a group's silence means that it died.
+"""Failure detector for groups: decide when silence means that a group has died.
 
-A head whose member died keeps accepting requests while nothing moves, and says so
-only seconds later. All streams of a group advance in the same pass, so an event of
-any of them shows that the group lives; the silence of all of them, past what the
-declared timing explains, is the only early sign of its death.
+A head whose member died keeps accepting requests while no stream advances, and reports
+the failure only seconds later. All streams of a group advance in the same pass, so an
+event of any of them shows that the group is alive. The silence of all of them, beyond
+what the declared timing explains, is the only early sign of its death.
 
-Streams of one group come from many hosts. Where each host has one or two of them, its
-own say little, and what it knows of the others' load is old: it asks whether any host
-saw an event since, before it takes the group for dead.
+Streams of one group come from many hosts. A host with one or two of them has little
+evidence, and its view of the others' load is outdated. So before it takes the group for
+dead, it asks the other hosts whether any of them has seen an event since.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-# Multiple of the predicted silence below which a group is never suspected: passes
-# that read the prompts of other hosts' requests are not all known here.
+# Multiple of the predicted silence below which a group is never suspected, as not all
+# prefill of other hosts' requests is known here.
 EXPECTED_FACTOR = 1.6
-# Added to the predicted silence, in seconds: timers, links and scheduling.
+# Margin added to the predicted silence for timers, links and scheduling, in seconds.
 SILENCE_SLACK_SECONDS = 0.03
-# Share of the objective or gap after which a silent group is suspected if the
-# prediction allows; the rest is what a resume elsewhere takes.
+# Share of the objective or gap target after which a silent group is suspected, unless
+# the predicted silence is longer; the rest is what a resume on another group takes.
 TRIGGER_SHARE = 0.55
-# Time that the other hosts have to say that they saw an event, in seconds: some tens
-# of round trips within a region, and a small part of any gap target.
-ANSWER_SECONDS = 0.025
-# Part of the limit after which they are asked, so that the answers are there at the
-# limit: asked at the limit itself, streams would move later by the time for answers.
+# Time that the other hosts have to report an event, in seconds: some tens of round
+# trips within a region, and a small part of any gap target.
+PEER_ANSWER_SECONDS = 0.025
+# Share of the limit after which they are asked, so that their answers are there at the
+# limit. If asked at the limit, streams would move later by the time for the answers.
 ASK_SHARE = 0.75
-# Time that such an answer counts, in seconds; then the others are asked again, since
-# the group may have died after it.
-ADVANCE_SECONDS = 0.1
-# Multiple of the limit at which a host leaves a group that advances elsewhere while
-# its own streams still wait for their first event: such a group mostly has prompts of
-# others to read.
+# Time for which such an answer is valid, in seconds; then the others are asked again,
+# as the group may have died since.
+ADVANCE_VALID_SECONDS = 0.1
+# Multiple of the limit at which a host moves its streams off a group that advances for
+# other hosts, while its own all wait for their first event: such a group is mostly busy
+# with the prefill of others' prompts.
 OWN_SILENCE_FACTOR = 4.0
-# Part of the asker's silence within which another host must have seen an event: all
-# streams of a dead group fall silent with the same pass.
+# Share of the asking host's silence within which another host must have seen an event,
+# as all streams of a dead group fall silent with the same pass.
 ADVANCE_SHARE = 0.6
 
 
 @dataclass(frozen=True, kw_only=True)
 class GroupSilence:
-    """Describe the streams that one entry host has on one group.
+    """Observed silence of one entry host's streams on one group, and its predictions.
 
-    `has_running` tells whether one of them has had an event there: it would have had
-    another one with each pass, while a stream that still waits for its first may wait
-    longer than the others: up to `first_event_seconds` where none is running.
+    `silent_seconds` is the time since the last event of any of them; `predicted_gap` is
+    the longest silence that the known load explains, and `allowed_gap` the strictest
+    objective or gap target. With `has_running`, one of them has had an event there and would have
+    another with each pass. If none is running, a stream may wait for its first event
+    for up to `first_event_seconds`.
     """
 
     silent_seconds: float
@@ -55,20 +57,20 @@
     has_running: bool = False
 
 
-def silence_limit(quiet: GroupSilence) -> float:
+def silence_limit(silence: GroupSilence) -> float:
     """Return the silence after which a group is suspected, in seconds.
 
     Streams that all wait for their first event look like those of a dead group for as
-    long as first events take there, which the declared timing does not tell.
+    long as first events take there, which the declared timing does not cover.
     """
-    expected = EXPECTED_FACTOR * quiet.predicted_gap
-    if not quiet.has_running:
-        expected = max(expected, quiet.first_event_seconds)
-    return max(expected + SILENCE_SLACK_SECONDS, TRIGGER_SHARE * quiet.allowed_gap)
+    expected = EXPECTED_FACTOR * silence.predicted_gap
+    if not silence.has_running:
+        expected = max(expected, silence.first_event_seconds)
+    return max(expected + SILENCE_SLACK_SECONDS, TRIGGER_SHARE * silence.allowed_gap)
 
 
 class SilenceVerdict(Enum):
-    """Say what to do about a group that stands silent here."""
+    """What to do about a group that is silent on this host."""
 
     SOUND = "sound"
     ASK = "ask"
@@ -79,39 +81,44 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PeerQuery:
-    """Remember when the other hosts were asked, and the last event that one saw."""
+    """When the other hosts were asked, and when one last reported an event."""
 
     asked_at: float
     advanced_at: float | None = None
 
 
 def classify_silence(
-    quiet: GroupSilence, doubt: PeerQuery | None, now: float
+    silence: GroupSilence, query: PeerQuery | None, now: float
 ) -> SilenceVerdict:
-    """Decide about a group by its silence here and what the other hosts answered."""
-    limit = silence_limit(quiet)
-    if quiet.silent_seconds <= ASK_SHARE * limit:
+    """Decide what to do by a group's silence here and the answers of the other hosts.
+
+    SOUND: do nothing. ASK: ask the other hosts. WAIT: wait for their answers, or since
+    the group advances for them. LEAVE: it advances only for others, so move this host's
+    streams off it. SUSPECT: take it for dead.
+    """
+    limit = silence_limit(silence)
+    if silence.silent_seconds <= ASK_SHARE * limit:
         return SilenceVerdict.SOUND
-    if doubt is None:
+    if query is None:
         return SilenceVerdict.ASK
-    if doubt.advanced_at is not None:
-        # A running stream has an event with each pass, so only this host's way to the
-        # group can be cut: waiting on would cost the stream its gap target.
-        factor = 1.0 if quiet.has_running else OWN_SILENCE_FACTOR
-        if quiet.silent_seconds > factor * limit:
+    if query.advanced_at is not None:
+        # A running stream has an event with each pass, so it must be this host that
+        # cannot reach the group: waiting would cost the stream its gap target.
+        factor = 1.0 if silence.has_running else OWN_SILENCE_FACTOR
+        if silence.silent_seconds > factor * limit:
             return SilenceVerdict.LEAVE
-        is_old = now - doubt.advanced_at > ADVANCE_SECONDS
+        is_old = now - query.advanced_at > ADVANCE_VALID_SECONDS
         return SilenceVerdict.ASK if is_old else SilenceVerdict.WAIT
-    if now - doubt.asked_at < ANSWER_SECONDS or quiet.silent_seconds <= limit:
+    if now - query.asked_at < PEER_ANSWER_SECONDS or silence.silent_seconds <= limit:
         return SilenceVerdict.WAIT
     return SilenceVerdict.SUSPECT
 
 
-def seconds_until_due(quiet: GroupSilence) -> float:
-    """Return how long a group stays sound if it shows no event from now on."""
-    return ASK_SHARE * silence_limit(quiet) - quiet.silent_seconds
+def seconds_until_due(silence: GroupSilence) -> float:
+    """Return the seconds until a group without further events is no longer SOUND."""
+    return ASK_SHARE * silence_limit(silence) - silence.silent_seconds
 
 
 def has_advanced(*, own_silence: float, asked_silence: float) -> bool:
-    """Tell whether this host's last event shows that the group lives."""
+    """Return whether this host's last event shows a peer that the group is alive."""
     return own_silence < ADVANCE_SHARE * asked_silence
--- a/mallowpond/state/tests/test_admission.py
+++ b/mallowpond/state/tests/test_admission.py
@@ -49,10 +49,10 @@
 
 
 def test_callers_refused_together_come_back_apart():
-    """Guard against a refused burst that retries at once and is refused again.
+    """Guard against refused callers that all retry together and are refused again.
 
-    A hundred callers are refused together. Without jitter, all get the same retry
-    delay.
+    A hundred callers are refused at the same moment. Without jitter, all of them get
+    the same retry delay.
     """
     times = {jittered_retry_after(1.0, draw / 10) for draw in range(10)}
     assert len(times) == 10
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -86,8 +86,8 @@
     rng = random.Random(2)
     for _ in range(1000):
         first = PREDICTED + seconds + rng.uniform(-0.01, 0.01)
-        quiet = waiting(delay, first)
-        verdict = classify_silence(quiet, PeerQuery(asked_at=0.0), 10.0)
+        silence = waiting(delay, first)
+        verdict = classify_silence(silence, PeerQuery(asked_at=0.0), 10.0)
         assert verdict is not SilenceVerdict.SUSPECT
 
 
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where a stream goes, and when a group is suspected."""
+"""Which group a stream is placed on, and when a group is suspected."""
 
 import random
 from collections import Counter
@@ -15,8 +15,8 @@
     unreported_streams,
 )
 from mallowpond.state.silence import (
-    ANSWER_SECONDS,
     ASK_SHARE,
+    PEER_ANSWER_SECONDS,
     GroupSilence,
     PeerQuery,
     SilenceVerdict,
@@ -50,14 +50,14 @@
 
 
 def test_a_long_prompt_counts_for_more_than_a_few_running_streams():
-    """Symptom: short prompts come late although a neighbour group is free.
+    """Guard against late streams with short prompts although another group is free.
 
-    Sequence: one group reads a prompt of 8,000 tokens, the other runs four streams.
-    Cause: placement by requests in flight sees one against four.
+    One group has a prefill of 8,000 tokens to do, the other runs four streams. By
+    requests in flight, the first would look better, with one against four.
     """
-    reading = GroupLoad(running=1, prefill_tokens=8000)
-    writing = GroupLoad(running=4)
-    assert choose(reading, writing) == 1
+    in_prefill = GroupLoad(running=1, prefill_tokens=8000)
+    in_decode = GroupLoad(running=4)
+    assert choose(in_prefill, in_decode) == 1
 
 
 def test_no_stream_goes_where_it_cannot_start_on_time():
@@ -80,7 +80,7 @@
 
 
 def sent_by_many_hosts(unreported):
-    """Let 40 hosts place a stream each by the same old figures; count by group."""
+    """Place one stream for each of 40 hosts by the same old loads; count by group."""
     rng = random.Random(5)
     loads = [GroupLoad(running=4 + number % 3) for number in range(25)]
     counts = Counter()
@@ -100,12 +100,11 @@
 
 
 def test_hosts_that_hear_late_do_not_all_choose_the_same_group():
-    """Symptom: in a fleet of 70 hosts one group after the other gets a queue of
-    prompts while the rest idle, and first events come late.
+    """Guard against one group after the other getting a queue while the rest idle.
 
-    Sequence: between two figures of the groups' work 40 streams come in; every host
-    sends its own to the group that was best in the last figures.
-    Cause: each host chose the best by figures that were old, and the same, for all.
+    In a fleet of 70 hosts, 40 streams arrive between two load reports. If each host
+    chose the best group by the same outdated loads, all of them would go to one group,
+    and their first events would be late.
     """
     assert max(sent_by_many_hosts(0.0).values()) == 40
     assert max(sent_by_many_hosts(1.6).values()) <= 6
@@ -123,8 +122,8 @@
     assert abs(slow - 4 * fast) < 1e-9
 
 
-def quiet(silent, load, allowed=0.2):
-    """Describe a group that has been silent for some seconds."""
+def silence(silent, load, allowed=0.2):
+    """Build the silence of a group with this load, `silent` seconds long."""
     predicted = silent_seconds(PROFILE, MODEL, load)
     return GroupSilence(
         silent_seconds=silent,
@@ -133,34 +132,34 @@
     )
 
 
-def is_suspect(quiet):
-    """Tell whether a group is suspected once the other hosts have not answered."""
+def is_suspect(silence):
+    """Return whether a group is suspected after the other hosts did not answer."""
     return (
-        classify_silence(quiet, PeerQuery(asked_at=0.0), 100.0)
+        classify_silence(silence, PeerQuery(asked_at=0.0), 100.0)
         is SilenceVerdict.SUSPECT
     )
 
 
 def test_a_silent_idle_group_is_suspected_before_its_streams_are_late():
     load = GroupLoad(running=2)
-    assert not is_suspect(quiet(0.06, load))
-    assert is_suspect(quiet(0.15, load))
+    assert not is_suspect(silence(0.06, load))
+    assert is_suspect(silence(0.15, load))
 
 
 def test_overload_does_not_look_like_death():
-    """Symptom: groups are taken for dead one after the other until none is left.
+    """Guard against groups that are taken for dead one after the other.
 
-    Sequence: some groups die, the others read all their prompts and fall silent for
-    half a second; a fixed limit takes them for dead as well.
-    Cause: the limit did not follow from the work that a group is known to have.
+    Some groups die, and the others are silent for half a second during the prefill of
+    all their prompts. With a fixed limit they would be taken for dead as well, until no
+    group is left; the limit must follow from the known work of a group.
     """
     loaded = GroupLoad(running=13, prefill_tokens=15_000)
-    assert not is_suspect(quiet(0.4, loaded))
-    assert is_suspect(quiet(1.5, loaded))
+    assert not is_suspect(silence(0.4, loaded))
+    assert is_suspect(silence(1.5, loaded))
 
 
 def gap_of(predicted):
-    """Describe streams whose gap is predicted, with 0.2 s allowed."""
+    """Build a silence with a predicted gap and an allowed one of 0.2 s."""
     return GroupSilence(silent_seconds=0.0, predicted_gap=predicted, allowed_gap=0.2)
 
 
@@ -170,19 +169,21 @@
 
 
 def test_the_other_hosts_have_answered_by_the_limit():
-    """Symptom: streams of a dead group move too late for their gap target.
+    """Guard against streams of a dead group that move too late for their gap target.
 
-    Sequence: a group dies; its silence reaches the limit; the other hosts are asked.
-    Cause: the time for their answers was added to the limit.
+    If the other hosts were asked only when the silence of a dead group reaches the
+    limit, the time for their answers would be added to it.
     """
     limit = silence_limit(gap_of(0.05))
 
-    def verdict(silent, doubt):
-        quiet = GroupSilence(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
-        return classify_silence(quiet, doubt, 100.0 + silent)
+    def verdict(silent, query):
+        silence = GroupSilence(
+            silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2
+        )
+        return classify_silence(silence, query, 100.0 + silent)
 
     asked_at = 100.0 + ASK_SHARE * limit + 0.001
-    assert ASK_SHARE * limit + ANSWER_SECONDS < limit
+    assert ASK_SHARE * limit + PEER_ANSWER_SECONDS < limit
     assert verdict(ASK_SHARE * limit - 0.001, None) is SilenceVerdict.SOUND
     assert verdict(ASK_SHARE * limit + 0.001, None) is SilenceVerdict.ASK
     assert verdict(limit - 0.001, PeerQuery(asked_at=asked_at)) is SilenceVerdict.WAIT
@@ -192,23 +193,23 @@
 
 
 def test_a_stream_that_only_waits_its_turn_is_not_moved():
-    """Symptom: streams that wait for a group to read its prompts are moved away, and
-    wait anew at the next group.
+    """Guard against moving streams that wait for a prefill, only to wait elsewhere.
 
-    Sequence: a group reads many prompts; a stream still has no event there, while
-    others on the group advance.
-    Cause: its silence counted like that of a stream that had run.
+    A group has many prompts to process; a stream has no event there yet, while others
+    on the group advance. Its silence must not count like that of a running stream.
     """
     limit = silence_limit(gap_of(0.05))
 
     def verdict(factor, has_running):
-        quiet = GroupSilence(
+        silence = GroupSilence(
             silent_seconds=factor * limit,
             predicted_gap=0.05,
             allowed_gap=0.2,
             has_running=has_running,
         )
-        return classify_silence(quiet, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0)
+        return classify_silence(
+            silence, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0
+        )
 
     assert verdict(1.1, has_running=True) is SilenceVerdict.LEAVE
     assert verdict(3.9, has_running=False) is SilenceVerdict.WAIT
@@ -216,17 +217,16 @@
 
 
 def test_only_as_many_groups_are_looked_at_as_the_choice_is_between():
-    """Symptom: a host of a large fleet spends a fifth of a stream's cost on groups that
-    it does not choose from.
+    """Guard against evaluating the load of groups that are not chosen from.
 
-    Sequence: a stream comes; two groups are drawn out of 82.
-    Cause: the work of all of them was summed up first.
+    For each stream two groups are drawn out of 82. Summing up the load of all of them
+    first took a fifth of the cost of a stream on a host of a large fleet.
     """
-    looked_at = []
+    evaluated = []
 
     def candidates():
         for number in range(82):
-            looked_at.append(number)
+            evaluated.append(number)
             load = GroupLoad(running=14 if number < 3 else 4)
             yield Candidate(key=str(number), load=load)
 
@@ -234,7 +234,7 @@
         PROFILE, MODEL, candidates(), prompt_tokens=500.0, limit_seconds=0.5
     )
     assert [candidate.key for candidate in drawn] == ["3", "4"]
-    assert looked_at == [0, 1, 2, 3, 4]
+    assert evaluated == [0, 1, 2, 3, 4]
 
 
 def test_no_place_is_drawn_where_all_are_full():
