--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -39,9 +39,9 @@
     def note(self, *, answered: bool) -> None:
         """Count how a call ended."""
         if answered:
-            self._window.note_answered()
+            self._window.record_success()
         else:
-            self._window.note_late(self._clock.now())
+            self._window.record_timeout(self._clock.now())
 
     async def _wait(self) -> None:
         turn = asyncio.get_running_loop().create_future()
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -10,9 +10,9 @@
 from mallowpond.node.outcomes import Answered, Reason, Refusal, ServeOutcome
 from mallowpond.node.ports import CallerRequest, Headers
 from mallowpond.node.serving_parts import ServingParts
+from mallowpond.state.admission import jittered_retry_after
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.limits import spread_retry_after
-from mallowpond.state.site_configuration import Repeat, Route
+from mallowpond.state.site_configuration import RepeatPolicy, Route
 from mallowpond.transport.http_client import CallFailed
 from mallowpond.transport.http_server import Exchange
 
@@ -97,7 +97,7 @@
 
     async def serve(self, work: CallWork) -> ServeOutcome:
         """Serve one request to its end."""
-        self._budget(work.service).note_first(self._clock.now())
+        self._budget(work.service).record_first_send(self._clock.now())
         held = self._quarantine.refuse(work.fingerprint, work.request.id)
         if held is not None:
             return held
@@ -109,7 +109,7 @@
             reply = await self._send(work, target)
             match reply:
                 case WholeReply(status=status) if status < 500:
-                    self._quarantine.note_answer(work.fingerprint)
+                    self._quarantine.record_answer(work.fingerprint)
                     await _respond(work, reply)
                     return Answered(status=status, target=target.id)
                 case WholeReply():
@@ -130,7 +130,7 @@
         used = set(work.sent_to) | set(work.turned_away)
         targets = [
             target
-            for target in self._directory.of_service(work.service)
+            for target in self._directory.usable_targets(work.service)
             if self._records[target.process].misdirected is not target
             and self._intake.may_send(target)
         ]
@@ -152,7 +152,7 @@
 
     def _unused(self, work: CallWork) -> list[Target]:
         """Return the targets to which a request was not sent."""
-        targets = self._directory.of_service(work.service)
+        targets = self._directory.usable_targets(work.service)
         return [target for target in targets if target.process not in work.sent_to]
 
     async def _send(self, work: CallWork, target: Target) -> WholeReply | NoReply:
@@ -165,7 +165,7 @@
             limit = FIRST_SEND_SHARE * left
         record = self._records[target.process]
         record.running += 1
-        self._intake.note_sent(target)
+        self._intake.record_sent(target)
         work.sent_to.append(target.process)
         log.info(
             "call: sent",
@@ -184,9 +184,9 @@
         finally:
             record.running -= 1
         if isinstance(reply, NoReply) and reply.reason is Reason.MAYBE_RUN:
-            self._quarantine.note_ending(work.fingerprint, target.process, now)
+            self._quarantine.record_ending(work.fingerprint, target.process, now)
         elif isinstance(reply, WholeReply):
-            self._quarantine.note_life(target.process)
+            self._quarantine.record_alive(target.process)
         self._judge(work, target, reply)
         return reply
 
@@ -246,7 +246,7 @@
             del self._records[process]
 
     def _is_repeatable(self, work: CallWork) -> bool:
-        return work.route.repeat is Repeat.IDEMPOTENT
+        return work.route.repeat is RepeatPolicy.IDEMPOTENT
 
     def _attempts(self, work: CallWork) -> int:
         return max(1, work.route.max_attempts)
@@ -277,7 +277,7 @@
             return Refusal(status=status, reason=reason)
         wait = self._intake.retry_seconds(self._unused(work))
         wait = wait or NO_TARGET_RETRY_SECONDS
-        after = spread_retry_after(wait, self._rng.random())
+        after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
 
--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -9,7 +9,7 @@
 from mallowpond.node.directory import Directory
 from mallowpond.node.outcomes import Reason
 from mallowpond.node.rate_limits import RateLimits
-from mallowpond.state.backoff import Backoffs
+from mallowpond.state.backoff import TargetBackoffs
 from mallowpond.state.fleet import Group, Target
 from mallowpond.state.leaving import LeavingTargets
 from mallowpond.state.target_notice import TargetNotice
@@ -26,14 +26,14 @@
         self._rate_limits = rate_limits
         self._directory = directory
         self._clock = clock
-        self._backoffs = Backoffs()
+        self._backoffs = TargetBackoffs()
         self._leaving = LeavingTargets()
         directory.on_change.append(self._forget_ended)
 
     @property
     def is_any(self) -> bool:
         """Tell whether any target wants less than it could be sent."""
-        is_less = self._rate_limits.is_any or self._backoffs.is_any
+        is_less = self._rate_limits.is_any or self._backoffs.has_entries
         return is_less or len(self._leaving) > 0
 
     def hear(self, target: Target, notice: TargetNotice, asked_at: float) -> None:
@@ -42,7 +42,7 @@
         if notice.is_leaving and self._leaving.add(target.process, self._clock.now()):
             log.info("target: leaves", target=target.id)
         if notice.backoff_seconds is not None:
-            self._backoffs.hear(
+            self._backoffs.record(
                 target.process, notice.backoff_seconds, self._clock.now()
             )
             log.info(
@@ -99,9 +99,9 @@
         if not self.is_any:
             return
         listed = {target.process for target in self._directory.targets.values()}
-        self._backoffs.keep(listed, self._clock.now())
-        self._leaving.keep(listed, self._clock.now())
+        self._backoffs.prune(listed, self._clock.now())
+        self._leaving.prune(listed, self._clock.now())
 
-    def note_sent(self, target: Target) -> None:
+    def record_sent(self, target: Target) -> None:
         """Count a request to a target."""
-        self._rate_limits.note_sent(target)
+        self._rate_limits.record_sent(target)
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -28,7 +28,7 @@
 
     def refusal(self, request: str) -> Refusal | None:
         """Return how a request is refused before it is sent, None if it may be sent."""
-        seconds = self._ledger.seconds_held(request, self._clock.now())
+        seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
         if seconds <= 0.0:
             return None
         return Refusal(status=503, reason=Reason.HELD_BACK, retry_after=seconds)
@@ -44,7 +44,7 @@
         """Tell whether a target ended just now, as far as this host has heard."""
         return self._ledger.has_ended(process, self._clock.now())
 
-    def note_ending(self, request: str, process: Process, sent_at: float) -> bool:
+    def record_ending(self, request: str, process: Process, sent_at: float) -> bool:
         """Note that a target broke off while it ran a request.
 
         False if it had ended before the send, so that the request met nobody there.
@@ -53,7 +53,7 @@
             return False
         now = self._clock.now()
         ending = Ending(process=process, ran=now - sent_at)
-        record = self._ledger.note_ending(request, ending, now)
+        record = self._ledger.record_ending(request, ending, now)
         if record is None:
             return True
         self._metrics.endings.inc()
@@ -69,13 +69,13 @@
             notify(request)
         return True
 
-    def note_life(self, process: Process) -> None:
+    def record_alive(self, process: Process) -> None:
         """Note that a target does something."""
-        self._ledger.note_life(process)
+        self._ledger.record_alive(process)
 
-    def note_answer(self, request: str) -> None:
+    def record_answer(self, request: str) -> None:
         """Note that a request was answered whole."""
-        if self._ledger.note_answer(request, self._clock.now()) is None:
+        if self._ledger.record_answer(request, self._clock.now()) is None:
             return
         self.review()
         for notify in self.on_seen:
@@ -87,7 +87,7 @@
         self._ledger.merge(record, self._clock.now())
         self.review()
         for request in self._held - before:
-            if request == record.request and record.is_enough:
+            if request == record.request and record.has_enough_evidence:
                 # Whoever told it has decided it, and tells everybody.
                 continue
             for notify in self.on_decided:
@@ -95,7 +95,7 @@
 
     def is_held(self, request: str) -> bool:
         """Tell whether a request is held back now."""
-        return self._ledger.seconds_held(request, self._clock.now()) > 0.0
+        return self._ledger.quarantine_seconds_left(request, self._clock.now()) > 0.0
 
     def record(self, request: str) -> CrashRecord | None:
         """Return what is known of a request, None if nothing is."""
@@ -107,7 +107,7 @@
 
     def review(self) -> None:
         """Log what is held back since the last look, and what is no more."""
-        held = self._ledger.held(self._clock.now())
+        held = self._ledger.quarantined(self._clock.now())
         for request in sorted(held - self._held):
             record = self._ledger.record(request, self._clock.now())
             log.warning(
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -30,7 +30,7 @@
 from mallowpond.node.repeated_news import RepeatedNews
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.state.codec import to_plain
-from mallowpond.state.crash_ledger import HOLD_SECONDS, CrashRecord, Ending
+from mallowpond.state.crash_ledger import QUARANTINE_SECONDS, CrashRecord, Ending
 from mallowpond.state.decoding import Unreadable, decode
 from mallowpond.state.ownership import first_owners
 from mallowpond.state.store_clock import StoreClock
@@ -142,7 +142,7 @@
             by_receivers.setdefault(self._receivers(request), []).append(record)
         for receivers, records in by_receivers.items():
             message = CrashRecords(node=self._name, records=tuple(records))
-            self._peers.tell_nodes(message, receivers)
+            self._peers.send_to(message, receivers)
 
     def _receivers(self, request: str) -> frozenset[str]:
         """Return whom a record goes to: all hosts once it was held back."""
@@ -166,7 +166,7 @@
         for at in range(0, max(1, len(records)), RECORDS_AT_ONCE):
             part = tuple(records[at : at + RECORDS_AT_ONCE])
             answer = CrashRecords(node=self._name, records=part, answer=True)
-            self._peers.tell_nodes(answer, (question.node,))
+            self._peers.send_to(answer, (question.node,))
 
     async def run_asking(self) -> None:
         """Ask some peers what they know, as this process knows nothing yet."""
@@ -181,7 +181,7 @@
         """Ask some peers once."""
         live = [peer.heartbeat.node for peer in self._peers.live]
         asked = self._rng.sample(live, min(ASKED_PEERS, len(live)))
-        self._peers.tell_nodes(CrashQuestion(node=self._name), asked)
+        self._peers.send_to(CrashQuestion(node=self._name), asked)
 
     # -- the store -----------------------------------------------------------
 
@@ -230,7 +230,7 @@
         await self._clock.sleep(FIRST_ASK_SECONDS)
         while True:
             self._quarantine.review()
-            if not self._peers.is_senior or await self.read():
+            if not self._peers.is_candidate or await self.read():
                 await self._clock.sleep(READ_SECONDS)
             else:
                 await self._clock.sleep(AGAIN_SECONDS)
@@ -267,7 +267,7 @@
             if ended_at is not None:
                 age = max(0.0, self._clock.now() - ended_at)
         was_held = self._quarantine.is_held(request)
-        if age < HOLD_SECONDS:
+        if age < QUARANTINE_SECONDS:
             record = CrashRecord(request=request, endings=found.endings, age=age)
             self._quarantine.hear(record)
         is_held = self._quarantine.is_held(request)
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -14,7 +14,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.repeated_news import RepeatedNews
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.rate_limit import LimitShares, TargetLimit
+from mallowpond.state.rate_limit import RateLimitShares, TargetLimit
 from mallowpond.state.target_notice import TargetNotice
 
 log = structlog.get_logger()
@@ -46,7 +46,7 @@
         self._clock = clock
         self._metrics = metrics
         self._peers = peers
-        self._shares = LimitShares(host=name)
+        self._shares = RateLimitShares(host=name)
         self._news: RepeatedNews[Process] = RepeatedNews(
             clock=clock, pauses=TELL_PAUSES, at_once=TOLD_AT_ONCE
         )
@@ -74,7 +74,7 @@
     @property
     def is_any(self) -> bool:
         """Tell whether any target names a limit."""
-        return self._shares.is_any
+        return self._shares.has_entries
 
     def seconds_until(self, target: Target) -> float:
         """Return how long a target may be sent nothing by this host, in seconds."""
@@ -88,9 +88,9 @@
         """Return how often any host may send to a target, in seconds; 0 if always."""
         return self._shares.retry_seconds(target.process)
 
-    def note_sent(self, target: Target) -> None:
+    def record_sent(self, target: Target) -> None:
         """Count a request to a target against this host's part of its rate."""
-        self._shares.note_sent(target.process, self._clock.now())
+        self._shares.record_sent(target.process, self._clock.now())
 
     def _hosts(self) -> list[str]:
         others = self._peers.live if self._peers else ()
@@ -98,7 +98,7 @@
 
     def _take(self, said: TargetLimit) -> bool:
         before = self._shares.limits.get(said.process)
-        if not self._shares.hear(said, self._clock.now()):
+        if not self._shares.update(said, self._clock.now()):
             return False
         self._metrics.rate_limited.set(len(self._shares.limits))
         log.info(
@@ -114,7 +114,7 @@
         if not self.is_any:
             return
         listed = {target.process for target in self._directory.targets.values()}
-        self._shares.keep(listed, self._clock.now())
+        self._shares.prune(listed, self._clock.now())
         self._told_at = {p: at for p, at in self._told_at.items() if p in listed}
         self._metrics.rate_limited.set(len(self._shares.limits))
 
@@ -135,11 +135,11 @@
         now = self._clock.now()
         told = []
         for process in self._news.take_due():
-            word = self._shares.word(process, now)
+            word = self._shares.latest(process, now)
             if word is None:
                 self._news.drop(process)
                 continue
             told.append(word)
             self._told_at[process] = now
         if told and self._peers is not None:
-            self._peers.tell(RateLimitNews(node=self._name, limits=tuple(told)))
+            self._peers.broadcast(RateLimitNews(node=self._name, limits=tuple(told)))
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -31,7 +31,7 @@
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.state.site_configuration import (
     Backend,
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
 )
@@ -44,8 +44,8 @@
     models=(MODEL,),
     stride=7,
     step_seconds=0.006,
-    read_tokens_per_second=50_000,
-    usual_answer_tokens=100,
+    prefill_tokens_per_second=50_000,
+    typical_answer_tokens=100,
 )
 MISDIRECTED = 421
 BROKEN = CallFailed(phase=FailurePhase.BODY, reason="closed early")
@@ -279,13 +279,13 @@
     name="r",
     host="h",
     prefix="/",
-    repeat=Repeat.STREAM,
+    repeat=RepeatPolicy.STREAM,
     backends=(Backend(service="engines", weight=1),),
     timeout_seconds=5.0,
     objective_seconds=0.2,
     max_attempts=2,
     resumable=True,
-    gap_seconds=0.2,
+    gap_objective_seconds=0.2,
 )
 
 
--- a/mallowpond/node/tests/test_call_gate.py
+++ b/mallowpond/node/tests/test_call_gate.py
@@ -4,7 +4,7 @@
 
 from mallowpond.node.call_gate import CallGate
 from mallowpond.node.tests.fakes import FakeClock
-from mallowpond.state.call_window import FIRST_CALLS
+from mallowpond.state.call_window import INITIAL_CALLS
 
 
 async def hold(gate, until, began):
@@ -19,8 +19,8 @@
     calls = [asyncio.ensure_future(hold(gate, until, began)) for _ in range(100)]
     for _ in range(5):
         await asyncio.sleep(0)
-    assert len(began) == FIRST_CALLS
-    assert gate.waiting == 100 - FIRST_CALLS
+    assert len(began) == INITIAL_CALLS
+    assert gate.waiting == 100 - INITIAL_CALLS
     until.set()
     await asyncio.gather(*calls)
     assert len(began) == 100
@@ -33,7 +33,7 @@
     Cause: the turn stayed with a call that never began.
     """
     gate, until, began = CallGate(clock=FakeClock()), asyncio.Event(), []
-    first = int(FIRST_CALLS)
+    first = int(INITIAL_CALLS)
     calls = [asyncio.ensure_future(hold(gate, until, began)) for _ in range(first + 8)]
     await asyncio.sleep(0)
     calls[-1].cancel()
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -23,23 +23,23 @@
     intake_of,
     listing,
 )
-from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, CrashRecord, Ending
+from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, CrashRecord, Ending
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.retry_window import RetryWindow
-from mallowpond.state.site_configuration import Backend, Repeat, Route
+from mallowpond.state.site_configuration import Backend, RepeatPolicy, Route
 from mallowpond.transport.http_client import Chunk, End
 
 ONCE = Route(
     name="r",
     host="h",
     prefix="/",
-    repeat=Repeat.ONCE,
+    repeat=RepeatPolicy.ONCE,
     backends=(Backend(service="plain", weight=1),),
     timeout_seconds=1.0,
     objective_seconds=0.2,
     max_attempts=2,
 )
-IDEMPOTENT = replace(ONCE, repeat=Repeat.IDEMPOTENT)
+IDEMPOTENT = replace(ONCE, repeat=RepeatPolicy.IDEMPOTENT)
 
 
 def plain(name, **more):
@@ -208,7 +208,7 @@
     outcome = await service.serve(work_of(clock, ONCE, FakeExchange()))
     assert outcome == Refusal(status=502, reason=Reason.MAYBE_RUN)
     anew = replace(a, born=1)
-    directory.hear_change(listing(anew, b, revision=2, whole=False), previous=1)
+    directory.apply_change(listing(anew, b, revision=2, whole=False), previous=1)
     service._records[b.process].running = 1
     outcome = await service.serve(work_of(clock, ONCE, FakeExchange()))
     assert outcome == Answered(status=200, target="a")
@@ -233,7 +233,7 @@
     async def crash(target, request, **more):
         sends.append(target.process)
         anew = replace(target, born=1)
-        directory.hear_change(listing(anew, revision=2, whole=False), previous=1)
+        directory.apply_change(listing(anew, revision=2, whole=False), previous=1)
         return BROKEN
 
     fakes.send = crash
@@ -257,12 +257,12 @@
     budget = RetryWindow(ratio=0.0, slack=9.0, window_seconds=10.0)
     service = service_of(directory, fakes, clock, budget)
     ends = []
-    for _ in range(ENDINGS_TO_HOLD + 1):
+    for _ in range(ENDINGS_TO_QUARANTINE + 1):
         clock.time += 0.5
         ends.append(await service.serve(work_of(clock, ONCE, FakeExchange())))
-    assert [end.status for end in ends] == [502] * ENDINGS_TO_HOLD + [503]
+    assert [end.status for end in ends] == [502] * ENDINGS_TO_QUARANTINE + [503]
     assert ends[-1].reason is Reason.HELD_BACK
-    assert len(fakes.sends) == ENDINGS_TO_HOLD
+    assert len(fakes.sends) == ENDINGS_TO_QUARANTINE
 
 
 async def test_a_call_goes_to_a_target_that_nobody_saw_end():
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -37,7 +37,7 @@
 )
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.standins.platform import MemoryTable, PlatformFaults
-from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, HOLD_SECONDS
+from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, QUARANTINE_SECONDS
 from mallowpond.state.fleet import Process
 from mallowpond.state.store_clock import StoreClock
 
@@ -66,11 +66,11 @@
             address=self.address,
             table=fleet.table,
             clock=fleet.clock,
-            describe=self.beat,
+            make_heartbeat=self.beat,
         )
         self.peers._send = self.send
         store_clock = StoreClock()
-        store_clock.note(asked_at=fleet.clock.now(), answered_at=50.0)
+        store_clock.record(asked_at=fleet.clock.now(), answered_at=50.0)
         self.sharing = QuarantineSharing(
             name=self.name,
             quarantine=self.quarantine,
@@ -105,7 +105,7 @@
     def meet(self, seconds_ran, number):
         """Note that a target ended under the request that ends them all."""
         sent_at = self.fleet.clock.now() - seconds_ran
-        self.quarantine.note_ending("bad", target(number), sent_at)
+        self.quarantine.record_ending("bad", target(number), sent_at)
 
 
 class Fleet:
@@ -159,7 +159,7 @@
     Cause: each host counted for itself, and none beyond one exchange.
     """
     fleet = Fleet(count)
-    for number in range(ENDINGS_TO_HOLD):
+    for number in range(ENDINGS_TO_QUARANTINE):
         assert fleet.who_holds() == []
         fleet.hosts[number % count].meet(0.1, number)
         fleet.settle()
@@ -168,7 +168,7 @@
 
 def test_endings_at_the_same_moment_at_three_hosts_count_together():
     fleet = Fleet(7)
-    for number in range(ENDINGS_TO_HOLD):
+    for number in range(ENDINGS_TO_QUARANTINE):
         fleet.hosts[number].meet(0.1, number)
     fleet.settle()
     assert fleet.who_holds() == fleet.names
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize("count", [7, 65])
 def test_lost_datagrams_do_not_lose_it(count):
     fleet = Fleet(count, loss=0.3)
-    for number in range(ENDINGS_TO_HOLD):
+    for number in range(ENDINGS_TO_QUARANTINE):
         fleet.hosts[number].meet(0.1, number)
     fleet.settle()
     assert len(fleet.who_holds()) > 0.9 * count
@@ -190,13 +190,13 @@
     Cause: what was known went with the process.
     """
     fleet = Fleet(7)
-    for number in range(ENDINGS_TO_HOLD - 1):
+    for number in range(ENDINGS_TO_QUARANTINE - 1):
         fleet.hosts[number].meet(0.1, number)
     fleet.settle()
     fleet.hosts[6].start()
     fleet.introduce()
     fleet.hosts[6].sharing.ask()
-    fleet.hosts[6].meet(0.1, ENDINGS_TO_HOLD - 1)
+    fleet.hosts[6].meet(0.1, ENDINGS_TO_QUARANTINE - 1)
     assert fleet.who_holds() == ["n6"]
     fleet.settle()
     assert fleet.who_holds() == fleet.names
@@ -211,7 +211,7 @@
     """
     fleet = Fleet(7)
     fleet.table.faults = PlatformFaults(down=True)
-    for number in range(ENDINGS_TO_HOLD):
+    for number in range(ENDINGS_TO_QUARANTINE):
         fleet.hosts[number].meet(0.1, number)
     fleet.settle()
     for host in fleet.hosts:
@@ -224,7 +224,7 @@
         host.start()
     assert fleet.who_holds() == []
     for host in fleet.hosts:
-        host.peers.is_senior = host is fleet.hosts[0]
+        host.peers.is_candidate = host is fleet.hosts[0]
     fleet.introduce()
     assert await fleet.hosts[0].sharing.read()
     fleet.settle()
@@ -233,13 +233,13 @@
 
 async def test_a_row_ends_with_its_hold():
     fleet = Fleet(2)
-    for number in range(ENDINGS_TO_HOLD):
+    for number in range(ENDINGS_TO_QUARANTINE):
         fleet.hosts[0].meet(0.1, number)
     fleet.settle()
     assert await fleet.hosts[0].sharing.write()
     assert await fleet.hosts[1].sharing.read()
     assert len((await fleet.table.scan(PREFIX)).rows) == 1
-    fleet.clock.time += HOLD_SECONDS
+    fleet.clock.time += QUARANTINE_SECONDS
     assert await fleet.hosts[1].sharing.read()
     assert (await fleet.table.scan(PREFIX)).rows == ()
     assert fleet.who_holds() == []
@@ -247,11 +247,11 @@
 
 def test_a_whole_answer_releases_it_everywhere():
     fleet = Fleet(7)
-    for number in range(ENDINGS_TO_HOLD):
+    for number in range(ENDINGS_TO_QUARANTINE):
         fleet.hosts[0].meet(0.1, number)
     fleet.settle()
     assert fleet.who_holds() == fleet.names
-    fleet.hosts[3].quarantine.note_answer("bad")
+    fleet.hosts[3].quarantine.record_answer("bad")
     fleet.settle()
     assert fleet.who_holds() == []
 
@@ -267,7 +267,7 @@
         for number in range(3):
             request = f"{host.name}.{number}"
             sent_at = fleet.clock.now() - 0.4
-            host.quarantine.note_ending(request, target(number), sent_at)
+            host.quarantine.record_ending(request, target(number), sent_at)
     fleet.settle()
     heard = sum(len(data) + 28 for _, name, data in fleet.carried if name == "n0")
     # By the aim of 3 KB a second, over the time in which it is told.
@@ -281,7 +281,7 @@
     fleet = Fleet(2)
     for number in range(500):
         sent_at = fleet.clock.now() - 0.4
-        fleet.hosts[0].quarantine.note_ending(f"r{number}", target(1), sent_at)
+        fleet.hosts[0].quarantine.record_ending(f"r{number}", target(1), sent_at)
     fleet.clock.time += 1.0
     fleet.hosts[0].sharing.tell_due()
     (_, _, data) = fleet.carried.pop()
@@ -307,16 +307,16 @@
     first = await rig.service.serve(rig.work(FakeExchange(), route))
     # It ran, so this is no promise that it did not.
     assert first == Refusal(status=502, reason=Reason.HELD_BACK)
-    assert len(rig.targets.sends) == ENDINGS_TO_HOLD
+    assert len(rig.targets.sends) == ENDINGS_TO_QUARANTINE
     # What is not sent once more spends none of the repeats that all hosts share.
     repeats = rig.service._metrics.retries.labels(Reason.BROKEN_STREAM.value)
-    assert repeats._value.get() == ENDINGS_TO_HOLD - 1
+    assert repeats._value.get() == ENDINGS_TO_QUARANTINE - 1
     rig.clock.time += 1.0
     again = await rig.service.serve(rig.work(FakeExchange(), route))
     assert again == Refusal(
-        status=503, reason=Reason.HELD_BACK, retry_after=HOLD_SECONDS - 1.0
+        status=503, reason=Reason.HELD_BACK, retry_after=QUARANTINE_SECONDS - 1.0
     )
-    assert len(rig.targets.sends) == ENDINGS_TO_HOLD
+    assert len(rig.targets.sends) == ENDINGS_TO_QUARANTINE
 
 
 async def test_a_stream_that_shared_each_group_with_it_is_still_served():
@@ -329,9 +329,9 @@
     rig.targets.script("d0", answer(1, 2))
     quarantine = rig.service._quarantine
     beside, now = rig.work(FakeExchange()), rig.clock.now()
-    for number in range(ENDINGS_TO_HOLD):
-        quarantine.note_ending(beside.fingerprint, target(number), now - 0.4)
-        quarantine.note_ending("bad", target(number), now - 0.1)
+    for number in range(ENDINGS_TO_QUARANTINE):
+        quarantine.record_ending(beside.fingerprint, target(number), now - 0.4)
+        quarantine.record_ending("bad", target(number), now - 0.1)
     assert quarantine.is_held("bad")
     outcome = await rig.service.serve(beside)
     assert outcome == Answered(status=200, target="d0")
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -106,12 +106,12 @@
     intake_of(rig).hear(head(rig, "a0"), NAMED, rig.clock.now())
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await settle()
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     await settle()
     assert rig.targets.sends == []
     rig.targets.script("a0", answer(1))
     rig.clock.time += 1.0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await serving == Answered(status=200, target="a0")
 
 
@@ -122,7 +122,7 @@
     """
     site = await site_of("a")
     rig, unused = site.rig_a, []
-    site.asking.on_unused.append(lambda: unused.append(True))
+    site.dispatcher_client.on_unused_grant.append(lambda: unused.append(True))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
 
     def grant(number):
@@ -133,10 +133,10 @@
             verdict=PlaceVerdict.GRANTED,
             group="a",
             epoch=1,
-            granted=1,
+            grant_number=1,
         )
 
-    site.dispatcher.ask = lambda asker, seek, claim: grant(asker.number)
+    site.dispatcher.request_slot = lambda asker, seek, claim: grant(asker.number)
     outcome = await serving
     assert (outcome.status, outcome.reason) == (503, Reason.RATE_LIMITED)
     assert rig.targets.sends == []
@@ -193,7 +193,7 @@
         self.on_rate_limits, self.other, self.losses = [], None, 0
         self.live = ()
 
-    def tell(self, news):
+    def broadcast(self, news):
         """Hand news to the other host."""
         assert isinstance(news, RateLimitNews)
         if self.losses:
@@ -286,12 +286,12 @@
     rig.targets.script("b0", answer(2))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await settle()
-    rig.directory.break_group(rig.directory.groups["a", 1], BreakCause.RESTARTED)
+    rig.directory.mark_broken(rig.directory.groups["a", 1], BreakCause.RESTARTED)
     end.set_result(None)
     await settle()
     assert not serving.done()
     limits.hear(head(rig, "b0"), TargetNotice(), rig.clock.now())
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await serving == Answered(status=200, target="b0")
 
 
