--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -14,7 +14,7 @@
 from mallowpond.state.codec import to_compact
 from mallowpond.state.crash_ledger import CrashRecord
 from mallowpond.state.decoding import (
-    Fault,
+    DecodeFault,
     Identifier,
     Name,
     Positive,
@@ -29,20 +29,20 @@
 HEARTBEAT_SECONDS = 0.1
 # Longest pause between heartbeats that a peer may announce, in seconds: beyond that of
 # the largest fleet. A longer one would keep a dead peer among the living.
-LONGEST_INTERVAL_SECONDS = 60.0
+MAX_INTERVAL_SECONDS = 60.0
 # Largest datagram that is read, in bytes: what UDP over IPv4 carries; and the largest
 # that one is unpacked to.
-LARGEST_DATAGRAM = 65_507
-LARGEST_UNPACKED = 4 * LARGEST_DATAGRAM
+MAX_DATAGRAM_BYTES = 65_507
+MAX_DECOMPRESSED_BYTES = 4 * MAX_DATAGRAM_BYTES
 # Size from which a datagram is compressed, in bytes: a change of many targets, sent in
 # full to many hosts, would fill a link, and what gets lost each host reads anew.
-COMPRESSED_BYTES = 600
+COMPRESSION_THRESHOLD_BYTES = 600
 # First byte of what is compressed; no message begins with it.
-COMPRESSED_MARK = b"\x78"
+ZLIB_FIRST_BYTE = b"\x78"
 
 
 @dataclass(frozen=True, kw_only=True)
-class WorkFigures:
+class LoadColumns:
     """Tell work by group, in a column for each figure.
 
     With a data class for each group they would take several times as long to decode.
@@ -54,7 +54,7 @@
     reading: tuple[int, ...] = ()
 
     @property
-    def is_whole(self) -> bool:
+    def has_equal_columns(self) -> bool:
         """Tell whether each column has a figure of each group."""
         columns = (self.groups, self.epochs, self.running, self.reading)
         return len(set(map(len, columns))) == 1
@@ -80,9 +80,9 @@
     interval: float = HEARTBEAT_SECONDS
     data_centre: str = ""
     cores: float = 0.0
-    loads: WorkFigures = WorkFigures()
+    loads: LoadColumns = LoadColumns()
     # The last place that the dispatcher gave, whose stream `loads` holds.
-    granted: int = 0
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -154,7 +154,7 @@
     node: Name
     version: int
     changed: int
-    loads: WorkFigures = WorkFigures()
+    loads: LoadColumns = LoadColumns()
     pass_on: bool = False
 
 
@@ -181,12 +181,13 @@
 class Work:
     """Tell the readers one host's work by group.
 
-    It holds the streams of all places that the dispatcher gave up to `granted`.
+    It includes the streams of all places that the dispatcher granted up to the one
+    numbered `grant_number`.
     """
 
     node: Name
-    loads: WorkFigures
-    granted: int = 0
+    loads: LoadColumns
+    grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -222,8 +223,8 @@
 class PlaceAnswer:
     """Answer a question for a place.
 
-    A granted place is on `group`, and `granted` counts those given to that host. One
-    that is refused would have to wait for `wait` seconds.
+    A granted place is on `group`; `grant_number` counts the places granted to that host
+    so far. A refused stream would have to wait for `wait` seconds.
     """
 
     node: Name
@@ -231,7 +232,7 @@
     verdict: PlaceVerdict
     group: str = ""
     epoch: int = 0
-    granted: int = 0
+    grant_number: int = 0
     wait: float = 0.0
 
 
@@ -339,46 +340,49 @@
     | CrashQuestion
     | RateLimitNews
 )
-MESSAGES = {kind.__name__: kind for kind in get_args(Message)}
+MESSAGE_CLASSES = {kind.__name__: kind for kind in get_args(Message)}
 
 
 def write_message(message: Message) -> bytes:
     """Encode a message as a datagram."""
     data = cbor2.dumps([type(message).__name__, to_compact(message)])
-    return data if len(data) < COMPRESSED_BYTES else zlib.compress(data)
+    return data if len(data) < COMPRESSION_THRESHOLD_BYTES else zlib.compress(data)
 
 
 def read_message(data: bytes) -> Message | Unreadable:
     """Decode a datagram, whatever it holds."""
-    if len(data) > LARGEST_DATAGRAM:
-        return Unreadable(fault=Fault.RANGE)
-    if data[:1] == COMPRESSED_MARK:
-        unpacked = unpack(data, LARGEST_UNPACKED)
+    if len(data) > MAX_DATAGRAM_BYTES:
+        return Unreadable(fault=DecodeFault.RANGE)
+    if data[:1] == ZLIB_FIRST_BYTE:
+        unpacked = decompress(data, MAX_DECOMPRESSED_BYTES)
         if unpacked is None:
-            return Unreadable(fault=Fault.BYTES)
+            return Unreadable(fault=DecodeFault.BYTES)
         data = unpacked
     content = _parse(data)
     if isinstance(content, Unreadable):
         return content
     if not isinstance(content, list) or len(content) != 2:
-        return Unreadable(fault=Fault.TYPE)
+        return Unreadable(fault=DecodeFault.TYPE)
     name, plain = content
-    if not isinstance(name, str) or name not in MESSAGES:
-        return Unreadable(fault=Fault.UNKNOWN)
-    message = decode_compact(plain, MESSAGES[name])
+    if not isinstance(name, str) or name not in MESSAGE_CLASSES:
+        return Unreadable(fault=DecodeFault.UNKNOWN)
+    message = decode_compact(plain, MESSAGE_CLASSES[name])
     if isinstance(message, Heartbeat):
-        if not 0.0 < message.interval <= LONGEST_INTERVAL_SECONDS:
-            return Unreadable(fault=Fault.RANGE, field="interval")
-    if isinstance(message, Heartbeat | Digest | Work) and not message.loads.is_whole:
-        return Unreadable(fault=Fault.MISSING, field="loads")
+        if not 0.0 < message.interval <= MAX_INTERVAL_SECONDS:
+            return Unreadable(fault=DecodeFault.RANGE, field="interval")
+    if (
+        isinstance(message, Heartbeat | Digest | Work)
+        and not message.loads.has_equal_columns
+    ):
+        return Unreadable(fault=DecodeFault.MISSING, field="loads")
     return message
 
 
-def unpack(data: bytes, most: int) -> bytes | None:
-    """Return what was compressed, None if it is damaged or larger than `most` bytes."""
+def decompress(data: bytes, max_bytes: int) -> bytes | None:
+    """Return what was compressed, None if it is damaged or larger than `max_bytes`."""
     unpacking = zlib.decompressobj()
     try:
-        unpacked = unpacking.decompress(data, most)
+        unpacked = unpacking.decompress(data, max_bytes)
     except zlib.error:
         return None
     return unpacked if unpacking.eof else None
@@ -390,14 +394,14 @@
     # Tagged values are built by the constructors of many types, each with errors of
     # its own.
     except Exception:
-        return Unreadable(fault=Fault.BYTES)
+        return Unreadable(fault=DecodeFault.BYTES)
 
 
-def heartbeat_loads(
+def encode_loads(
     loads: dict[GroupKey, tuple[int, float]],
-) -> WorkFigures:
+) -> LoadColumns:
     """Return a host's work by group as messages carry it."""
-    return WorkFigures(
+    return LoadColumns(
         groups=tuple(group for group, _ in loads),
         epochs=tuple(epoch for _, epoch in loads),
         running=tuple(running for running, _ in loads.values()),
@@ -406,7 +410,7 @@
     )
 
 
-def loads_of(
+def decode_loads(
     message: Heartbeat | Work | Digest,
 ) -> dict[GroupKey, tuple[int, float]]:
     """Return the work by group that a message tells."""
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -54,16 +54,16 @@
 
 # Heartbeats that one node may send in a second; in a larger fleet each peer hears less
 # often, so that the bytes of a node do not grow with the fleet.
-HEARTBEATS_PER_SECOND = 60.0
+MAX_HEARTBEATS_PER_SECOND = 60.0
 # Heartbeats a second in a large fleet: of a host that plans or reads the store, or is
 # next to, whose death is noticed after four pauses, and of any other, of which its
 # peers need only know that it lives.
-SENIOR_HEARTBEATS_PER_SECOND = 220.0
+CANDIDATE_HEARTBEATS_PER_SECOND = 220.0
 ORDINARY_HEARTBEATS_PER_SECOND = 8.0
 # Pause between two heartbeats of a host that plans or reads, or is next to, to the
 # others of them in a large fleet, in seconds: those for all hosts are too far apart for
 # the next one to plan to notice a planner's death soon.
-SENIOR_SECONDS = 0.25
+CANDIDATE_HEARTBEAT_SECONDS = 0.25
 # Silence after which a peer counts as gone, in heartbeats and in seconds at least.
 GONE_HEARTBEATS = 4.0
 GONE_SECONDS = 1.0
@@ -73,13 +73,13 @@
 ROWS_SECONDS = 15.0
 ORDINARY_ROWS_SECONDS = 120.0
 # Pause before the rows are written and read again after a failure, in seconds.
-ROWS_AGAIN_SECONDS = 0.5
+ROWS_RETRY_SECONDS = 0.5
 # Time for which it is kept which hosts live, in seconds: each request asks for their
 # number, and several loops who they are.
-COUNT_SECONDS = 0.2
+LIVE_CACHE_SECONDS = 0.2
 # Pause between two log lines on hosts that were met, in seconds: in a fleet that
 # starts, each host meets each other one.
-MET_SECONDS = 1.0
+MET_LOG_SECONDS = 1.0
 NODES_PREFIX = "nodes/"
 
 
@@ -115,7 +115,7 @@
         address: str,
         table: TableService,
         clock: Clock,
-        describe: Callable[[], Heartbeat],
+        make_heartbeat: Callable[[], Heartbeat],
         notes: UnreadableNotes | None = None,
     ) -> None:
         self._notes = notes or UnreadableNotes()
@@ -124,21 +124,21 @@
         self._address = address
         self._table = table
         self._clock = clock
-        self._describe = describe
+        self._describe = make_heartbeat
         self._transport: asyncio.DatagramTransport | None = None
         self._addresses: dict[str, str] = {}
         self._peers: dict[str, Peer] = {}
         self._live: list[Peer] = []
-        self._counted_at = float("-inf")
+        self._live_at = float("-inf")
         self._met = 0
-        self._met_told_at = float("-inf")
-        self.is_senior = True
-        self.seniors: frozenset[str] = frozenset()
+        self._met_logged_at = float("-inf")
+        self.is_candidate = True
+        self.candidates: frozenset[str] = frozenset()
         self.on_heartbeat: list[Callable[[Heartbeat], None]] = []
         self.on_suspicion: list[Callable[[Suspicion], None]] = []
         self.on_group_broken: list[Callable[[GroupBroken], None]] = []
-        self.on_vouch: list[Callable[[str], None]] = []
-        self.on_question: list[Callable[[SilenceQuestion], bool]] = []
+        self.on_target_healthy: list[Callable[[str], None]] = []
+        self.on_silence_question: list[Callable[[SilenceQuestion], bool]] = []
         self.on_advance: list[Callable[[GroupKey], None]] = []
         self.on_digest: list[Callable[[Digest], None]] = []
         self.on_list_change: list[Callable[[ListChange], None]] = []
@@ -161,12 +161,12 @@
     def live(self) -> list[Peer]:
         """Return the peers that were heard of lately."""
         now = self._clock.now()
-        if now - self._counted_at > COUNT_SECONDS:
+        if now - self._live_at > LIVE_CACHE_SECONDS:
             self._live = [p for p in self._peers.values() if p.is_live(now)]
-            self._counted_at = now
+            self._live_at = now
         return self._live
 
-    def is_gone(self, node: str, incarnation: str) -> bool:
+    def has_stopped_planning(self, node: str, incarnation: str) -> bool:
         """Tell whether a node that was heard of plans no more as this incarnation."""
         peer = self._peers.get(node)
         if peer is None:
@@ -188,24 +188,24 @@
         """Return how many nodes serve, this one included."""
         return 1 + len(self.live)
 
-    def hears(self, node: str, seconds: float) -> bool:
+    def has_heard_from(self, node: str, seconds: float) -> bool:
         """Tell whether a node was heard of within a time."""
         peer = self._peers.get(node)
         return peer is not None and self._clock.now() - peer.heard_at <= seconds
 
     @property
-    def is_large(self) -> bool:
+    def is_large_fleet(self) -> bool:
         """Tell whether heartbeats are too rare to go by their work figures."""
-        return len(self._addresses) / HEARTBEATS_PER_SECOND > HEARTBEAT_SECONDS
+        return len(self._addresses) / MAX_HEARTBEATS_PER_SECOND > HEARTBEAT_SECONDS
 
     @property
     def interval(self) -> float:
         """Return the pause between two heartbeats, in seconds."""
-        if not self.is_large:
+        if not self.is_large_fleet:
             return HEARTBEAT_SECONDS
         rate = ORDINARY_HEARTBEATS_PER_SECOND
-        if self.is_senior:
-            rate = SENIOR_HEARTBEATS_PER_SECOND
+        if self.is_candidate:
+            rate = CANDIDATE_HEARTBEATS_PER_SECOND
         return len(self._addresses) / rate
 
     async def start(self, port: int) -> None:
@@ -224,49 +224,53 @@
     async def run_heartbeats(self) -> None:
         """Send heartbeats until cancelled."""
         while True:
-            self.tell_heartbeat()
+            self.send_heartbeat()
             await self._clock.sleep(self.interval)
 
-    async def run_senior_heartbeats(self) -> None:
+    async def run_candidate_heartbeats(self) -> None:
         """Send heartbeats among the hosts that plan or read next, until cancelled."""
         while True:
-            if self._is_among_seniors:
-                heartbeat = replace(self._describe(), interval=SENIOR_SECONDS)
-                self.tell_nodes(heartbeat, self.seniors)
-            await self._clock.sleep(SENIOR_SECONDS)
+            if self._uses_candidate_pace:
+                heartbeat = replace(
+                    self._describe(), interval=CANDIDATE_HEARTBEAT_SECONDS
+                )
+                self.send_to(heartbeat, self.candidates)
+            await self._clock.sleep(CANDIDATE_HEARTBEAT_SECONDS)
 
     @property
-    def _is_among_seniors(self) -> bool:
-        return self.is_large and self.is_senior
+    def _uses_candidate_pace(self) -> bool:
+        return self.is_large_fleet and self.is_candidate
 
-    def tell_heartbeat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell the fleet how this node is, but those that hear it more often."""
         heartbeat = self._describe()
-        if not self._is_among_seniors:
-            self.tell(heartbeat)
+        if not self._uses_candidate_pace:
+            self.broadcast(heartbeat)
             return
-        others = self._addresses.keys() - self.seniors
-        self.tell_nodes(heartbeat, others)
+        others = self._addresses.keys() - self.candidates
+        self.send_to(heartbeat, others)
 
-    async def run_rows(self) -> None:
+    async def run_node_rows(self) -> None:
         """Keep this node's row, and read those of others, until cancelled."""
         written = False
         while True:
             written = written or await self._write_row()
             read = await self._read_rows()
             if not (written and read):
-                await self._clock.sleep(ROWS_AGAIN_SECONDS)
+                await self._clock.sleep(ROWS_RETRY_SECONDS)
                 continue
             waited = 0.0
-            while waited < (ROWS_SECONDS if self.is_senior else ORDINARY_ROWS_SECONDS):
+            while waited < (
+                ROWS_SECONDS if self.is_candidate else ORDINARY_ROWS_SECONDS
+            ):
                 await self._clock.sleep(ROWS_SECONDS)
                 waited += ROWS_SECONDS
 
-    def tell_suspicion(
+    def broadcast_suspicion(
         self, key: tuple[str, int], *, cleared: bool = False, closing: bool = False
     ) -> None:
         """Tell every peer that a group is silent, sound again, or closing."""
-        self.tell(
+        self.broadcast(
             Suspicion(
                 node=self._name,
                 group=key[0],
@@ -276,11 +280,11 @@
             )
         )
 
-    def tell_broken(self, group: Group, cause: BreakCause) -> None:
+    def broadcast_group_broken(self, group: Group, cause: BreakCause) -> None:
         """Tell every peer that a formation serves no more."""
         if group.head is None:
             return
-        self.tell(
+        self.broadcast(
             GroupBroken(
                 node=self._name,
                 group=group.name,
@@ -290,27 +294,27 @@
             )
         )
 
-    def ask_about(self, key: GroupKey, silent: float) -> None:
+    def ask_group_progress(self, key: GroupKey, silent: float) -> None:
         """Ask every peer whether a group advances."""
-        self.tell(
+        self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
         )
 
     def ask_liveness(self, node: str, number: int, target: str) -> None:
         """Ask a peer whether a target lives."""
         question = LivenessQuestion(node=self._name, number=number, target=target)
-        self.tell_nodes(question, (node,))
+        self.send_to(question, (node,))
 
-    def tell_liveness(self, question: LivenessQuestion, alive: bool) -> None:
+    def answer_liveness(self, question: LivenessQuestion, alive: bool) -> None:
         """Answer a peer that asked whether a target lives."""
         answer = LivenessAnswer(node=self._name, number=question.number, alive=alive)
-        self.tell_nodes(answer, (question.node,))
+        self.send_to(answer, (question.node,))
 
-    def tell_vouch(self, target: str) -> None:
+    def broadcast_target_healthy(self, target: str) -> None:
         """Tell every peer that a target which the list has lost is healthy."""
-        self.tell(Vouch(node=self._name, targets=(target,)))
+        self.broadcast(Vouch(node=self._name, targets=(target,)))
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every known peer."""
         self._send(message, self._addresses.values())
 
@@ -328,7 +332,7 @@
         peer = self._peers.get(node)
         return peer.heartbeat.cores if peer else 0.0
 
-    def tell_nodes(self, message: Message, nodes: Iterable[str]) -> None:
+    def send_to(self, message: Message, nodes: Iterable[str]) -> None:
         """Send a message to some peers."""
         self._send(message, (self._addresses[n] for n in nodes if n in self._addresses))
 
@@ -356,18 +360,18 @@
     def _take(self, message: Message) -> None:
         match message:
             case Heartbeat():
-                self._hear(message)
+                self._on_heartbeat(message)
             case Suspicion():
                 _notify(self.on_suspicion, message)
             case GroupBroken():
                 _notify(self.on_group_broken, message)
             case Vouch(targets=targets):
                 for target in targets:
-                    for vouch in self.on_vouch:
+                    for vouch in self.on_target_healthy:
                         vouch(target)
             case SilenceQuestion(node=asker, group=group, epoch=epoch):
                 address = self._addresses.get(asker)
-                if address and any(ask(message) for ask in self.on_question):
+                if address and any(ask(message) for ask in self.on_silence_question):
                     answer = Advance(node=self._name, group=group, epoch=epoch)
                     self._send(answer, (address,))
             case Advance(group=group, epoch=epoch):
@@ -410,16 +414,16 @@
         """Note that a peer's port is closed; its silence tells the rest."""
         log.debug("peers: datagram refused", error=repr(exc))
 
-    def _hear(self, heartbeat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         if heartbeat.node == self._name:
             return
         now = self._clock.now()
         is_new = False
         known = self._peers.get(heartbeat.node)
         if known is None or not known.is_live(now):
-            self._counted_at = float("-inf")
+            self._live_at = float("-inf")
         if known is None or known.heartbeat.incarnation != heartbeat.incarnation:
-            self._note_met(heartbeat, now)
+            self._log_met(heartbeat, now)
             is_new = True
         self._addresses[heartbeat.node] = heartbeat.address
         if known is None:
@@ -427,14 +431,14 @@
         else:
             known.heartbeat, known.heard_at = heartbeat, now
         _notify(self.on_heartbeat, heartbeat)
-        if is_new and self._is_among_seniors:
+        if is_new and self._uses_candidate_pace:
             # A host that has just started must know whom to follow before the next
             # heartbeat of the fleet's pace, seconds later.
-            self.tell_nodes(self._describe(), (heartbeat.node,))
+            self.send_to(self._describe(), (heartbeat.node,))
 
-    def _note_met(self, heartbeat: Heartbeat, now: float) -> None:
+    def _log_met(self, heartbeat: Heartbeat, now: float) -> None:
         self._met += 1
-        if now - self._met_told_at < MET_SECONDS:
+        if now - self._met_logged_at < MET_LOG_SECONDS:
             return
         log.info(
             "peers: met",
@@ -443,7 +447,7 @@
             met=self._met,
             known=len(self._peers),
         )
-        self._met, self._met_told_at = 0, now
+        self._met, self._met_logged_at = 0, now
 
     async def _write_row(self) -> bool:
         row = NodeRow(address=self._address, incarnation=self._incarnation)
--- a/mallowpond/node/stream_placing.py
+++ b/mallowpond/node/stream_placement.py
@@ -1,23 +1,22 @@
-"""Give each stream a group: choose one, wait for a place, or refuse at once."""
+"""Place each stream: select a group, wait for a free slot, or refuse at once."""
 
 from math import inf
 
-from mallowpond.node.outcomes import Reason, Refusal
-from mallowpond.node.place_asking import (
-    PlaceAsking,
+from mallowpond.node.dispatcher_client import (
+    DispatcherClient,
     Placed,
-    PlaceOutcome,
-    TurnedAway,
-    WaitedInVain,
+    PlacementOutcome,
+    Rejected,
+    WaitEnded,
 )
-from mallowpond.node.place_choice import FIRST_EVENT_SHARE, PlaceChoice, Seek
+from mallowpond.node.group_selector import FIRST_EVENT_SHARE, GroupSelector, SlotRequest
+from mallowpond.node.outcomes import Reason, Refusal
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
-from mallowpond.node.waiting import WaitingLine
+from mallowpond.node.waiting import WaitQueue
+from mallowpond.state.admission import expected_wait, jittered_retry_after
 from mallowpond.state.first_event import FirstEventDelay
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
-from mallowpond.state.limits import expected_wait, spread_retry_after
-from mallowpond.state.place_line import Claim
 from mallowpond.state.placement import (
     Candidate,
     GroupLoad,
@@ -25,23 +24,27 @@
     first_event_seconds,
     pass_seconds,
 )
+from mallowpond.state.placement_queue import QueueEntry
 
-# Share of a caller's patience that a stream may wait here for a place: the rest is
-# for reading the prompt and the first pass.
+# Share of a caller's patience that a stream may wait here for a slot: the rest is for
+# prefill and the first pass.
 WAIT_SHARE = 0.6
-# Silence after which callers leave, as the platform's pages give it: the longest of
-# these seconds, objectives and allowed gaps.
+# Silence after which callers give up, as the platform documents it: the largest of
+# these seconds, multiples of the objective, and multiples of the gap objective.
 PATIENCE_SECONDS = 2.0
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_GAPS = 8.0
-# Time left below which a stream is not sent any more, in seconds.
-LEAST_SECONDS = 0.05
-# Time to come back when no group serves a model and none is known to form soon.
+# Minimum time left before the deadline to send a stream, in seconds.
+MIN_SEND_SECONDS = 0.05
+# Retry-After when no group serves a model and none is known to form soon, in seconds.
 NO_GROUP_RETRY_SECONDS = 1.0
 
 
-class StreamPlacing:
-    """Place streams on the groups of a directory."""
+class StreamPlacement:
+    """Places streams on the groups of a directory.
+
+    Slots come from the dispatcher where there is one, else from this host's own view.
+    """
 
     def __init__(self, *, parts: ServingParts) -> None:
         self._directory = parts.directory
@@ -52,22 +55,22 @@
         self._rng = parts.rng
         self._quarantine = parts.quarantine
         self._intake = parts.intake
-        self._lines: dict[str, WaitingLine] = {}
-        self._shapes: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
-        self.choice = PlaceChoice(
+        self._queues: dict[str, WaitQueue] = {}
+        self._models: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
+        self.selector = GroupSelector(
             directory=parts.directory,
             quarantine=parts.quarantine,
             budget=parts.budget,
             hosts=parts.hosts,
             rng=parts.rng,
         )
-        # Without it this host goes by news of the others alone.
-        self.asking: PlaceAsking | None = None
-        self.ends_at = inf
+        # Without it this host places streams by load reports alone.
+        self.dispatcher_client: DispatcherClient | None = None
+        self.shutdown_at = inf
 
-    def note_shape(self, work: StreamWork) -> None:
-        """Remember what a stream of its model looks like, for those that wait."""
-        self._shapes[work.model.name] = (
+    def record_model(self, work: StreamWork) -> None:
+        """Record a stream's model and objective, by which `wake` looks for a slot."""
+        self._models[work.model.name] = (
             work.service,
             work.profile,
             work.model,
@@ -75,46 +78,46 @@
         )
 
     def wake_all(self) -> None:
-        """Look whether waiting streams have a place now."""
-        for model in self._lines:
+        """Wake the waiting streams of every model that has a free slot."""
+        for model in self._queues:
             self.wake(model)
 
     def delay(self, service: str, model: str) -> FirstEventDelay:
-        """Return what was learnt of the first events of a model."""
-        return self.choice.delay(service, model)
+        """Return the learned delay of a model's first events beyond the prediction."""
+        return self.selector.delay(service, model)
 
     def end_waits(self) -> None:
-        """Let no stream wait for a place any longer."""
-        for line in self._lines.values():
-            line.end()
-        if self.asking is not None:
-            self.asking.end_waits()
+        """End the waits of all streams without a slot."""
+        for queue in self._queues.values():
+            queue.reject_all()
+        if self.dispatcher_client is not None:
+            self.dispatcher_client.end_waits()
 
     async def place(self, work: StreamWork) -> Group | Refusal:
-        """Return the group that a stream goes to, or why it goes to none."""
+        """Return the group for a stream, waiting for a slot if needed, or a refusal."""
         while True:
-            held = self._quarantine.refuse(work.fingerprint, work.request.id)
-            if held is not None:
-                # Placed all the same, it would end one more group and all that runs
-                # there; its caller comes again, at any host.
-                return held
+            quarantined = self._quarantine.refuse(work.fingerprint, work.request.id)
+            if quarantined is not None:
+                # Placed, it would crash one more group and every stream there; its
+                # caller may retry at any host.
+                return quarantined
             refusal = self._refuse_closed(work)
             if refusal is not None:
                 return refusal
-            match await self._ask(work):
-                case TurnedAway(wait=wait):
+            match await self._request_slot(work):
+                case Rejected(wait=wait):
                     return self.refuse(Reason.OVERLOADED, wait)
-                case WaitedInVain():
+                case WaitEnded():
                     return self._refuse_unplaced(work)
                 case Placed(group=group) if self._intake.closed([group]):
-                    # What its head says has changed while the stream waited.
-                    self._give_back()
+                    # Its head closed admission while the stream waited.
+                    self._release_grant()
                     continue
                 case Placed(group=group):
                     pass
                 case None:
                     group = self.choose(work)
-            if group is not None and self._ends_before(work):
+            if group is not None and self._shuts_down_before(work):
                 self.wake(work.model.name)
                 return self.refuse(Reason.STOPPING, 0.0)
             if group is not None:
@@ -124,11 +127,11 @@
                 return refusal
 
     def choose(self, work: StreamWork) -> Group | None:
-        """Return the group with a place for a stream now, None if there is none."""
-        return self.choice.by_news(self._seek(work))
+        """Return a group with a free slot by load reports, None if there is none."""
+        return self.selector.select_by_reports(self._slot_request(work))
 
-    def _seek(self, work: StreamWork) -> Seek:
-        return Seek(
+    def _slot_request(self, work: StreamWork) -> SlotRequest:
+        return SlotRequest(
             service=work.service,
             profile=work.profile,
             model=work.model,
@@ -138,9 +141,9 @@
         )
 
     def _avoided(self, work: StreamWork) -> frozenset[str]:
-        """Return the groups that are out of the question for a stream now.
+        """Return the names of the groups that a stream must not be sent to now.
 
-        It was sent there already, or the head wants no request now.
+        It was sent there already, or the group's head admits no requests now.
         """
         if not work.sent_to and not self._intake.is_any:
             return frozenset()
@@ -149,9 +152,10 @@
         return self._intake.closed(groups).union(used)
 
     def _refuse_closed(self, work: StreamWork) -> Refusal | None:
-        """Refuse a stream where every group of its model wants none for too long.
+        """Refuse a stream if no group of its model admits requests within its patience.
 
-        Not one that has begun: it would be cut off, though a group may form in time.
+        A stream that has begun is not refused: it would be cut off although a group may
+        form in time.
         """
         if work.has_begun or not self._intake.is_any:
             return None
@@ -163,43 +167,45 @@
             return None
         return self.refuse(reason, self._intake.retry_seconds(heads))
 
-    def _give_back(self) -> None:
-        """Tell that a place which was given is not used."""
-        if self.asking is not None:
-            self.asking.give_back()
+    def _release_grant(self) -> None:
+        """Report that a granted slot is not used."""
+        if self.dispatcher_client is not None:
+            self.dispatcher_client.release_grant()
 
-    async def _ask(self, work: StreamWork) -> PlaceOutcome | None:
-        """Ask the host that counts all places, if there is one."""
+    async def _request_slot(self, work: StreamWork) -> PlacementOutcome | None:
+        """Request a slot from the dispatcher; return None without an answer."""
         now = self._clock.now()
         patience = min(self._patience(work), work.deadline - now)
-        if self.asking is None or patience <= LEAST_SECONDS:
+        if self.dispatcher_client is None or patience <= MIN_SEND_SECONDS:
             return None
-        claim = Claim(
+        entry = QueueEntry(
             priority=work.priority,
-            on_time_until=self._on_time_until(work),
-            since=now,
-            until=now + patience,
+            objective_deadline=self._objective_deadline(work),
+            queued_at=now,
+            deadline=now + patience,
             has_begun=work.has_begun,
         )
         self._metrics.waiting.inc()
         try:
-            return await self.asking.ask(self._seek(work), claim)
+            return await self.dispatcher_client.request_slot(
+                self._slot_request(work), entry
+            )
         finally:
             self._metrics.waiting.dec()
             work.waited += self._clock.now() - now
 
     async def _wait(self, work: StreamWork) -> Refusal | None:
-        """Wait for a place, or say at once that there will be none in time."""
+        """Wait in this host's queue for a slot; refuse if none comes in time."""
         now = self._clock.now()
-        if now + LEAST_SECONDS > work.deadline:
+        if now + MIN_SEND_SECONDS > work.deadline:
             return Refusal(status=504, reason=Reason.TIMEOUT)
         groups = self._directory.serving_groups(work.service, work.model.name)
-        line = self._lines.setdefault(work.model.name, WaitingLine())
+        queue = self._queues.setdefault(work.model.name, WaitQueue())
         wait = expected_wait(
-            ahead=line.ahead_of(work.priority, has_begun=work.has_begun),
-            places=len(groups) * work.profile.slots,
-            # Every host gets its part of the places that free.
-            service_seconds=self.choice.hold_seconds(work.profile, work.model)
+            ahead=queue.ahead_of(work.priority, has_begun=work.has_begun),
+            slots=len(groups) * work.profile.slots,
+            # All hosts share the slots that come free.
+            service_seconds=self.selector.hold_seconds(work.profile, work.model)
             * self._hosts(),
         )
         patience = min(self._patience(work), work.deadline - now)
@@ -208,58 +214,59 @@
         if wait > patience:
             return self.refuse(Reason.OVERLOADED, wait)
         self._metrics.waiting.inc()
-        came = False
+        is_woken = False
         try:
-            came = await line.wait(
+            is_woken = await queue.wait(
                 priority=work.priority,
-                on_time_until=self._on_time_until(work),
+                objective_deadline=self._objective_deadline(work),
                 seconds=patience,
                 has_begun=work.has_begun,
             )
         finally:
             self._metrics.waiting.dec()
             work.waited += self._clock.now() - now
-            if not came:
-                # It may have been offered a place as it left, which goes to the next.
+            if not is_woken:
+                # It may have been offered a slot as it left: offer that to the next.
                 self.wake(work.model.name)
-        if not came:
+        if not is_woken:
             return self._refuse_unplaced(work)
         return None
 
     def _patience(self, work: StreamWork) -> float:
-        """Return how long a stream may wait for a place from now.
+        """Return how long a stream may wait for a slot from now, in seconds.
 
-        Counted from its last event: counted from its start, a stream that had run for
-        1.2 s was cut off at once when its group died and no place was free.
+        It counts from the stream's last event: counted from its start, a stream that
+        had run for 1.2 s was cut off at once when its group died and no slot was free.
         """
         whole = max(
             PATIENCE_SECONDS,
             PATIENCE_OBJECTIVES * work.route.objective_seconds,
-            PATIENCE_GAPS * work.route.gap_seconds,
+            PATIENCE_GAPS * work.route.gap_objective_seconds,
         )
-        heard_at = work.last_event_at or work.started_at
-        return max(0.0, WAIT_SHARE * whole - (self._clock.now() - heard_at))
+        last_at = work.last_event_at or work.started_at
+        return max(0.0, WAIT_SHARE * whole - (self._clock.now() - last_at))
 
-    def _on_time_until(self, work: StreamWork) -> float:
-        """Return until when a place lets a stream meet its objective.
+    def _objective_deadline(self, work: StreamWork) -> float:
+        """Return the latest time to send a stream so that it meets its objective.
 
-        The first event takes its own time from there on: ordered by the objective
-        alone, those that are just too late go before those that are not.
+        The predicted time to the first event is subtracted: ordered by the objective
+        alone, streams that are just too late would go before those that are not.
         """
         load = GroupLoad(running=max(0, work.profile.slots - 1))
         seconds = first_event_seconds(
             work.profile, work.model, load, work.prompt_tokens
         )
-        seconds += self.delay(work.service, work.model.name).usual
+        seconds += self.delay(work.service, work.model.name).typical
         return work.started_at + work.route.objective_seconds - seconds
 
     def longest_seconds(self, work: StreamWork) -> float:
-        """Return how long a stream may take from now on, infinity without a group.
+        """Return an upper bound of a stream's duration from now on, in seconds.
 
-        With as many tokens as it may get, on the group that it would get, full and at
-        the pace that it shows; without a place on the best that may get one: at the
-        pace of a sound group, a host took streams that its slow groups could not end
-        before it ended.
+        The bound is for the largest answer on the group that the stream would get, with
+        all slots in use and at the group's current pace; without a free slot, on the
+        fastest group of its model; without a group it is infinite. Predicted at the
+        declared pace, a host that was shutting down accepted streams that its slow
+        groups could not finish in time.
         """
         groups = self._directory.serving_groups(work.service, work.model.name)
         chosen = self.choose(work)
@@ -270,41 +277,41 @@
         load = GroupLoad(
             running=work.profile.slots, slowness=min(load.slowness for load in loads)
         )
-        tokens = work.request.answer_tokens or work.profile.usual_answer_tokens
+        tokens = work.request.answer_tokens or work.profile.typical_answer_tokens
         passes = tokens / max(1, work.profile.stride)
         one_pass = pass_seconds(work.profile, work.model, load)
         return work.route.objective_seconds + passes * one_pass
 
-    def _ends_before(self, work: StreamWork) -> bool:
-        """Tell whether this host ends before a stream that has not begun.
+    def _shuts_down_before(self, work: StreamWork) -> bool:
+        """Return whether this host may shut down before a new stream ends.
 
-        Judged only when it was taken, a stream got a place just before its host ended
-        and was cut off; its caller can still come back to another host.
+        Checked at arrival only, a stream that had waited got a slot just before the
+        shutdown and was cut off; refused, its caller can retry at another host.
         """
-        if self.ends_at == inf or work.has_begun:
+        if self.shutdown_at == inf or work.has_begun:
             return False
-        return self._clock.now() + self.longest_seconds(work) > self.ends_at
+        return self._clock.now() + self.longest_seconds(work) > self.shutdown_at
 
     def _refuse_unplaced(self, work: StreamWork) -> Refusal:
-        """Refuse a stream that waited in vain."""
+        """Refuse a stream that got no slot while it waited."""
         groups = self._directory.serving_groups(work.service, work.model.name)
         reason = Reason.OVERLOADED if groups else Reason.NO_GROUP
         return self.refuse(reason, NO_GROUP_RETRY_SECONDS)
 
     def refuse(self, reason: Reason, wait: float) -> Refusal:
-        """Refuse a stream that did not run, to come back after about `wait` seconds."""
-        after = spread_retry_after(wait, self._rng.random())
+        """Refuse a stream that did not run; it may retry after about `wait` seconds."""
+        after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
     def wake(self, model: str) -> None:
-        """Look whether the streams that wait for a model have a place now."""
-        line = self._lines.get(model)
-        shape = self._shapes.get(model)
-        if line is None or shape is None:
+        """Wake the first waiting stream of a model if a group has a free slot."""
+        queue = self._queues.get(model)
+        parameters = self._models.get(model)
+        if queue is None or parameters is None:
             return
-        service, profile, spec, objective = shape
+        service, profile, spec, objective = parameters
 
-        def has_place() -> bool:
+        def has_capacity() -> bool:
             groups = self._directory.serving_groups(service, model)
             closed = self._intake.closed(groups)
             loads = [
@@ -316,9 +323,9 @@
                 profile,
                 spec,
                 loads,
-                prompt_tokens=profile.usual_prompt_tokens,
+                prompt_tokens=profile.typical_prompt_tokens,
                 limit_seconds=FIRST_EVENT_SHARE * objective,
             )
             return chosen is not None
 
-        line.wake(has_place, self._clock.now())
+        queue.wake(has_capacity, self._clock.now())
--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -30,7 +30,7 @@
 ANSWER_SECONDS = 0.5
 
 
-class Fate(Enum):
+class Delivery(Enum):
     """Say what becomes of an order and of the engine that it is sent to."""
 
     TAKEN = "taken"
@@ -65,7 +65,7 @@
         return Process(id=self.id, born=self.born)
 
     @property
-    def place(self):
+    def formation(self):
         """Return the formation in which the engine stands."""
         return (self.group, self.epoch, self.members) if self.phase else None
 
@@ -111,11 +111,11 @@
     engines: dict = field(default_factory=dict)
     listed: dict = field(default_factory=dict)
     revision: int = 1
-    late: list = field(default_factory=list)
-    unanswered: list = field(default_factory=list)
-    fates: list = field(default_factory=list)
+    late_orders: list = field(default_factory=list)
+    pending_answers: list = field(default_factory=list)
+    deliveries: list = field(default_factory=list)
     slow_reports: int = 0
-    broken_rules: list = field(default_factory=list)
+    violations: list = field(default_factory=list)
     ever_ready: dict = field(default_factory=lambda: defaultdict(set))
     _starts: int = 0
 
@@ -137,7 +137,7 @@
         self.revision += 1
         self.listed[name] = self.engines[name].target()
 
-    def lapse(self, name):
+    def expire(self, name):
         """Let the list lose an engine's entry."""
         if self.listed.pop(name, None) is not None:
             self.revision += 1
@@ -148,17 +148,17 @@
             if engine.phase in (GroupPhase.JOINING, GroupPhase.CLOSING):
                 engine.phase = GroupPhase.READY
             if engine.phase is GroupPhase.READY:
-                self.ever_ready[engine.place].add(engine.process)
+                self.ever_ready[engine.formation].add(engine.process)
 
     def stall(self):
         """Break the groups whose head waits for a member that stands there no more."""
         for engine in self.engines.values():
             if engine.phase in SERVING:
                 others = [self.engines[m] for m in engine.members]
-                if any(other.place != engine.place for other in others):
+                if any(other.formation != engine.formation for other in others):
                     engine.phase = GroupPhase.BROKEN
 
-    def arrive(self, step, *, fence, expected):
+    def receive(self, step, *, fence, expected):
         """Carry out an order at whatever process runs under the id."""
         engine = self.engines[step.target.id]
         if expected != engine.count:
@@ -193,30 +193,30 @@
         return OrderUnfit()
 
     def _join(self, engine, step):
-        place = (step.group, step.epoch, step.members)
+        formation = (step.group, step.epoch, step.members)
         if step.epoch < engine.epoch:
             return OrderFenced()
-        if engine.place == place:
+        if engine.formation == formation:
             return OrderTaken(began=False)
-        if engine.place is not None and engine.place[:2] == place[:2]:
+        if engine.formation is not None and engine.formation[:2] == formation[:2]:
             return OrderFenced()
         self._check_not_serving(engine, step)
-        engine.group, engine.epoch, engine.members = place
+        engine.group, engine.epoch, engine.members = formation
         engine.phase, engine.model = GroupPhase.JOINING, step.model
         return OrderTaken(began=True)
 
     def _check_not_serving(self, engine, step):
-        if engine.place is None:
+        if engine.formation is None:
             return
         head = self.engines[engine.members[0]]
-        if head.place == engine.place and head.phase in SERVING:
-            self.broken_rules.append(f"{engine} joins {step} beside {head}")
+        if head.formation == engine.formation and head.phase in SERVING:
+            self.violations.append(f"{engine} joins {step} beside {head}")
 
     def _open(self, engine):
-        place = engine.place
-        ready = {process.id for process in self.ever_ready[place]}
+        formation = engine.formation
+        ready = {process.id for process in self.ever_ready[formation]}
         if engine.id != engine.members[0] or ready != set(engine.members):
-            self.broken_rules.append(f"{engine} opens with {ready} ever ready")
+            self.violations.append(f"{engine} opens with {ready} ever ready")
         engine.phase = GroupPhase.OPEN
         return OrderTaken(began=True)
 
@@ -225,11 +225,11 @@
     """Read the fleet's list; cut off, it answers nothing."""
 
     def __init__(self, fleet):
-        self.fleet, self.cut = fleet, False
+        self.fleet, self.is_cut_off = fleet, False
 
     async def targets(self, since):
         """Return all that is listed."""
-        if self.cut:
+        if self.is_cut_off:
             return Unavailable(reason="cut off")
         return TargetsRead(
             revision=self.fleet.revision,
@@ -243,34 +243,36 @@
 
     def __init__(self, fleet, clock):
         self.fleet, self.clock = fleet, clock
-        self.told = defaultdict(set)
-        self.told_since = defaultdict(set)
+        self.reported_counts = defaultdict(set)
+        self.counts_since_listing = defaultdict(set)
         self.lagging = {}
         self.asked = 0
         self.answered = {}
         self.listed = lambda name: None
         self.on_order = []
-        self.left = set()
+        self.left_formations = set()
 
     async def order(self, step, *, fence, expected):
         """Send an order, to which what was drawn for it happens."""
         for check in self.on_order:
             check(step, expected)
-        fate = self.fleet.fates.pop(0) if self.fleet.fates else Fate.TAKEN
+        fate = self.fleet.deliveries.pop(0) if self.fleet.deliveries else Delivery.TAKEN
         fleet, name, end = self.fleet, step.target.id, None
-        if fate is Fate.NOT_SENT:
+        if fate is Delivery.NOT_SENT:
             return OrderLost(reason="refused")
-        if fate is Fate.LATE:
-            fleet.late.append(LateOrder(step=step, fence=fence, expected=expected))
+        if fate is Delivery.LATE:
+            fleet.late_orders.append(
+                LateOrder(step=step, fence=fence, expected=expected)
+            )
             return OrderLost(reason="timeout")
-        if fate in (Fate.RESTART_BEFORE, Fate.RESTART_TWICE):
+        if fate in (Delivery.RESTART_BEFORE, Delivery.RESTART_TWICE):
             fleet.restart(name)
-        end = fleet.arrive(step, fence=fence, expected=expected)
-        if fate in (Fate.RESTART_AFTER, Fate.RESTART_TWICE):
+        end = fleet.receive(step, fence=fence, expected=expected)
+        if fate in (Delivery.RESTART_AFTER, Delivery.RESTART_TWICE):
             fleet.restart(name)
-        if fate is Fate.ANSWER_LOST:
+        if fate is Delivery.ANSWER_LOST:
             return OrderLost(reason="timeout")
-        if fate is Fate.ANSWER_LATE:
+        if fate is Delivery.ANSWER_LATE:
             sent_at = self.clock.now()
             await self._wait()
             if self.clock.now() - sent_at > ANSWER_SECONDS:
@@ -278,7 +280,9 @@
         if end == OrderTaken(began=True):
             self._note_count(step.target.process, expected + 1)
             if isinstance(step, Leave):
-                self.left.add((step.target.process, (step.group, step.epoch)))
+                self.left_formations.add(
+                    (step.target.process, (step.group, step.epoch))
+                )
         return end
 
     async def report(self, target):
@@ -300,8 +304,8 @@
         return replace(before)
 
     def _note_count(self, process, count):
-        self.told[process].add(count)
-        self.told_since[process].add(count)
+        self.reported_counts[process].add(count)
+        self.counts_since_listing[process].add(count)
 
     def _note_answer(self, asked, meant, answered):
         """Note which process the answer to the newest question ends."""
@@ -317,7 +321,7 @@
 
     async def _wait(self):
         waiting = asyncio.get_running_loop().create_future()
-        self.fleet.unanswered.append(waiting)
+        self.fleet.pending_answers.append(waiting)
         await waiting
 
     async def is_healthy(self, target, path):
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from mallowpond.node import place_asking
+from mallowpond.node import dispatcher_client
 from mallowpond.node.dispatcher import Dispatcher
+from mallowpond.node.dispatcher_client import UNRESPONSIVE_SECONDS, DispatcherClient
 from mallowpond.node.group_loads import GroupLoads
 from mallowpond.node.messages import (
     PlaceAnswer,
     PlaceQuestion,
     PlaceVerdict,
     Work,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
 )
 from mallowpond.node.outcomes import Answered, Reason
-from mallowpond.node.peer_work import GRANT_SECONDS, PEER_LOAD_SECONDS
-from mallowpond.node.place_asking import SILENT_SECONDS, PlaceAsking
+from mallowpond.node.peer_work import GRANT_TTL_SECONDS, PEER_LOAD_TTL_SECONDS
 from mallowpond.node.tests.fakes import (
     MODEL,
     PROFILE,
@@ -39,7 +39,7 @@
         self.on_place_question, self.on_place_answer = [], []
         self.sent = []
 
-    def tell_nodes(self, message, nodes):
+    def send_to(self, message, nodes):
         """Hand a message to the other host."""
         self.sent.append(message)
         if self.is_cut or self.other is None or self.other.name not in nodes:
@@ -61,19 +61,19 @@
         self.wire_a, self.wire_b = Wire("a"), Wire("b")
         self.wire_a.other, self.wire_b.other = self.wire_b, self.wire_a
         self.dispatcher, self.asking_b = self._host(rig_b, self.wire_b)
-        _, self.asking = self._host(rig_a, self.wire_a)
+        _, self.dispatcher_client = self._host(rig_a, self.wire_a)
 
     def _host(self, rig, wire):
         dispatcher = Dispatcher(
             name=wire.name,
             peers=wire,
             directory=rig.directory,
-            choice=rig.service.placing.choice,
+            selector=rig.service.placement.selector,
             clock=rig.clock,
-            shape_of=lambda service, model: (PROFILE, MODEL),
+            find_model=lambda service, model: (PROFILE, MODEL),
             is_dispatcher=lambda: wire.name == "b",
         )
-        asking = PlaceAsking(
+        dispatcher_client = DispatcherClient(
             name=wire.name,
             peers=wire,
             directory=rig.directory,
@@ -81,14 +81,20 @@
             clock=rig.clock,
             dispatching_host=lambda: "b",
         )
-        rig.service.placing.asking = asking
-        return dispatcher, asking
+        rig.service.placement.dispatcher_client = dispatcher_client
+        return dispatcher, dispatcher_client
 
     def tell_work(self):
         """Let `b` hear of the streams of `a`."""
         loads = self.rig_a.directory.loads.own_loads()
-        work = Work(node="a", loads=heartbeat_loads(loads), granted=self.asking.granted)
-        self.rig_b.directory.loads.note_peer("a", loads_of(work), work.granted)
+        work = Work(
+            node="a",
+            loads=encode_loads(loads),
+            grant_number=self.dispatcher_client.grant_number,
+        )
+        self.rig_b.directory.loads.record_peer_loads(
+            "a", decode_loads(work), work.grant_number
+        )
         self.dispatcher.wake()
 
 
@@ -138,13 +144,13 @@
     site = await site_of("a")
     site.rig_a.targets.script("a0", answer(1))
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
-    site.rig_b.directory.loads.note_peer("c", full)
+    site.rig_b.directory.loads.record_peer_loads("c", full)
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
     await settle()
     assert site.rig_a.targets.sends == []
-    site.rig_b.directory.loads.note_peer("c", {})
+    site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
     assert await serving == Answered(status=200, target="a0")
 
@@ -159,37 +165,37 @@
         assert outcome == Answered(status=200, target="a0")
     # Asked once: each question in vain costs its stream time.
     assert len(site.wire_a.sent) == 1
-    site.rig_a.clock.time += SILENT_SECONDS
+    site.rig_a.clock.time += UNRESPONSIVE_SECONDS
     site.wire_a.is_cut = False
     await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     assert len(site.wire_a.sent) == 2
-    assert site.asking.granted == 1
+    assert site.dispatcher_client.grant_number == 1
 
 
 async def test_a_place_that_nobody_takes_is_free_again():
     """Guard against places that are lost with the callers who left."""
     site = await site_of("a")
-    site.asking.on_unused.append(site.tell_work)
+    site.dispatcher_client.on_unused_grant.append(site.tell_work)
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
-    site.rig_b.directory.loads.note_peer("c", full)
+    site.rig_b.directory.loads.record_peer_loads("c", full)
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
     await settle()
     serving.cancel()
     await asyncio.gather(serving, return_exceptions=True)
-    site.rig_b.directory.loads.note_peer("c", {})
+    site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
     given = site.wire_b.sent[-1]
     assert given.verdict is PlaceVerdict.GRANTED
-    assert site.asking.granted == given.granted
+    assert site.dispatcher_client.grant_number == given.grant_number
     assert site.rig_b.directory.loads.load(GROUP).running == 0
 
 
 async def test_who_cannot_be_placed_in_time_is_refused_at_once():
     """Guard against callers that wait for what the line says will not come."""
     site = await site_of("a")
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     waiting = []
     for _ in range(60):
         work = site.rig_a.work(FakeExchange())
@@ -210,7 +216,7 @@
 async def test_who_waited_in_vain_is_not_told_to_come_back_at_once(groups, reason):
     """Guard against callers whose only other try comes while nothing has changed."""
     site = await site_of(*groups)
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
     await settle()
@@ -224,7 +230,7 @@
 async def test_a_group_that_only_the_asker_avoids_is_not_named():
     """Guard against sending a stream back to the group that it was moved from."""
     site = await site_of("a", "b")
-    site.rig_a.directory.withhold(GROUP, site.rig_a.clock.now() + 9.0)
+    site.rig_a.directory.suspend_group(GROUP, site.rig_a.clock.now() + 9.0)
     site.rig_a.targets.script("b0", *(answer(1) for _ in range(4)))
     for _ in range(4):
         outcome = await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
@@ -249,12 +255,12 @@
 async def test_a_stopping_host_ends_the_waits_at_the_dispatcher_too():
     """Guard against requests that get no answer as their host ends."""
     site = await site_of("a")
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
     await settle()
-    site.rig_a.service.placing.end_waits()
+    site.rig_a.service.placement.end_waits()
     async with asyncio.timeout(1.0):
         outcome = await serving
     assert outcome.status == 503
@@ -265,15 +271,15 @@
     """Guard against counting a stream twice, or not at all, between two tellings."""
     clock = FakeClock()
     loads = GroupLoads(clock=clock)
-    loads.note_grant("a", 1, GROUP, 100.0)
-    loads.note_grant("a", 2, GROUP, 100.0)
+    loads.record_grant("a", 1, GROUP, 100.0)
+    loads.record_grant("a", 2, GROUP, 100.0)
     assert loads.load(GROUP).running == 2
-    loads.note_peer("a", {GROUP: (1, 50.0)}, 1)
+    loads.record_peer_loads("a", {GROUP: (1, 50.0)}, 1)
     assert loads.load(GROUP).running == 2
-    assert loads.load(GROUP).reading_tokens == 150.0
-    loads.note_peer("a", {GROUP: (2, 0.0)}, 2)
+    assert loads.load(GROUP).prefill_tokens == 150.0
+    loads.record_peer_loads("a", {GROUP: (2, 0.0)}, 2)
     assert loads.load(GROUP).running == 2
-    assert loads.load(GROUP).reading_tokens == 0.0
+    assert loads.load(GROUP).prefill_tokens == 0.0
 
 
 @pytest.mark.parametrize("tells", [True, False])
@@ -281,24 +287,24 @@
     """Guard against places that are lost with a host."""
     clock = FakeClock()
     loads = GroupLoads(clock=clock)
-    loads.note_grant("a", 1, GROUP, 100.0)
+    loads.record_grant("a", 1, GROUP, 100.0)
     if tells:
-        loads.note_peer("a", {GROUP: (1, 0.0)}, 1)
-    clock.time += max(GRANT_SECONDS, PEER_LOAD_SECONDS) + 0.1
+        loads.record_peer_loads("a", {GROUP: (1, 0.0)}, 1)
+    clock.time += max(GRANT_TTL_SECONDS, PEER_LOAD_TTL_SECONDS) + 0.1
     assert loads.load(GROUP).running == 0
 
 
 async def test_a_stream_whose_answer_was_lost_asks_again(monkeypatch):
     """Guard against streams that wait for an answer that got lost."""
-    monkeypatch.setattr(place_asking, "RENEW_SECONDS", 0.01)
+    monkeypatch.setattr(dispatcher_client, "RENEW_SECONDS", 0.01)
     site = await site_of("a")
     site.rig_a.targets.script("a0", answer(1))
-    site.rig_b.directory.loads.note_peer("c", {GROUP: (PROFILE.slots + 1, 0.0)})
+    site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
     await settle()
     site.wire_b.is_cut = True
-    site.rig_b.directory.loads.note_peer("c", {})
+    site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
     site.wire_b.is_cut = False
     # Well before the patience of its caller ends.
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -7,7 +7,7 @@
 
 from mallowpond.node.outcomes import Answered, CutOff, Reason, Refusal
 from mallowpond.node.ports import TargetsRead
-from mallowpond.node.streams import MOST_PAUSE_SECONDS
+from mallowpond.node.streams import MAX_BACKOFF_SECONDS
 from mallowpond.node.tests.fakes import (
     BROKEN,
     PROFILE,
@@ -136,7 +136,7 @@
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     (stream,) = rig.service.active
-    assert not rig.service.may_move(stream)
+    assert not rig.service.can_move(stream)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
@@ -154,7 +154,7 @@
     first = rig.targets.sends[0][0]
     other = {"a0": "b0", "b0": "a0"}[first]
     rig.targets.script(other, answer(2))
-    assert rig.service.may_move(stream)
+    assert rig.service.can_move(stream)
     stream.move(Reason.SILENT_GROUP)
     assert await task == Answered(status=200, target=other)
     assert exchange.body == whole(1, 2)
@@ -184,7 +184,7 @@
     rig.clock.time += 0.5
     rig.targets.script("b0", answer(3))
     rig.directory.loads.work(("b", 1)).running = 0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await task == Answered(status=200, target="b0")
     assert exchange.body == whole(1, 2, 3)
 
@@ -201,7 +201,7 @@
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert rig.directory.loads.work(("a", 1)).running == 0
-    assert rig.directory.loads.work(("a", 1)).reading_tokens == 0
+    assert rig.directory.loads.work(("a", 1)).prefill_tokens == 0
     assert not rig.service.active
 
 
@@ -214,11 +214,11 @@
     """
     rig = await rig_of("a")
     work = rig.work(FakeExchange())
-    sound = rig.service.placing.longest_seconds(work)
+    sound = rig.service.placement.longest_seconds(work)
     group_work = rig.directory.loads.work(("a", 1))
     group_work.slowness, group_work.last_event_at = 5.0, rig.clock.now()
     passes = sound - work.route.objective_seconds
-    slow = rig.service.placing.longest_seconds(work)
+    slow = rig.service.placement.longest_seconds(work)
     assert slow >= work.route.objective_seconds + 4.9 * passes
 
 
@@ -229,7 +229,9 @@
     as if one did.
     """
     rig = await rig_of()
-    assert rig.service.placing.longest_seconds(rig.work(FakeExchange())) == float("inf")
+    assert rig.service.placement.longest_seconds(rig.work(FakeExchange())) == float(
+        "inf"
+    )
 
 
 async def test_a_head_that_says_it_is_not_the_one_gets_no_more_streams():
@@ -342,7 +344,7 @@
         for name in (f"{group}0", f"{group}1")
     ]
     revision = rig.directory.changed + 1
-    rig.directory.hear_change(
+    rig.directory.apply_change(
         TargetsRead(revision=revision, targets=tuple(anew)), previous=revision - 1
     )
 
@@ -427,7 +429,7 @@
         await rig.service.serve(rig.work(FakeExchange()))
         rig.clock.time += 0.2
     rig.targets.script("a0", answer(1))
-    rig.clock.time += MOST_PAUSE_SECONDS
+    rig.clock.time += MAX_BACKOFF_SECONDS
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert outcome == Answered(status=200, target="a0")
 
@@ -448,7 +450,7 @@
     for _ in range(5):
         await asyncio.sleep(0)
     rig.directory.loads.work(("a", 1)).running = 0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     tasks[0].cancel()
     for _ in range(20):
         await asyncio.sleep(0)
--- a/mallowpond/state/first_event.py
+++ b/mallowpond/state/first_event.py
@@ -15,13 +15,13 @@
 SAMPLES = 64
 # First events below which nothing is known yet: a host sees as many in two seconds, and
 # the median of fewer may be that of a single group that died.
-LEAST_SAMPLES = 8
+MIN_SAMPLES = 8
 # Share of the samples that come later than the longest delay that counts as usual: two
 # of them, so that a stream moved from a dead group does not set the limit.
 LATE_SHARE = 0.04
 # Longest delay that is assumed while nothing is known, in seconds: with less, a host
 # that has just started would take slow engines for dead.
-UNKNOWN_SECONDS = 1.0
+DEFAULT_UPPER_BOUND_SECONDS = 1.0
 
 
 @dataclass(kw_only=True)
@@ -31,25 +31,27 @@
     _errors: deque[float] = field(default_factory=lambda: deque(maxlen=SAMPLES))
 
     @property
-    def usual(self) -> float:
+    def typical(self) -> float:
         """Return the median delay in seconds, 0 while nothing is known."""
         if not self._is_known:
             return 0.0
         return max(0.0, median(self._errors))
 
     @property
-    def longest(self) -> float:
+    def upper_bound(self) -> float:
         """Return the delay in seconds that few first events exceed."""
         if not self._is_known:
-            return UNKNOWN_SECONDS
+            return DEFAULT_UPPER_BOUND_SECONDS
         ranked = sorted(self._errors, reverse=True)
         return max(0.0, ranked[int(LATE_SHARE * len(ranked))])
 
     @property
     def _is_known(self) -> bool:
-        return len(self._errors) >= LEAST_SAMPLES
+        return len(self._errors) >= MIN_SAMPLES
 
-    def note(self, *, observed: float, predicted: float, slowness: float = 1.0) -> None:
+    def record(
+        self, *, observed: float, predicted: float, slowness: float = 1.0
+    ) -> None:
         """Add one first event: the seconds that it took, and those predicted.
 
         What is missing on a slow group is counted as on one at its declared pace.
--- a/mallowpond/state/lease.py
+++ b/mallowpond/state/lease.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(kw_only=True)
-class LapseWatch:
+class ExpiryWatch:
     """Remember when each watched counter was last seen to move."""
 
     lease_seconds: float
@@ -39,7 +39,7 @@
         """Tell whether anything was observed of `key`."""
         return key in self._seen
 
-    def is_lapsed(self, key: Hashable, now: float) -> bool:
+    def is_expired(self, key: Hashable, now: float) -> bool:
         """Tell whether the counter of `key` has stood still for the lease time."""
         known = self._seen.get(key)
         return known is not None and now - known[1] >= self.lease_seconds
--- a/mallowpond/state/tests/test_limits.py
+++ b/mallowpond/state/tests/test_admission.py
@@ -1,6 +1,6 @@
 """Queueing and early refusal."""
 
-from mallowpond.state.limits import FairQueue, judge_wait, spread_retry_after
+from mallowpond.state.admission import FairQueue, jittered_retry_after, refuse_if_late
 
 
 def test_queue_shares_between_a_large_and_a_small_workspace():
@@ -33,17 +33,19 @@
 
 
 def test_request_that_cannot_be_served_in_time_is_refused_at_once():
-    refused = judge_wait(ahead=100, places=10, service_seconds=1.0, remaining=5.0)
+    refused = refuse_if_late(ahead=100, slots=10, service_seconds=1.0, remaining=5.0)
     assert refused.reason == "overloaded"
     assert refused.retry_after >= 1.0
 
 
 def test_request_that_can_wait_is_kept():
-    assert judge_wait(ahead=10, places=10, service_seconds=1.0, remaining=5.0) is None
+    assert (
+        refuse_if_late(ahead=10, slots=10, service_seconds=1.0, remaining=5.0) is None
+    )
 
 
 def test_no_places_means_refusal():
-    assert judge_wait(ahead=0, places=0, service_seconds=1.0, remaining=5.0)
+    assert refuse_if_late(ahead=0, slots=0, service_seconds=1.0, remaining=5.0)
 
 
 def test_callers_refused_together_come_back_apart():
@@ -52,12 +54,12 @@
     Sequence: a hundred callers are refused in a moment, all with the same time.
     Cause: the time to come back had no spread.
     """
-    times = {spread_retry_after(1.0, draw / 10) for draw in range(10)}
+    times = {jittered_retry_after(1.0, draw / 10) for draw in range(10)}
     assert len(times) == 10
     assert max(times) <= 1.4
     assert min(times) >= 0.6
 
 
 def test_a_time_to_come_back_is_one_that_a_short_request_can_use():
-    assert spread_retry_after(float("inf"), 0.5) <= 3.0
-    assert spread_retry_after(0.0, 0.5) > 0
+    assert jittered_retry_after(float("inf"), 0.5) <= 3.0
+    assert jittered_retry_after(0.0, 0.5) > 0
--- a/mallowpond/state/tests/test_first_event.py
+++ b/mallowpond/state/tests/test_first_event.py
@@ -5,16 +5,16 @@
 import pytest
 
 from mallowpond.state.first_event import (
-    LEAST_SAMPLES,
+    DEFAULT_UPPER_BOUND_SECONDS,
+    MIN_SAMPLES,
     SAMPLES,
-    UNKNOWN_SECONDS,
     FirstEventDelay,
 )
 from mallowpond.state.silence import (
-    Doubt,
-    GroupQuiet,
-    Verdict,
-    judge_silence,
+    GroupSilence,
+    PeerQuery,
+    SilenceVerdict,
+    classify_silence,
     silence_limit,
 )
 
@@ -28,20 +28,20 @@
     delay = FirstEventDelay()
     for _ in range(count):
         extra = seconds + rng.uniform(-spread, spread)
-        delay.note(observed=PREDICTED + extra, predicted=PREDICTED)
+        delay.record(observed=PREDICTED + extra, predicted=PREDICTED)
     return delay
 
 
 @pytest.mark.parametrize("seconds", [0.01, 0.12, 0.4])
 def test_the_delay_of_engines_is_learnt_within_a_fiftieth_of_a_second(seconds):
-    assert seen(seconds).usual == pytest.approx(seconds, abs=0.02)
+    assert seen(seconds).typical == pytest.approx(seconds, abs=0.02)
 
 
 def test_a_few_first_events_of_a_dying_group_do_not_move_the_estimate():
     delay = seen(0.12)
     for _ in range(SAMPLES // 5):
-        delay.note(observed=2.0, predicted=PREDICTED)
-    assert delay.usual == pytest.approx(0.12, abs=0.02)
+        delay.record(observed=2.0, predicted=PREDICTED)
+    assert delay.typical == pytest.approx(0.12, abs=0.02)
 
 
 def test_the_delay_on_a_slow_group_is_counted_as_on_a_sound_one():
@@ -52,24 +52,24 @@
     Cause: what sound groups taught was expected of them unchanged.
     """
     delay = FirstEventDelay()
-    for _ in range(LEAST_SAMPLES):
-        delay.note(observed=PREDICTED + 0.3, predicted=PREDICTED, slowness=2.5)
-    assert delay.usual == pytest.approx(0.12)
+    for _ in range(MIN_SAMPLES):
+        delay.record(observed=PREDICTED + 0.3, predicted=PREDICTED, slowness=2.5)
+    assert delay.typical == pytest.approx(0.12)
 
 
 def test_nothing_is_said_on_a_few_samples():
-    delay = seen(0.12, count=LEAST_SAMPLES - 1)
-    assert delay.usual == 0.0
-    assert delay.longest == UNKNOWN_SECONDS
+    delay = seen(0.12, count=MIN_SAMPLES - 1)
+    assert delay.typical == 0.0
+    assert delay.upper_bound == DEFAULT_UPPER_BOUND_SECONDS
 
 
 def waiting(delay, silent, has_running=False):
     """Describe streams on one group that have waited so long."""
-    return GroupQuiet(
+    return GroupSilence(
         silent_seconds=silent,
         predicted_gap=0.03,
         allowed_gap=OBJECTIVE,
-        first_event_seconds=PREDICTED + delay.longest,
+        first_event_seconds=PREDICTED + delay.upper_bound,
         has_running=has_running,
     )
 
@@ -88,8 +88,8 @@
     for _ in range(1000):
         first = PREDICTED + seconds + rng.uniform(-0.01, 0.01)
         quiet = waiting(delay, first)
-        verdict = judge_silence(quiet, Doubt(asked_at=0.0), 10.0)
-        assert verdict is not Verdict.SUSPECT
+        verdict = classify_silence(quiet, PeerQuery(asked_at=0.0), 10.0)
+        assert verdict is not SilenceVerdict.SUSPECT
 
 
 def test_a_dead_group_is_suspected_soon_also_if_all_its_streams_wait():
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -5,22 +5,22 @@
 
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 from mallowpond.state.placement import (
-    UNSEEN_STREAMS,
+    UNREPORTED_STREAMS,
     Candidate,
     GroupLoad,
     choose_group,
-    draw_places,
+    draw_candidates,
     pass_seconds,
     silent_seconds,
-    unseen_streams,
+    unreported_streams,
 )
 from mallowpond.state.silence import (
     ANSWER_SECONDS,
     ASK_SHARE,
-    Doubt,
-    GroupQuiet,
-    Verdict,
-    judge_silence,
+    GroupSilence,
+    PeerQuery,
+    SilenceVerdict,
+    classify_silence,
     silence_limit,
 )
 
@@ -30,9 +30,9 @@
     step_seconds=0.006,
     request_seconds=0.0001,
     context_seconds_per_k=0.00002,
-    read_tokens_per_second=50_000,
-    usual_prompt_tokens=1000,
-    usual_answer_tokens=180,
+    prefill_tokens_per_second=50_000,
+    typical_prompt_tokens=1000,
+    typical_answer_tokens=180,
 )
 MODEL = ModelSpec(name="m", size=4)
 
@@ -55,13 +55,13 @@
     Sequence: one group reads a prompt of 8,000 tokens, the other runs four streams.
     Cause: placement by requests in flight sees one against four.
     """
-    reading = GroupLoad(running=1, reading_tokens=8000)
+    reading = GroupLoad(running=1, prefill_tokens=8000)
     writing = GroupLoad(running=4)
     assert choose(reading, writing) == 1
 
 
 def test_no_stream_goes_where_it_cannot_start_on_time():
-    backlog = GroupLoad(running=5, reading_tokens=20_000)
+    backlog = GroupLoad(running=5, prefill_tokens=20_000)
     assert choose(backlog) is None
 
 
@@ -79,7 +79,7 @@
     assert choose(idle, leaving={0}) == 0
 
 
-def sent_by_many_hosts(unseen):
+def sent_by_many_hosts(unreported):
     """Let 40 hosts place a stream each by the same old figures; count by group."""
     rng = random.Random(5)
     loads = [GroupLoad(running=4 + number % 3) for number in range(25)]
@@ -92,7 +92,7 @@
             candidates,
             prompt_tokens=500.0,
             limit_seconds=0.2,
-            unseen=unseen,
+            unreported=unreported,
             rng=rng,
         )
         counts[chosen.key] += 1
@@ -112,9 +112,9 @@
 
 
 def test_few_hosts_with_fresh_figures_choose_the_best_group():
-    few = unseen_streams(own_per_second=11.0, hosts=7, age_seconds=0.1, groups=12)
-    many = unseen_streams(own_per_second=3.6, hosts=70, age_seconds=0.3, groups=33)
-    assert few < UNSEEN_STREAMS < many
+    few = unreported_streams(own_per_second=11.0, hosts=7, age_seconds=0.1, groups=12)
+    many = unreported_streams(own_per_second=3.6, hosts=70, age_seconds=0.3, groups=33)
+    assert few < UNREPORTED_STREAMS < many
 
 
 def test_slow_groups_are_predicted_slow():
@@ -126,7 +126,7 @@
 def quiet(silent, load, allowed=0.2):
     """Describe a group that has been silent for some seconds."""
     predicted = silent_seconds(PROFILE, MODEL, load)
-    return GroupQuiet(
+    return GroupSilence(
         silent_seconds=silent,
         predicted_gap=predicted,
         allowed_gap=allowed,
@@ -135,7 +135,10 @@
 
 def is_suspect(quiet):
     """Tell whether a group is suspected once the other hosts have not answered."""
-    return judge_silence(quiet, Doubt(asked_at=0.0), 100.0) is Verdict.SUSPECT
+    return (
+        classify_silence(quiet, PeerQuery(asked_at=0.0), 100.0)
+        is SilenceVerdict.SUSPECT
+    )
 
 
 def test_a_silent_idle_group_is_suspected_before_its_streams_are_late():
@@ -151,14 +154,14 @@
     half a second; a fixed limit takes them for dead as well.
     Cause: the limit did not follow from the work that a group is known to have.
     """
-    loaded = GroupLoad(running=13, reading_tokens=15_000)
+    loaded = GroupLoad(running=13, prefill_tokens=15_000)
     assert not is_suspect(quiet(0.4, loaded))
     assert is_suspect(quiet(1.5, loaded))
 
 
 def gap_of(predicted):
     """Describe streams whose gap is predicted, with 0.2 s allowed."""
-    return GroupQuiet(silent_seconds=0.0, predicted_gap=predicted, allowed_gap=0.2)
+    return GroupSilence(silent_seconds=0.0, predicted_gap=predicted, allowed_gap=0.2)
 
 
 def test_the_limit_never_falls_below_what_the_timing_explains():
@@ -175,15 +178,17 @@
     limit = silence_limit(gap_of(0.05))
 
     def verdict(silent, doubt):
-        quiet = GroupQuiet(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
-        return judge_silence(quiet, doubt, 100.0 + silent)
+        quiet = GroupSilence(silent_seconds=silent, predicted_gap=0.05, allowed_gap=0.2)
+        return classify_silence(quiet, doubt, 100.0 + silent)
 
     asked_at = 100.0 + ASK_SHARE * limit + 0.001
     assert ASK_SHARE * limit + ANSWER_SECONDS < limit
-    assert verdict(ASK_SHARE * limit - 0.001, None) is Verdict.SOUND
-    assert verdict(ASK_SHARE * limit + 0.001, None) is Verdict.ASK
-    assert verdict(limit - 0.001, Doubt(asked_at=asked_at)) is Verdict.WAIT
-    assert verdict(limit + 0.001, Doubt(asked_at=asked_at)) is Verdict.SUSPECT
+    assert verdict(ASK_SHARE * limit - 0.001, None) is SilenceVerdict.SOUND
+    assert verdict(ASK_SHARE * limit + 0.001, None) is SilenceVerdict.ASK
+    assert verdict(limit - 0.001, PeerQuery(asked_at=asked_at)) is SilenceVerdict.WAIT
+    assert (
+        verdict(limit + 0.001, PeerQuery(asked_at=asked_at)) is SilenceVerdict.SUSPECT
+    )
 
 
 def test_a_stream_that_only_waits_its_turn_is_not_moved():
@@ -197,17 +202,17 @@
     limit = silence_limit(gap_of(0.05))
 
     def verdict(factor, has_running):
-        quiet = GroupQuiet(
+        quiet = GroupSilence(
             silent_seconds=factor * limit,
             predicted_gap=0.05,
             allowed_gap=0.2,
             has_running=has_running,
         )
-        return judge_silence(quiet, Doubt(asked_at=9.9, advanced_at=9.95), 10.0)
+        return classify_silence(quiet, PeerQuery(asked_at=9.9, advanced_at=9.95), 10.0)
 
-    assert verdict(1.1, has_running=True) is Verdict.LEAVE
-    assert verdict(3.9, has_running=False) is Verdict.WAIT
-    assert verdict(4.1, has_running=False) is Verdict.LEAVE
+    assert verdict(1.1, has_running=True) is SilenceVerdict.LEAVE
+    assert verdict(3.9, has_running=False) is SilenceVerdict.WAIT
+    assert verdict(4.1, has_running=False) is SilenceVerdict.LEAVE
 
 
 def test_only_as_many_groups_are_looked_at_as_the_choice_is_between():
@@ -225,7 +230,7 @@
             load = GroupLoad(running=14 if number < 3 else 4)
             yield Candidate(key=str(number), load=load)
 
-    drawn = draw_places(
+    drawn = draw_candidates(
         PROFILE, MODEL, candidates(), prompt_tokens=500.0, limit_seconds=0.5
     )
     assert [candidate.key for candidate in drawn] == ["3", "4"]
@@ -234,4 +239,6 @@
 
 def test_no_place_is_drawn_where_all_are_full():
     full = [Candidate(key="x", load=GroupLoad(running=PROFILE.slots + 1))]
-    assert not draw_places(PROFILE, MODEL, full, prompt_tokens=500.0, limit_seconds=0.5)
+    assert not draw_candidates(
+        PROFILE, MODEL, full, prompt_tokens=500.0, limit_seconds=0.5
+    )
