--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -24,7 +24,7 @@
         return len(self._waiting)
 
     @asynccontextmanager
-    async def turn(self) -> AsyncIterator[None]:
+    async def admit(self) -> AsyncIterator[None]:
         """Wait for a turn and hold it."""
         if self._waiting or self._running >= self._window.limit:
             await self._wait()
@@ -34,9 +34,9 @@
             yield
         finally:
             self._running -= 1
-            self._admit()
+            self._admit_waiting()
 
-    def note(self, *, answered: bool) -> None:
+    def record_result(self, *, answered: bool) -> None:
         """Count how a call ended."""
         if answered:
             self._window.record_success()
@@ -54,10 +54,10 @@
             elif turn.done() and not turn.cancelled():
                 # The turn was given just before: it goes to the next one.
                 self._running -= 1
-                self._admit()
+                self._admit_waiting()
             raise
 
-    def _admit(self) -> None:
+    def _admit_waiting(self) -> None:
         while self._waiting and self._running < self._window.limit:
             turn = self._waiting.popleft()
             if not turn.done():
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -132,7 +132,7 @@
             target
             for target in self._directory.usable_targets(work.service)
             if self._records[target.process].misdirected is not target
-            and self._intake.may_send(target)
+            and self._intake.can_send(target)
         ]
         left = [t for t in targets if t.process not in used]
         if not left:
@@ -148,7 +148,7 @@
         return min(left, key=rank, default=None)
 
     def _why_no_target(self, work: CallWork) -> Reason:
-        return self._intake.reason(self._unused(work)) or Reason.NO_TARGET
+        return self._intake.refusal_reason(self._unused(work)) or Reason.NO_TARGET
 
     def _unused(self, work: CallWork) -> list[Target]:
         """Return the targets to which a request was not sent."""
@@ -210,7 +210,7 @@
         if self._targets.is_misdirected(response):
             return NoReply(reason=Reason.MISDIRECTED, may_have_run=False)
         notice = self._targets.notice(response)
-        self._intake.hear(target, notice, sent_at)
+        self._intake.record_notice(target, notice, sent_at)
         if self._targets.is_not_run(response):
             return NoReply(reason=Reason.NOT_RUN, may_have_run=False)
         if isinstance(body, CallFailed):
--- a/mallowpond/node/intake.py
+++ b/mallowpond/node/intake.py
@@ -31,14 +31,16 @@
         directory.on_change.append(self._forget_ended)
 
     @property
-    def is_any(self) -> bool:
+    def has_restrictions(self) -> bool:
         """Tell whether any target wants less than it could be sent."""
-        is_less = self._rate_limits.is_any or self._backoffs.has_entries
+        is_less = self._rate_limits.has_limits or self._backoffs.has_entries
         return is_less or len(self._leaving) > 0
 
-    def hear(self, target: Target, notice: TargetNotice, asked_at: float) -> None:
+    def record_notice(
+        self, target: Target, notice: TargetNotice, sent_at: float
+    ) -> None:
         """Take what an answer says that was asked for at a moment."""
-        self._rate_limits.hear(target, notice, asked_at)
+        self._rate_limits.record_notice(target, notice, sent_at)
         if notice.is_leaving and self._leaving.add(target.process, self._clock.now()):
             log.info("target: leaves", target=target.id)
         if notice.backoff_seconds is not None:
@@ -51,26 +53,26 @@
                 seconds=notice.backoff_seconds,
             )
 
-    def may_send(self, target: Target) -> bool:
+    def can_send(self, target: Target) -> bool:
         """Tell whether a target may be sent one more request now."""
-        return self.seconds_until(target) <= 0.0
+        return self.seconds_until_available(target) <= 0.0
 
-    def seconds_until(self, target: Target) -> float:
+    def seconds_until_available(self, target: Target) -> float:
         """Return how long a target may be sent nothing by this host, in seconds."""
         if target.process in self._leaving:
             return inf
         backoff = self._backoffs.seconds_left(target.process, self._clock.now())
-        return max(backoff, self._rate_limits.seconds_until(target))
+        return max(backoff, self._rate_limits.seconds_until_available(target))
 
     def is_leaving(self, target: Target) -> bool:
         """Tell whether an answer of a target said that it is about to stop."""
         return target.process in self._leaving
 
-    def closed(self, groups: list[Group]) -> frozenset[str]:
+    def unavailable_groups(self, groups: list[Group]) -> frozenset[str]:
         """Return the groups whose head may be sent nothing now."""
-        if not self.is_any:
+        if not self.has_restrictions:
             return frozenset()
-        return frozenset(g.name for g in groups if g.head and not self.may_send(g.head))
+        return frozenset(g.name for g in groups if g.head and not self.can_send(g.head))
 
     def retry_seconds(self, targets: Iterable[Target]) -> float:
         """Return when a request that is refused now may find room, at any host.
@@ -84,10 +86,10 @@
         backoff = self._backoffs.seconds_left(target.process, self._clock.now())
         return max(backoff, self._rate_limits.retry_seconds(target))
 
-    def reason(self, targets: Iterable[Target]) -> Reason | None:
+    def refusal_reason(self, targets: Iterable[Target]) -> Reason | None:
         """Return why targets that stay are sent nothing now, None if none is closed."""
         staying = [target for target in targets if target.process not in self._leaving]
-        closed = [target for target in staying if not self.may_send(target)]
+        closed = [target for target in staying if not self.can_send(target)]
         if not closed:
             return None
         now = self._clock.now()
@@ -96,7 +98,7 @@
         return Reason.RATE_LIMITED
 
     def _forget_ended(self) -> None:
-        if not self.is_any:
+        if not self.has_restrictions:
             return
         listed = {target.process for target in self._directory.targets.values()}
         self._backoffs.prune(listed, self._clock.now())
--- a/mallowpond/node/metrics.py
+++ b/mallowpond/node/metrics.py
@@ -40,7 +40,7 @@
         self.in_flight = Gauge(
             "mallowpond_in_flight", "Requests being served", registry=self.registry
         )
-        self.held_back = Gauge(
+        self.quarantined = Gauge(
             "mallowpond_held_back", "Requests held back", registry=self.registry
         )
         self.rate_limited = Gauge(
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -81,7 +81,7 @@
         for notify in self.on_seen:
             notify(request)
 
-    def hear(self, record: CrashRecord) -> None:
+    def merge(self, record: CrashRecord) -> None:
         """Take what another host or the store knows."""
         before = self._held
         self._ledger.merge(record, self._clock.now())
@@ -93,7 +93,7 @@
             for notify in self.on_decided:
                 notify(request)
 
-    def is_held(self, request: str) -> bool:
+    def is_quarantined(self, request: str) -> bool:
         """Tell whether a request is held back now."""
         return self._ledger.quarantine_seconds_left(request, self._clock.now()) > 0.0
 
@@ -118,4 +118,4 @@
         for request in sorted(self._held - held):
             log.info("quarantine: released", fingerprint=request)
         self._held = held
-        self._metrics.held_back.set(len(held))
+        self._metrics.quarantined.set(len(held))
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -115,7 +115,7 @@
 
     def _note_seen(self, request: str) -> None:
         self._tell_soon(request)
-        if self._quarantine.is_held(request):
+        if self._quarantine.is_quarantined(request):
             self._write_soon(request)
 
     def _note_decided(self, request: str) -> None:
@@ -126,7 +126,7 @@
     def _tell_soon(self, request: str) -> None:
         self._news.add(request)
 
-    async def run_telling(self) -> None:
+    async def run_sending(self) -> None:
         """Tell what is due until cancelled."""
         await self._news.run(self.tell_due)
 
@@ -147,7 +147,7 @@
     def _receivers(self, request: str) -> frozenset[str]:
         """Return whom a record goes to: all hosts once it was held back."""
         live = [peer.heartbeat.node for peer in self._peers.live]
-        if self._quarantine.is_held(request):
+        if self._quarantine.is_quarantined(request):
             self._told_to_all.add(request)
         if request in self._told_to_all:
             return frozenset(live)
@@ -158,7 +158,7 @@
     def _hear(self, message: CrashRecords) -> None:
         self._is_answered = self._is_answered or message.answer
         for record in message.records:
-            self._quarantine.hear(record)
+            self._quarantine.merge(record)
 
     def _answer(self, question: CrashQuestion) -> None:
         records = self._quarantine.records()[:ANSWERED_RECORDS]
@@ -168,7 +168,7 @@
             answer = CrashRecords(node=self._name, records=part, answer=True)
             self._peers.send_to(answer, (question.node,))
 
-    async def run_asking(self) -> None:
+    async def run_querying(self) -> None:
         """Ask some peers what they know, as this process knows nothing yet."""
         await self._clock.sleep(FIRST_ASK_SECONDS)
         for _ in range(MAX_QUESTIONS):
@@ -259,19 +259,19 @@
         request = row.key.removeprefix(PREFIX)
         found = decode(row.value, QuarantineRow)
         if isinstance(found, Unreadable):
-            self._notes.note("quarantine", request, found)
+            self._notes.record("quarantine", request, found)
             return True
         age = 0.0
         if found.ended_at is not None:
             ended_at = self._store_clock.from_store_time(found.ended_at)
             if ended_at is not None:
                 age = max(0.0, self._clock.now() - ended_at)
-        was_held = self._quarantine.is_held(request)
+        was_quarantined = self._quarantine.is_quarantined(request)
         if age < QUARANTINE_SECONDS:
             record = CrashRecord(request=request, endings=found.endings, age=age)
-            self._quarantine.hear(record)
-        is_held = self._quarantine.is_held(request)
-        if is_held and not was_held:
+            self._quarantine.merge(record)
+        is_quarantined = self._quarantine.is_quarantined(request)
+        if is_quarantined and not was_quarantined:
             # Hosts that do not read the store have it from those that do.
             self._tell_soon(request)
-        return is_held
+        return is_quarantined
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -55,12 +55,14 @@
         if peers is not None:
             peers.on_rate_limits.append(self._hear_peer)
 
-    def hear(self, target: Target, notice: TargetNotice, asked_at: float) -> None:
+    def record_notice(
+        self, target: Target, notice: TargetNotice, sent_at: float
+    ) -> None:
         """Take what an answer says that was asked for at a moment."""
         process, limit = target.process, notice.rate_limit
         if limit is None and not self._shares.is_limited(process):
             return
-        age = self._clock.now() - asked_at if limit is None else 0.0
+        age = self._clock.now() - sent_at if limit is None else 0.0
         is_news = self._take(TargetLimit(process=process, limit=limit, age=age))
         if is_news or self._is_told_long_ago(process):
             self._news.add(process)
@@ -72,11 +74,11 @@
         return self._clock.now() - told_at > TELL_AGAIN_SECONDS
 
     @property
-    def is_any(self) -> bool:
+    def has_limits(self) -> bool:
         """Tell whether any target names a limit."""
         return self._shares.has_entries
 
-    def seconds_until(self, target: Target) -> float:
+    def seconds_until_available(self, target: Target) -> float:
         """Return how long a target may be sent nothing by this host, in seconds."""
         if not self._shares.is_limited(target.process):
             return 0.0
@@ -111,7 +113,7 @@
         return True
 
     def _forget_ended(self) -> None:
-        if not self.is_any:
+        if not self.has_limits:
             return
         listed = {target.process for target in self._directory.targets.values()}
         self._shares.prune(listed, self._clock.now())
--- a/mallowpond/node/tests/test_call_gate.py
+++ b/mallowpond/node/tests/test_call_gate.py
@@ -9,7 +9,7 @@
 
 async def hold(gate, until, began):
     """Hold a turn until an event."""
-    async with gate.turn():
+    async with gate.admit():
         began.append(1)
         await until.wait()
 
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -278,7 +278,7 @@
     service = service_of(directory, fakes, clock, budget)
     endings = (Ending(process=Process(id=n, born=None), ran=0.1) for n in "abc")
     record = CrashRecord(request="bad", endings=tuple(endings))
-    service._quarantine.hear(record)
+    service._quarantine.merge(record)
     outcomes = [
         await service.serve(work_of(clock, ONCE, FakeExchange())) for _ in range(9)
     ]
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -143,7 +143,7 @@
 
     def who_holds(self, request="bad"):
         """Return the hosts that hold a request back."""
-        return [h.name for h in self.hosts if h.quarantine.is_held(request)]
+        return [h.name for h in self.hosts if h.quarantine.is_quarantined(request)]
 
     @property
     def names(self):
@@ -332,7 +332,7 @@
     for number in range(ENDINGS_TO_QUARANTINE):
         quarantine.record_ending(beside.fingerprint, target(number), now - 0.4)
         quarantine.record_ending("bad", target(number), now - 0.1)
-    assert quarantine.is_held("bad")
+    assert quarantine.is_quarantined("bad")
     outcome = await rig.service.serve(beside)
     assert outcome == Answered(status=200, target="d0")
 
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -46,7 +46,7 @@
     return replace(answer(*numbers), headers={"limit": str(limit)})
 
 
-def intake_of(rig):
+def availability_of(rig):
     """Return the rate limits that a rig's host knows."""
     return rig.service._intake
 
@@ -84,7 +84,7 @@
 async def test_a_stream_that_no_group_takes_in_time_is_refused_at_once():
     """Guards against streams that wait for a place which a rate limit withholds."""
     rig = await rig_of("a")
-    intake_of(rig).hear(head(rig, "a0"), SCARCE, rig.clock.now())
+    availability_of(rig).record_notice(head(rig, "a0"), SCARCE, rig.clock.now())
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert (outcome.status, outcome.reason) == (503, Reason.RATE_LIMITED)
     assert outcome.retry_after > 1.0
@@ -94,7 +94,7 @@
 async def test_a_stream_that_moves_keeps_the_rate_of_where_it_goes():
     """Guards against moved streams that a limit on first sends would not hold."""
     rig = await rig_of("a", "b", "c")
-    intake_of(rig).hear(head(rig, "b0"), SCARCE, rig.clock.now())
+    availability_of(rig).record_notice(head(rig, "b0"), SCARCE, rig.clock.now())
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]))
     rig.targets.script("c0", answer(2))
     outcome = await rig.service.serve(rig.work(FakeExchange()))
@@ -103,7 +103,7 @@
 
 async def test_a_waiting_stream_gets_its_place_when_the_rate_leaves_room():
     rig = await rig_of("a")
-    intake_of(rig).hear(head(rig, "a0"), NAMED, rig.clock.now())
+    availability_of(rig).record_notice(head(rig, "a0"), NAMED, rig.clock.now())
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await settle()
     rig.service.placement.wake_all()
@@ -126,7 +126,7 @@
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
 
     def grant(number):
-        intake_of(rig).hear(head(rig, "a0"), SCARCE, rig.clock.now())
+        availability_of(rig).record_notice(head(rig, "a0"), SCARCE, rig.clock.now())
         return PlaceAnswer(
             node="b",
             number=number,
@@ -151,7 +151,7 @@
     rig.targets.script("a0", replace(failing, script=answer(1).script))
     rig.targets.script("b0", answer(1))
     await rig.service.serve(rig.work(FakeExchange()))
-    assert not intake_of(rig).may_send(head(rig, "a0"))
+    assert not availability_of(rig).can_send(head(rig, "a0"))
 
 
 async def test_a_call_goes_to_a_target_whose_rate_leaves_room():
@@ -178,12 +178,12 @@
     budget = RetryWindow(ratio=0.0, slack=10.0, window_seconds=10.0)
     service = service_of(directory, fakes, clock, budget)
     target = directory.targets["a"]
-    service._intake.hear(target, NAMED, clock.now())
+    service._intake.record_notice(target, NAMED, clock.now())
     clock.time += 1.0
-    assert service._intake.may_send(target)
+    assert service._intake.can_send(target)
     outcome = await service.serve(work_of(clock, IDEMPOTENT, FakeExchange()))
     assert outcome == Answered(status=200, target="a")
-    assert not service._intake.may_send(target)
+    assert not service._intake.can_send(target)
 
 
 class Wire:
@@ -224,41 +224,41 @@
 async def test_other_hosts_hear_of_a_limit_and_of_its_end():
     """Guards against hosts that each have to find a limit by a request of their own."""
     rig, _, (mine, other) = await pair()
-    mine.hear(head(rig, "a0"), NAMED, rig.clock.now())
+    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
     mine.tell_due()
-    assert other.seconds_until(head(rig, "a0")) > 0.0
+    assert other.seconds_until_available(head(rig, "a0")) > 0.0
     rig.clock.time += 1.0
-    mine.hear(head(rig, "a0"), TargetNotice(), rig.clock.now())
+    mine.record_notice(head(rig, "a0"), TargetNotice(), rig.clock.now())
     mine.tell_due()
-    assert other.seconds_until(head(rig, "a0")) == 0.0
+    assert other.seconds_until_available(head(rig, "a0")) == 0.0
 
 
 async def test_news_that_is_lost_is_told_again():
     rig, wires, (mine, other) = await pair()
     wires[0].losses = 2
-    mine.hear(head(rig, "a0"), NAMED, rig.clock.now())
+    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
     for pause in TELL_PAUSES:
         rig.clock.time += pause
         mine.tell_due()
-    assert other.seconds_until(head(rig, "a0")) > 0.0
+    assert other.seconds_until_available(head(rig, "a0")) > 0.0
     assert len(mine._news) == 0
 
 
 async def test_news_of_an_unlisted_process_is_left_out():
     rig, wires, (mine, other) = await pair()
     gone = replace(head(rig, "a0"), born=7)
-    mine.hear(gone, NAMED, rig.clock.now())
+    mine.record_notice(gone, NAMED, rig.clock.now())
     mine.tell_due()
-    assert other.seconds_until(gone) == 0.0
+    assert other.seconds_until_available(gone) == 0.0
 
 
 async def test_news_goes_out_by_itself():
     rig, _, (mine, other) = await pair()
     telling = asyncio.create_task(mine.run())
     await settle()
-    mine.hear(head(rig, "a0"), NAMED, rig.clock.now())
+    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
     await settle()
-    assert other.is_any
+    assert other.has_limits
     await cancel_task(telling)
 
 
@@ -269,18 +269,18 @@
     """
     rig, _, (mine, other) = await pair()
     for _ in range(40):
-        mine.hear(head(rig, "a0"), NAMED, rig.clock.now())
+        mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
         mine.tell_due()
         rig.clock.time += 5.0
-        other.seconds_until(head(rig, "a0"))
-        assert other.is_any
+        other.seconds_until_available(head(rig, "a0"))
+        assert other.has_limits
 
 
 async def test_a_stream_that_has_begun_waits_for_a_group_that_may_take_it():
     """Guards against begun streams that are cut off as all groups left are limited."""
     rig = await rig_of("a", "b")
-    limits = intake_of(rig)
-    limits.hear(head(rig, "b0"), SCARCE, rig.clock.now())
+    limits = availability_of(rig)
+    limits.record_notice(head(rig, "b0"), SCARCE, rig.clock.now())
     end = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[event(1), end, BROKEN]))
     rig.targets.script("b0", answer(2))
@@ -290,7 +290,7 @@
     end.set_result(None)
     await settle()
     assert not serving.done()
-    limits.hear(head(rig, "b0"), TargetNotice(), rig.clock.now())
+    limits.record_notice(head(rig, "b0"), TargetNotice(), rig.clock.now())
     rig.service.placement.wake_all()
     assert await serving == Answered(status=200, target="b0")
 
@@ -298,8 +298,8 @@
 async def test_an_answer_asked_for_before_the_limit_was_named_does_not_end_it():
     """Guards against answers that overtake each other and lift a limit in force."""
     rig, _, (mine, _) = await pair()
-    mine.hear(head(rig, "a0"), NAMED, rig.clock.now())
-    asked_at = rig.clock.now() - 0.1
+    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
+    sent_at = rig.clock.now() - 0.1
     rig.clock.time += 0.1
-    mine.hear(head(rig, "a0"), TargetNotice(), asked_at)
-    assert mine.seconds_until(head(rig, "a0")) > 0.0
+    mine.record_notice(head(rig, "a0"), TargetNotice(), sent_at)
+    assert mine.seconds_until_available(head(rig, "a0")) > 0.0
--- a/mallowpond/node/unreadable.py
+++ b/mallowpond/node/unreadable.py
@@ -17,7 +17,7 @@
     def __init__(self, *, counter: Counter | None = None) -> None:
         self._counter = counter
 
-    def note(self, kind: str, key: object, reason: Unreadable) -> None:
+    def record(self, kind: str, key: object, reason: Unreadable) -> None:
         """Count one document and say which it was."""
         if self._counter is not None:
             self._counter.labels(kind, reason.fault.value).inc()
