--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -312,7 +312,7 @@
         """Note what the answer of a group's head says of the head."""
         notice = self._targets.notice(response)
         if stream.group.head is not None:
-            self._intake.hear(stream.group.head, notice, stream.sent_at)
+            self._intake.record_notice(stream.group.head, notice, stream.sent_at)
         return notice
 
     async def _forward(
