--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -109,7 +109,7 @@
                     return self.refuse(Reason.OVERLOADED, wait)
                 case WaitEnded():
                     return self._refuse_unplaced(work)
-                case Placed(group=group) if self._intake.closed([group]):
+                case Placed(group=group) if self._intake.unavailable_groups([group]):
                     # Its head closed admission while the stream waited.
                     self._release_grant()
                     continue
@@ -149,7 +149,7 @@
             return frozenset()
         groups = self._directory.serving_groups(work.service, work.model.name)
         used = {g.name for g in groups if g.head and g.head.process in work.sent_to}
-        return self._intake.closed(groups).union(used)
+        return self._intake.unavailable_groups(groups).union(used)
 
     def _refuse_closed(self, work: StreamWork) -> Refusal | None:
         """Refuse a stream if no group of its model admits requests within its patience.
@@ -313,7 +313,7 @@
 
         def has_capacity() -> bool:
             groups = self._directory.serving_groups(service, model)
-            closed = self._intake.closed(groups)
+            closed = self._intake.unavailable_groups(groups)
             loads = [
                 Candidate(key=g.name, load=self._directory.loads.load_of(g, profile))
                 for g in groups
