--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -145,7 +145,7 @@
 
         It was sent there already, or the group's head admits no requests now.
         """
-        if not work.sent_to and not self._intake.is_any:
+        if not work.sent_to and not self._intake.has_restrictions:
             return frozenset()
         groups = self._directory.serving_groups(work.service, work.model.name)
         used = {g.name for g in groups if g.head and g.head.process in work.sent_to}
@@ -157,7 +157,7 @@
         A stream that has begun is not refused: it would be cut off although a group may
         form in time.
         """
-        if work.has_begun or not self._intake.is_any:
+        if work.has_begun or not self._intake.has_restrictions:
             return None
         groups = self._directory.serving_groups(work.service, work.model.name)
         heads = [g.head for g in groups if g.head is not None]
