--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -161,7 +161,7 @@
             return None
         groups = self._directory.serving_groups(work.service, work.model.name)
         heads = [g.head for g in groups if g.head is not None]
-        wait = min(map(self._intake.seconds_until, heads), default=0.0)
+        wait = min(map(self._intake.seconds_until_available, heads), default=0.0)
         reason = self._intake.reason(heads)
         if reason is None or wait <= self._patience(work):
             return None
