--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -229,7 +229,7 @@
         """Tell a target that is cut off from the list from one that leaves."""
         configuration = self._configuration.configuration
         service = configuration and configuration.services.get(target.service)
-        if not service or not self._intake.may_send(target):
+        if not service or not self._intake.can_send(target):
             return
         async with self._gate.turn():
             # It takes a slot as a request does.
