--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -935,8 +935,8 @@
     head = rig.directory.targets["g0"]
     rig.intake.record_notice(head, TargetNotice(rate_limit=1.0), rig.clock.now())
     rig.clock.time += 1.0
-    assert rig.intake.may_send(head)
+    assert rig.intake.can_send(head)
     await rig.show(removed=("g0",))
     await rig.steps(2)
     assert rig.peers.vouched == ["g0"]
-    assert not rig.intake.may_send(head)
+    assert not rig.intake.can_send(head)
