--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -462,7 +462,7 @@
     """Let another host tell that a group's head ended under some request."""
     process = Process(id=f"{name}0", born=0)
     record = CrashRecord(request="bad", endings=(Ending(process=process, ran=0.1),))
-    rig.service._quarantine.hear(record)
+    rig.service._quarantine.merge(record)
 
 
 async def test_a_head_that_others_saw_end_gets_a_stream_only_if_no_other_has_a_place():
