--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -192,7 +192,7 @@
         if self._unchanged_since is None or self._unchanged_since[0] != version:
             self._unchanged_since = (version, now)
             if isinstance(lease, Unreadable):
-                self._notes.note("lease", LEASE_KEY, lease)
+                self._notes.record("lease", LEASE_KEY, lease)
             return False
         return now - self._unchanged_since[1] > limit
 
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -348,7 +348,7 @@
         """Take a peer's message."""
         message = read_message(data)
         if isinstance(message, Unreadable):
-            self._notes.note("datagram", addr[0], message)
+            self._notes.record("datagram", addr[0], message)
             return
         try:
             self._take(message)
@@ -469,7 +469,7 @@
             name = row.key.removeprefix(NODES_PREFIX)
             node = decode(row.value, NodeRow)
             if isinstance(node, Unreadable):
-                self._notes.note("node", name, node)
+                self._notes.record("node", name, node)
             elif name != self._name:
                 self._addresses.setdefault(name, node.address)
         return True
