--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -254,7 +254,7 @@
             self.readers.run(),
             self.planner.run(),
             self.rate_limits.run(),
-            self.quarantine_sharing.run_telling(),
+            self.quarantine_sharing.run_sending(),
             self.quarantine_sharing.run_asking(),
             self.quarantine_sharing.run_writing(),
             self.quarantine_sharing.run_reading(),
