--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -255,7 +255,7 @@
             self.planner.run(),
             self.rate_limits.run(),
             self.quarantine_sharing.run_sending(),
-            self.quarantine_sharing.run_asking(),
+            self.quarantine_sharing.run_querying(),
             self.quarantine_sharing.run_writing(),
             self.quarantine_sharing.run_reading(),
         ):
