--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -384,7 +384,7 @@
             return
         # Planned before this node lost the lease and took it anew, an order rests on
         # what was since forgotten.
-        async with self._gate.turn():
+        async with self._gate.admit():
             is_held = fence and fence == self._leadership.fence
             if not is_held or self._has_paused or self._is_outdated(step):
                 self._release_target(step)
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -143,7 +143,7 @@
 
     async def report(self, target: Target) -> EngineReport | Unavailable:
         """Ask a target what it holds, and note which of its processes answers."""
-        async with self._gate.turn():
+        async with self._gate.admit():
             return await self._report(target)
 
     async def _report(self, target: Target) -> EngineReport | Unavailable:
@@ -231,7 +231,7 @@
         service = configuration and configuration.services.get(target.service)
         if not service or not self._intake.can_send(target):
             return
-        async with self._gate.turn():
+        async with self._gate.admit():
             # It takes a slot as a request does.
             self._intake.record_sent(target)
             healthy = await self._targets.is_healthy(target, service.health_path)
