--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -390,7 +390,7 @@
                 self._release_target(step)
                 return
             end = await self._targets.order(step, fence=fence, expected=expected)
-        self._gate.note(answered=not isinstance(end, OrderLost))
+        self._gate.record_result(answered=not isinstance(end, OrderLost))
         self._handle_result(step, end, expected=expected)
 
     def _is_outdated(self, step: Step) -> bool:
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -149,7 +149,7 @@
     async def _report(self, target: Target) -> EngineReport | Unavailable:
         asked_at = self._clock.now()
         report = await self._targets.report(target)
-        self._gate.note(answered=not isinstance(report, Unavailable))
+        self._gate.record_result(answered=not isinstance(report, Unavailable))
         if isinstance(report, Unavailable):
             return report
         self._processes.record_answer(
