--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -11,7 +11,6 @@
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Dispatcher
 from mallowpond.node.dispatcher_client import DispatcherClient
-from mallowpond.node.intake import Intake
 from mallowpond.node.messages import (
     PlaceAnswer,
     PlaceQuestion,
@@ -25,6 +24,7 @@
 from mallowpond.node.rate_limits import RateLimits
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import Intake
 from mallowpond.state.fleet import Target
 from mallowpond.state.retry_window import RetryWindow
 
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -14,7 +14,6 @@
     POLL_SECONDS,
     Directory,
 )
-from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.model_summary import demand, log_summary, utilization
@@ -29,6 +28,7 @@
     Targets,
 )
 from mallowpond.node.probes import TargetProbes
+from mallowpond.node.target_availability import Intake
 from mallowpond.node.traffic import TrafficSeen
 from mallowpond.node.watch import GroupWatch
 from mallowpond.state.fleet import (
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -11,9 +11,9 @@
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.directory import Directory
 from mallowpond.node.indirect_probe import IndirectProbe
-from mallowpond.node.intake import Intake
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
+from mallowpond.node.target_availability import Intake
 from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.observer_health import ObserverHealth
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -20,7 +20,6 @@
 from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.fanout import Fanout
 from mallowpond.node.ingress import Ingress
-from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
 from mallowpond.node.messages import Heartbeat, decode_loads, encode_loads
 from mallowpond.node.metrics import NodeMetrics
@@ -34,6 +33,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.settings import NodeSettings
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import Intake
 from mallowpond.node.traffic import TrafficSeen
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.node.watch import GroupWatch
--- a/mallowpond/node/serving_parts.py
+++ b/mallowpond/node/serving_parts.py
@@ -6,10 +6,10 @@
 
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.directory import Directory
-from mallowpond.node.intake import Intake
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import CallerProtocol, Targets
 from mallowpond.node.quarantine import Quarantine
+from mallowpond.node.target_availability import Intake
 from mallowpond.state.retry_window import RetryWindow
 
 
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -7,7 +7,6 @@
 
 from mallowpond.coordination.ports import Unavailable
 from mallowpond.node.directory import Directory
-from mallowpond.node.intake import Intake
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import (
     CallerRequest,
@@ -21,6 +20,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import Intake
 from mallowpond.state.fleet import (
     EngineProfile,
     GroupPhase,
