--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -24,7 +24,7 @@
 from mallowpond.node.rate_limits import RateLimits
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.streams import StreamService
-from mallowpond.node.target_availability import Intake
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.fleet import Target
 from mallowpond.state.retry_window import RetryWindow
 
@@ -140,7 +140,7 @@
                 hosts=lambda: len(fleet.hosts) or 1,
                 rng=random.Random(fleet.rng.random()),
                 quarantine=Quarantine(clock=clock, metrics=metrics),
-                intake=Intake(
+                intake=TargetAvailability(
                     rate_limits=rate_limits, directory=self.directory, clock=clock
                 ),
             )
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -28,7 +28,7 @@
     Targets,
 )
 from mallowpond.node.probes import TargetProbes
-from mallowpond.node.target_availability import Intake
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.node.traffic import TrafficSeen
 from mallowpond.node.watch import GroupWatch
 from mallowpond.state.fleet import (
@@ -99,7 +99,7 @@
         metrics: NodeMetrics,
         stall_seconds: float,
         traffic_seen: TrafficSeen,
-        intake: Intake,
+        intake: TargetAvailability,
     ) -> None:
         self._configuration = configuration
         self._directory = directory
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -13,7 +13,7 @@
 from mallowpond.node.indirect_probe import IndirectProbe
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
-from mallowpond.node.target_availability import Intake
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.observer_health import ObserverHealth
@@ -47,7 +47,7 @@
         book: OrderBook,
         clock: Clock,
         gate: CallGate,
-        intake: Intake,
+        intake: TargetAvailability,
         is_report_current: Callable[[Target], bool],
         spawn: Callable[[Coroutine[Any, Any, Any]], None],
     ) -> None:
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -33,7 +33,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.settings import NodeSettings
 from mallowpond.node.streams import StreamService
-from mallowpond.node.target_availability import Intake
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.node.traffic import TrafficSeen
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.node.watch import GroupWatch
@@ -112,7 +112,7 @@
             metrics=self.metrics,
             peers=self.peers,
         )
-        intake = Intake(
+        intake = TargetAvailability(
             rate_limits=self.rate_limits, directory=self.directory, clock=clock
         )
         parts = ServingParts(
--- a/mallowpond/node/serving_parts.py
+++ b/mallowpond/node/serving_parts.py
@@ -9,7 +9,7 @@
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import CallerProtocol, Targets
 from mallowpond.node.quarantine import Quarantine
-from mallowpond.node.target_availability import Intake
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.retry_window import RetryWindow
 
 
@@ -26,4 +26,4 @@
     hosts: Callable[[], int]
     rng: random.Random
     quarantine: Quarantine
-    intake: Intake
+    intake: TargetAvailability
--- a/mallowpond/node/target_availability.py
+++ b/mallowpond/node/target_availability.py
@@ -17,7 +17,7 @@
 log = structlog.get_logger()
 
 
-class Intake:
+class TargetAvailability:
     """Put together what targets say of the work that they want."""
 
     def __init__(
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -20,7 +20,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.streams import StreamService
-from mallowpond.node.target_availability import Intake
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.fleet import (
     EngineProfile,
     GroupPhase,
@@ -339,7 +339,7 @@
     limits = RateLimits(
         name="n0", directory=directory, clock=clock, metrics=NodeMetrics(), **more
     )
-    return Intake(rate_limits=limits, directory=directory, clock=clock)
+    return TargetAvailability(rate_limits=limits, directory=directory, clock=clock)
 
 
 async def rig_of(*groups, slack=100.0):
