--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -140,7 +140,7 @@
                 hosts=lambda: len(fleet.hosts) or 1,
                 rng=random.Random(fleet.rng.random()),
                 quarantine=Quarantine(clock=clock, metrics=metrics),
-                intake=TargetAvailability(
+                availability=TargetAvailability(
                     rate_limits=rate_limits, directory=self.directory, clock=clock
                 ),
             )
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -91,7 +91,7 @@
         self._hosts = parts.hosts
         self._rng = parts.rng
         self._quarantine = parts.quarantine
-        self._intake = parts.intake
+        self._intake = parts.availability
         self._records: dict[Process, TargetRecord] = defaultdict(TargetRecord)
         parts.directory.on_change.append(self._forget_ended)
 
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -99,7 +99,7 @@
         metrics: NodeMetrics,
         stall_seconds: float,
         traffic_seen: TrafficSeen,
-        intake: TargetAvailability,
+        availability: TargetAvailability,
     ) -> None:
         self._configuration = configuration
         self._directory = directory
@@ -128,7 +128,7 @@
             book=self._book,
             clock=clock,
             gate=self._gate,
-            intake=intake,
+            availability=availability,
             is_report_current=self._is_report_current,
             spawn=self._spawn,
         )
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -47,7 +47,7 @@
         book: OrderBook,
         clock: Clock,
         gate: CallGate,
-        intake: TargetAvailability,
+        availability: TargetAvailability,
         is_report_current: Callable[[Target], bool],
         spawn: Callable[[Coroutine[Any, Any, Any]], None],
     ) -> None:
@@ -59,7 +59,7 @@
         self._book = book
         self._clock = clock
         self._gate = gate
-        self._intake = intake
+        self._intake = availability
         self._is_report_current = is_report_current
         self._spawn = spawn
         # What is known of a process ends with it: kept by the id, a target that has
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -112,7 +112,7 @@
             metrics=self.metrics,
             peers=self.peers,
         )
-        intake = TargetAvailability(
+        availability = TargetAvailability(
             rate_limits=self.rate_limits, directory=self.directory, clock=clock
         )
         parts = ServingParts(
@@ -125,7 +125,7 @@
             hosts=lambda: self.peers.hosts,
             rng=self._rng,
             quarantine=quarantine,
-            intake=intake,
+            availability=availability,
         )
         self.streams = StreamService(parts=parts)
         self.ingress = Ingress(
@@ -169,7 +169,7 @@
             metrics=self.metrics,
             stall_seconds=settings.bounds.stall,
             traffic_seen=self._traffic,
-            intake=intake,
+            availability=availability,
         )
         self.fanout = Fanout(
             name=settings.name,
--- a/mallowpond/node/serving_parts.py
+++ b/mallowpond/node/serving_parts.py
@@ -26,4 +26,4 @@
     hosts: Callable[[], int]
     rng: random.Random
     quarantine: Quarantine
-    intake: TargetAvailability
+    availability: TargetAvailability
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -54,7 +54,7 @@
         self._hosts = parts.hosts
         self._rng = parts.rng
         self._quarantine = parts.quarantine
-        self._intake = parts.intake
+        self._intake = parts.availability
         self._queues: dict[str, WaitQueue] = {}
         self._models: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
         self.selector = GroupSelector(
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -60,7 +60,7 @@
         self._budget = parts.budget
         self._hosts = parts.hosts
         self._quarantine = parts.quarantine
-        self._intake = parts.intake
+        self._intake = parts.availability
         self.placement = StreamPlacement(parts=parts)
         self.active: set[ActiveStream] = set()
         self._serving = 0
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -360,7 +360,7 @@
         hosts=lambda: 1,
         rng=random.Random(1),
         quarantine=Quarantine(clock=clock, metrics=metrics),
-        intake=intake_of(directory, clock),
+        availability=intake_of(directory, clock),
     )
     service = StreamService(parts=parts)
     await directory.refresh()
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -74,7 +74,7 @@
         hosts=lambda: 1,
         rng=random.Random(1),
         quarantine=Quarantine(clock=clock, metrics=metrics),
-        intake=intake_of(directory, clock),
+        availability=intake_of(directory, clock),
     )
     return CallService(parts=parts)
 
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -120,7 +120,7 @@
         )
         self.watch, self.peers = FakeWatch(), FakePeers()
         self.leadership = FakeLeadership()
-        self.intake = intake_of(self.directory, self.clock)
+        self.availability = intake_of(self.directory, self.clock)
         self.planner = GroupPlanner(
             configuration=self.configuration,
             directory=self.directory,
@@ -132,7 +132,7 @@
             metrics=NodeMetrics(),
             stall_seconds=4.0,
             traffic_seen=TrafficSeen(seen=True),
-            intake=self.intake,
+            availability=self.availability,
         )
 
     async def steps(self, count=1):
@@ -910,7 +910,7 @@
     rig = Rig(free("e0"), free("e1"))
     await rig.directory.refresh()
     notice = TargetNotice(is_leaving=True)
-    rig.intake.record_notice(rig.directory.targets["e0"], notice, rig.clock.now())
+    rig.availability.record_notice(rig.directory.targets["e0"], notice, rig.clock.now())
     await rig.steps(5)
     joins = [step for step, _, _ in rig.targets.orders if isinstance(step, Join)]
     assert joins == []
@@ -923,7 +923,7 @@
     """Guards against health checks that take a slot of a target in need."""
     rig = Rig(*open_group("g"))
     await rig.steps(2)
-    rig.intake.record_notice(rig.directory.targets["g0"], notice, rig.clock.now())
+    rig.availability.record_notice(rig.directory.targets["g0"], notice, rig.clock.now())
     await rig.show(removed=("g0",))
     await rig.steps(5)
     assert rig.peers.vouched == []
@@ -933,10 +933,10 @@
     rig = Rig(*open_group("g"))
     await rig.steps(2)
     head = rig.directory.targets["g0"]
-    rig.intake.record_notice(head, TargetNotice(rate_limit=1.0), rig.clock.now())
+    rig.availability.record_notice(head, TargetNotice(rate_limit=1.0), rig.clock.now())
     rig.clock.time += 1.0
-    assert rig.intake.can_send(head)
+    assert rig.availability.can_send(head)
     await rig.show(removed=("g0",))
     await rig.steps(2)
     assert rig.peers.vouched == ["g0"]
-    assert not rig.intake.can_send(head)
+    assert not rig.availability.can_send(head)
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -81,7 +81,7 @@
             metrics=NodeMetrics(),
             stall_seconds=4.0,
             traffic_seen=TrafficSeen(seen=True),
-            intake=intake_of(self.directory, clock),
+            availability=intake_of(self.directory, clock),
         )
         self.planner.failed = fleet.violations
         self.targets.listed = self._listed
--- a/mallowpond/node/tests/test_target_availability.py
+++ b/mallowpond/node/tests/test_target_availability.py
@@ -51,9 +51,9 @@
 
 async def test_a_moved_stream_goes_to_no_head_that_asks_for_backoff():
     rig = await rig_of("a", "b", "c")
-    intake = rig.service._intake
+    availability = rig.service._intake
     notice = rig.targets.notice(shedding())
-    intake.record_notice(rig.directory.targets["b0"], notice, rig.clock.now())
+    availability.record_notice(rig.directory.targets["b0"], notice, rig.clock.now())
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]))
     rig.targets.script("c0", answer(2))
     outcome = await rig.service.serve(rig.work(FakeExchange()))
@@ -103,9 +103,9 @@
 async def test_what_a_target_asked_for_is_forgotten_with_the_target():
     """Guards against memory that grows with every process that ever asked."""
     rig = await rig_of("a", "b")
-    intake = rig.service._intake
+    availability = rig.service._intake
     notice = rig.targets.notice(shedding())
-    intake.record_notice(rig.directory.targets["a0"], notice, rig.clock.now())
+    availability.record_notice(rig.directory.targets["a0"], notice, rig.clock.now())
     rig.source.listed.append(listing(*open_group("b"), revision=2))
     rig.clock.time += 20.0
     await rig.directory.refresh()
@@ -113,4 +113,4 @@
     rig.source.listed.append(listing(*open_group("b"), revision=3))
     await rig.directory.refresh()
     assert "a0" not in rig.directory.targets
-    assert not intake.has_restrictions
+    assert not availability.has_restrictions
