--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -91,7 +91,7 @@
         self._hosts = parts.hosts
         self._rng = parts.rng
         self._quarantine = parts.quarantine
-        self._intake = parts.availability
+        self._availability = parts.availability
         self._records: dict[Process, TargetRecord] = defaultdict(TargetRecord)
         parts.directory.on_change.append(self._forget_ended)
 
@@ -132,7 +132,7 @@
             target
             for target in self._directory.usable_targets(work.service)
             if self._records[target.process].misdirected is not target
-            and self._intake.can_send(target)
+            and self._availability.can_send(target)
         ]
         left = [t for t in targets if t.process not in used]
         if not left:
@@ -148,7 +148,7 @@
         return min(left, key=rank, default=None)
 
     def _why_no_target(self, work: CallWork) -> Reason:
-        return self._intake.refusal_reason(self._unused(work)) or Reason.NO_TARGET
+        return self._availability.refusal_reason(self._unused(work)) or Reason.NO_TARGET
 
     def _unused(self, work: CallWork) -> list[Target]:
         """Return the targets to which a request was not sent."""
@@ -165,7 +165,7 @@
             limit = FIRST_SEND_SHARE * left
         record = self._records[target.process]
         record.running += 1
-        self._intake.record_sent(target)
+        self._availability.record_sent(target)
         work.sent_to.append(target.process)
         log.info(
             "call: sent",
@@ -210,7 +210,7 @@
         if self._targets.is_misdirected(response):
             return NoReply(reason=Reason.MISDIRECTED, may_have_run=False)
         notice = self._targets.notice(response)
-        self._intake.record_notice(target, notice, sent_at)
+        self._availability.record_notice(target, notice, sent_at)
         if self._targets.is_not_run(response):
             return NoReply(reason=Reason.NOT_RUN, may_have_run=False)
         if isinstance(body, CallFailed):
@@ -275,7 +275,7 @@
         if work.sent_to:
             status = 504 if reason is Reason.TIMEOUT else 502
             return Refusal(status=status, reason=reason)
-        wait = self._intake.retry_seconds(self._unused(work))
+        wait = self._availability.retry_seconds(self._unused(work))
         wait = wait or NO_TARGET_RETRY_SECONDS
         after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -59,7 +59,7 @@
         self._book = book
         self._clock = clock
         self._gate = gate
-        self._intake = availability
+        self._availability = availability
         self._is_report_current = is_report_current
         self._spawn = spawn
         # What is known of a process ends with it: kept by the id, a target that has
@@ -81,7 +81,7 @@
 
     def is_leaving(self, target: Target) -> bool:
         """Tell whether a target is about to stop although the list does not say so."""
-        if self._intake.is_leaving(target):
+        if self._availability.is_leaving(target):
             return True
         unhealthy = self._unhealthy.get(target.process, 0)
         return target.lapsed and unhealthy >= UNHEALTHY_THRESHOLD
@@ -229,11 +229,11 @@
         """Tell a target that is cut off from the list from one that leaves."""
         configuration = self._configuration.configuration
         service = configuration and configuration.services.get(target.service)
-        if not service or not self._intake.can_send(target):
+        if not service or not self._availability.can_send(target):
             return
         async with self._gate.admit():
             # It takes a slot as a request does.
-            self._intake.record_sent(target)
+            self._availability.record_sent(target)
             healthy = await self._targets.is_healthy(target, service.health_path)
         if isinstance(healthy, Unavailable):
             await self.probe(target)
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -54,7 +54,7 @@
         self._hosts = parts.hosts
         self._rng = parts.rng
         self._quarantine = parts.quarantine
-        self._intake = parts.availability
+        self._availability = parts.availability
         self._queues: dict[str, WaitQueue] = {}
         self._models: dict[str, tuple[str, EngineProfile, ModelSpec, float]] = {}
         self.selector = GroupSelector(
@@ -109,7 +109,9 @@
                     return self.refuse(Reason.OVERLOADED, wait)
                 case WaitEnded():
                     return self._refuse_unplaced(work)
-                case Placed(group=group) if self._intake.unavailable_groups([group]):
+                case Placed(group=group) if self._availability.unavailable_groups(
+                    [group]
+                ):
                     # Its head closed admission while the stream waited.
                     self._release_grant()
                     continue
@@ -145,11 +147,11 @@
 
         It was sent there already, or the group's head admits no requests now.
         """
-        if not work.sent_to and not self._intake.has_restrictions:
+        if not work.sent_to and not self._availability.has_restrictions:
             return frozenset()
         groups = self._directory.serving_groups(work.service, work.model.name)
         used = {g.name for g in groups if g.head and g.head.process in work.sent_to}
-        return self._intake.unavailable_groups(groups).union(used)
+        return self._availability.unavailable_groups(groups).union(used)
 
     def _refuse_closed(self, work: StreamWork) -> Refusal | None:
         """Refuse a stream if no group of its model admits requests within its patience.
@@ -157,15 +159,15 @@
         A stream that has begun is not refused: it would be cut off although a group may
         form in time.
         """
-        if work.has_begun or not self._intake.has_restrictions:
+        if work.has_begun or not self._availability.has_restrictions:
             return None
         groups = self._directory.serving_groups(work.service, work.model.name)
         heads = [g.head for g in groups if g.head is not None]
-        wait = min(map(self._intake.seconds_until_available, heads), default=0.0)
-        reason = self._intake.refusal_reason(heads)
+        wait = min(map(self._availability.seconds_until_available, heads), default=0.0)
+        reason = self._availability.refusal_reason(heads)
         if reason is None or wait <= self._patience(work):
             return None
-        return self.refuse(reason, self._intake.retry_seconds(heads))
+        return self.refuse(reason, self._availability.retry_seconds(heads))
 
     def _release_grant(self) -> None:
         """Report that a granted slot is not used."""
@@ -313,7 +315,7 @@
 
         def has_capacity() -> bool:
             groups = self._directory.serving_groups(service, model)
-            closed = self._intake.unavailable_groups(groups)
+            closed = self._availability.unavailable_groups(groups)
             loads = [
                 Candidate(key=g.name, load=self._directory.loads.load_of(g, profile))
                 for g in groups
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -60,7 +60,7 @@
         self._budget = parts.budget
         self._hosts = parts.hosts
         self._quarantine = parts.quarantine
-        self._intake = parts.availability
+        self._availability = parts.availability
         self.placement = StreamPlacement(parts=parts)
         self.active: set[ActiveStream] = set()
         self._serving = 0
@@ -211,7 +211,7 @@
         )
         own.running += 1
         own.prefill_tokens += stream.reading
-        self._intake.record_sent(group.head)
+        self._availability.record_sent(group.head)
         work.sent_to.append(group.head.process)
         work.sent_at = now
         work.sends += 1
@@ -312,7 +312,7 @@
         """Note what the answer of a group's head says of the head."""
         notice = self._targets.notice(response)
         if stream.group.head is not None:
-            self._intake.record_notice(stream.group.head, notice, stream.sent_at)
+            self._availability.record_notice(stream.group.head, notice, stream.sent_at)
         return notice
 
     async def _forward(
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -48,7 +48,7 @@
 
 def availability_of(rig):
     """Return the rate limits that a rig's host knows."""
-    return rig.service._intake
+    return rig.service._availability
 
 
 def head(rig, name):
@@ -178,12 +178,12 @@
     budget = RetryWindow(ratio=0.0, slack=10.0, window_seconds=10.0)
     service = service_of(directory, fakes, clock, budget)
     target = directory.targets["a"]
-    service._intake.record_notice(target, NAMED, clock.now())
+    service._availability.record_notice(target, NAMED, clock.now())
     clock.time += 1.0
-    assert service._intake.can_send(target)
+    assert service._availability.can_send(target)
     outcome = await service.serve(work_of(clock, IDEMPOTENT, FakeExchange()))
     assert outcome == Answered(status=200, target="a")
-    assert not service._intake.can_send(target)
+    assert not service._availability.can_send(target)
 
 
 class Wire:
--- a/mallowpond/node/tests/test_target_availability.py
+++ b/mallowpond/node/tests/test_target_availability.py
@@ -51,7 +51,7 @@
 
 async def test_a_moved_stream_goes_to_no_head_that_asks_for_backoff():
     rig = await rig_of("a", "b", "c")
-    availability = rig.service._intake
+    availability = rig.service._availability
     notice = rig.targets.notice(shedding())
     availability.record_notice(rig.directory.targets["b0"], notice, rig.clock.now())
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]))
@@ -103,7 +103,7 @@
 async def test_what_a_target_asked_for_is_forgotten_with_the_target():
     """Guards against memory that grows with every process that ever asked."""
     rig = await rig_of("a", "b")
-    availability = rig.service._intake
+    availability = rig.service._availability
     notice = rig.targets.notice(shedding())
     availability.record_notice(rig.directory.targets["a0"], notice, rig.clock.now())
     rig.source.listed.append(listing(*open_group("b"), revision=2))
