--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -334,7 +334,7 @@
     return FakeResponse(script=[], status=503, headers={"not-run": "1"})
 
 
-def intake_of(directory, clock, **more):
+def make_availability(directory, clock, **more):
     """Build what a host knows of the work that targets want."""
     limits = RateLimits(
         name="n0", directory=directory, clock=clock, metrics=NodeMetrics(), **more
@@ -360,7 +360,7 @@
         hosts=lambda: 1,
         rng=random.Random(1),
         quarantine=Quarantine(clock=clock, metrics=metrics),
-        availability=intake_of(directory, clock),
+        availability=make_availability(directory, clock),
     )
     service = StreamService(parts=parts)
     await directory.refresh()
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -20,8 +20,8 @@
     FakeResponse,
     FakeSource,
     FakeTargets,
-    intake_of,
     listing,
+    make_availability,
 )
 from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, CrashRecord, Ending
 from mallowpond.state.fleet import Process, Target
@@ -74,7 +74,7 @@
         hosts=lambda: 1,
         rng=random.Random(1),
         quarantine=Quarantine(clock=clock, metrics=metrics),
-        availability=intake_of(directory, clock),
+        availability=make_availability(directory, clock),
     )
     return CallService(parts=parts)
 
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -20,8 +20,8 @@
     FakeClock,
     FakeSource,
     FakeTargets,
-    intake_of,
     listing,
+    make_availability,
     member,
     open_group,
 )
@@ -120,7 +120,7 @@
         )
         self.watch, self.peers = FakeWatch(), FakePeers()
         self.leadership = FakeLeadership()
-        self.availability = intake_of(self.directory, self.clock)
+        self.availability = make_availability(self.directory, self.clock)
         self.planner = GroupPlanner(
             configuration=self.configuration,
             directory=self.directory,
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -26,7 +26,7 @@
     ModelSource,
     ModelTargets,
 )
-from mallowpond.node.tests.fakes import PROFILE, FakeClock, intake_of
+from mallowpond.node.tests.fakes import PROFILE, FakeClock, make_availability
 from mallowpond.node.tests.test_planner import FakeLeadership, FakePeers, FakeWatch
 from mallowpond.node.traffic import TrafficSeen
 from mallowpond.state.fleet import GroupPhase
@@ -81,7 +81,7 @@
             metrics=NodeMetrics(),
             stall_seconds=4.0,
             traffic_seen=TrafficSeen(seen=True),
-            availability=intake_of(self.directory, clock),
+            availability=make_availability(self.directory, clock),
         )
         self.planner.failed = fleet.violations
         self.targets.listed = self._listed
