--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -27,7 +27,7 @@
 from mallowpond.node.messages import CrashQuestion, CrashRecords
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.quarantine import Quarantine
-from mallowpond.node.repeated_news import RepeatedNews
+from mallowpond.node.resend_schedule import RepeatedNews
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.state.codec import to_plain
 from mallowpond.state.crash_ledger import QUARANTINE_SECONDS, CrashRecord, Ending
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -12,7 +12,7 @@
 from mallowpond.node.messages import RateLimitNews
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.repeated_news import RepeatedNews
+from mallowpond.node.resend_schedule import RepeatedNews
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.rate_limit import RateLimitShares, TargetLimit
 from mallowpond.state.target_notice import TargetNotice
--- a/mallowpond/node/tests/test_repeated_news.py
+++ b/mallowpond/node/tests/test_repeated_news.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from mallowpond.coordination.tasks import cancel_task
-from mallowpond.node.repeated_news import RepeatedNews
+from mallowpond.node.resend_schedule import RepeatedNews
 from mallowpond.node.tests.fakes import FakeClock
 
 
