--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -27,7 +27,7 @@
 from mallowpond.node.messages import CrashQuestion, CrashRecords
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.quarantine import Quarantine
-from mallowpond.node.resend_schedule import RepeatedNews
+from mallowpond.node.resend_schedule import ResendSchedule
 from mallowpond.node.unreadable import UnreadableNotes
 from mallowpond.state.codec import to_plain
 from mallowpond.state.crash_ledger import QUARANTINE_SECONDS, CrashRecord, Ending
@@ -98,7 +98,7 @@
         self._store_clock = store_clock
         self._rng = rng
         self._notes = notes
-        self._news: RepeatedNews[str] = RepeatedNews(
+        self._news: ResendSchedule[str] = ResendSchedule(
             clock=clock, pauses=TELL_PAUSES, at_once=RECORDS_AT_ONCE
         )
         # What every host was told to hold back, and is to hear the rest of.
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -12,7 +12,7 @@
 from mallowpond.node.messages import RateLimitNews
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.resend_schedule import RepeatedNews
+from mallowpond.node.resend_schedule import ResendSchedule
 from mallowpond.state.fleet import Process, Target
 from mallowpond.state.rate_limit import RateLimitShares, TargetLimit
 from mallowpond.state.target_notice import TargetNotice
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._peers = peers
         self._shares = RateLimitShares(host=name)
-        self._news: RepeatedNews[Process] = RepeatedNews(
+        self._news: ResendSchedule[Process] = ResendSchedule(
             clock=clock, pauses=TELL_PAUSES, at_once=TOLD_AT_ONCE
         )
         self._told_at: dict[Process, float] = {}
--- a/mallowpond/node/resend_schedule.py
+++ b/mallowpond/node/resend_schedule.py
@@ -13,7 +13,7 @@
 Key = TypeVar("Key", bound=Hashable)
 
 
-class RepeatedNews(Generic[Key]):
+class ResendSchedule(Generic[Key]):
     """Schedule what is told, and how often it was.
 
     `pauses` are those before each telling of one piece, in seconds, and `at_once` is
--- a/mallowpond/node/tests/test_repeated_news.py
+++ b/mallowpond/node/tests/test_repeated_news.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from mallowpond.coordination.tasks import cancel_task
-from mallowpond.node.resend_schedule import RepeatedNews
+from mallowpond.node.resend_schedule import ResendSchedule
 from mallowpond.node.tests.fakes import FakeClock
 
 
 def news_of(clock, at_once=2):
     """Write a schedule of two tellings."""
-    return RepeatedNews(clock=clock, pauses=(0.1, 1.0), at_once=at_once)
+    return ResendSchedule(clock=clock, pauses=(0.1, 1.0), at_once=at_once)
 
 
 def test_each_piece_is_told_once_a_pause():
