--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -128,9 +128,9 @@
 
     async def run_sending(self) -> None:
         """Tell what is due until cancelled."""
-        await self._news.run(self.tell_due)
+        await self._news.run(self.send_due)
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Tell what is due now."""
         by_receivers: dict[frozenset[str], list[CrashRecord]] = {}
         for request in self._news.take_due():
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -130,9 +130,9 @@
 
     async def run(self) -> None:
         """Tell other hosts what is new until cancelled."""
-        await self._news.run(self.tell_due)
+        await self._news.run(self.send_due)
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Tell the other hosts what is due now."""
         now = self._clock.now()
         told = []
--- a/mallowpond/node/resend_schedule.py
+++ b/mallowpond/node/resend_schedule.py
@@ -55,8 +55,8 @@
                 self._due[key] = (now + self._pauses[times], times + 1)
         return due[: self._at_once]
 
-    async def run(self, tell_due: Callable[[], None]) -> None:
-        """Call `tell_due` whenever something is due, until cancelled."""
+    async def run(self, send_due: Callable[[], None]) -> None:
+        """Call `send_due` whenever something is due, until cancelled."""
         while True:
             self._news.clear()
             if not self._due:
@@ -66,5 +66,5 @@
             if seconds > 0.0:
                 await sleep_until_news(self._clock, seconds, self._news)
                 continue
-            tell_due()
+            send_due()
             await self._clock.sleep(TELL_SECONDS)
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -139,7 +139,7 @@
         for _ in range(int(seconds / 0.1)):
             self.clock.time += 0.1
             for host in self.hosts:
-                host.sharing.tell_due()
+                host.sharing.send_due()
 
     def who_holds(self, request="bad"):
         """Return the hosts that hold a request back."""
@@ -283,7 +283,7 @@
         sent_at = fleet.clock.now() - 0.4
         fleet.hosts[0].quarantine.record_ending(f"r{number}", target(1), sent_at)
     fleet.clock.time += 1.0
-    fleet.hosts[0].sharing.tell_due()
+    fleet.hosts[0].sharing.send_due()
     (_, _, data) = fleet.carried.pop()
     message = read_message(data)
     assert isinstance(message, CrashRecords)
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -225,11 +225,11 @@
     """Guards against hosts that each have to find a limit by a request of their own."""
     rig, _, (mine, other) = await pair()
     mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
-    mine.tell_due()
+    mine.send_due()
     assert other.seconds_until_available(head(rig, "a0")) > 0.0
     rig.clock.time += 1.0
     mine.record_notice(head(rig, "a0"), TargetNotice(), rig.clock.now())
-    mine.tell_due()
+    mine.send_due()
     assert other.seconds_until_available(head(rig, "a0")) == 0.0
 
 
@@ -239,7 +239,7 @@
     mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
     for pause in TELL_PAUSES:
         rig.clock.time += pause
-        mine.tell_due()
+        mine.send_due()
     assert other.seconds_until_available(head(rig, "a0")) > 0.0
     assert len(mine._news) == 0
 
@@ -248,7 +248,7 @@
     rig, wires, (mine, other) = await pair()
     gone = replace(head(rig, "a0"), born=7)
     mine.record_notice(gone, NAMED, rig.clock.now())
-    mine.tell_due()
+    mine.send_due()
     assert other.seconds_until_available(gone) == 0.0
 
 
@@ -270,7 +270,7 @@
     rig, _, (mine, other) = await pair()
     for _ in range(40):
         mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
-        mine.tell_due()
+        mine.send_due()
         rig.clock.time += 5.0
         other.seconds_until_available(head(rig, "a0"))
         assert other.has_limits
