--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -21,7 +21,7 @@
     transaction,
 )
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.state.decoding import DecodeFault, Unreadable, decode
 from mallowpond.state.ownership import ranked_by_capacity
 from mallowpond.state.rows import LeaseRow
@@ -70,9 +70,9 @@
         checks_fencing: bool,
         can_plan: Callable[[], bool],
         cores: float = 0.0,
-        notes: UnreadableNotes | None = None,
+        notes: UnreadableLog | None = None,
     ) -> None:
-        self._notes = notes or UnreadableNotes()
+        self._notes = notes or UnreadableLog()
         self._name = name
         self._cores = cores
         self._incarnation = incarnation
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -41,7 +41,7 @@
     read_message,
     write_message,
 )
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.state.codec import to_plain
 from mallowpond.state.decoding import (
     SocketAddress,
@@ -116,9 +116,9 @@
         table: TableService,
         clock: Clock,
         make_heartbeat: Callable[[], Heartbeat],
-        notes: UnreadableNotes | None = None,
+        notes: UnreadableLog | None = None,
     ) -> None:
-        self._notes = notes or UnreadableNotes()
+        self._notes = notes or UnreadableLog()
         self._name = name
         self._incarnation = incarnation
         self._address = address
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -28,7 +28,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.quarantine import Quarantine
 from mallowpond.node.resend_schedule import ResendSchedule
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.state.codec import to_plain
 from mallowpond.state.crash_ledger import QUARANTINE_SECONDS, CrashRecord, Ending
 from mallowpond.state.decoding import Unreadable, decode
@@ -88,7 +88,7 @@
         clock: Clock,
         store_clock: StoreClock,
         rng: random.Random,
-        notes: UnreadableNotes,
+        notes: UnreadableLog,
     ) -> None:
         self._name = name
         self._quarantine = quarantine
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -35,7 +35,7 @@
 from mallowpond.node.streams import StreamService
 from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.node.traffic import TrafficSeen
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.node.watch import GroupWatch
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.transport.http_server import Exchange, HttpRequest, HttpServer
@@ -80,7 +80,7 @@
         self._budgets: dict[str, RetryWindow] = {}
         self._traffic = TrafficSeen(seen=not settings.first_start)
         self.metrics = metrics or NodeMetrics()
-        notes = UnreadableNotes(counter=self.metrics.unreadable)
+        notes = UnreadableLog(counter=self.metrics.unreadable)
         self.configuration = ConfigurationFollower(
             source=ports.source, clock=clock, revoke_seconds=settings.bounds.revoke
         )
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -35,7 +35,7 @@
     answer,
     rig_of,
 )
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.standins.platform import MemoryTable, PlatformFaults
 from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, QUARANTINE_SECONDS
 from mallowpond.state.fleet import Process
@@ -79,7 +79,7 @@
             clock=fleet.clock,
             store_clock=store_clock,
             rng=random.Random(1),
-            notes=UnreadableNotes(),
+            notes=UnreadableLog(),
         )
 
     def beat(self):
--- a/mallowpond/node/unreadable.py
+++ b/mallowpond/node/unreadable.py
@@ -11,7 +11,7 @@
 KEY_LENGTH = 60
 
 
-class UnreadableNotes:
+class UnreadableLog:
     """Note each document that was left out, by its kind and what is wrong with it."""
 
     def __init__(self, *, counter: Counter | None = None) -> None:
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -15,7 +15,7 @@
     OrderTaken,
     OrderUnfit,
 )
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform import documents
 from mallowpond.platform import headers as names
 from mallowpond.state.decoding import Unreadable, parse_json
@@ -46,11 +46,9 @@
 class PlatformEngines:
     """Speak to engines and plain services."""
 
-    def __init__(
-        self, *, http: HttpClient, notes: UnreadableNotes | None = None
-    ) -> None:
+    def __init__(self, *, http: HttpClient, notes: UnreadableLog | None = None) -> None:
         self._http = http
-        self._notes = notes or UnreadableNotes()
+        self._notes = notes or UnreadableLog()
 
     async def send(
         self,
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -19,7 +19,7 @@
     UnreadableRow,
 )
 from mallowpond.node.ports import ConfigurationRead, HistoryLost, TargetsRead
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform import documents
 from mallowpond.platform.call_counts import CallCounts
 from mallowpond.platform.rows import (
@@ -54,13 +54,13 @@
         *,
         http: HttpClient,
         address: str,
-        notes: UnreadableNotes | None = None,
+        notes: UnreadableLog | None = None,
         counts: CallCounts | None = None,
     ) -> None:
         self._http = http
         self._counts = counts or CallCounts(clock=BootClock())
         self._address = address
-        self._notes = notes or UnreadableNotes()
+        self._notes = notes or UnreadableLog()
 
     # -- the configuration and the list of targets --------------------------
 
