--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -19,10 +19,10 @@
 from mallowpond.node.model_summary import demand, log_summary, utilization
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import (
-    OrderEnd,
     OrderFenced,
     OrderLost,
     OrderMisdirected,
+    OrderResult,
     OrderTaken,
     OrderUnfit,
     Targets,
@@ -453,7 +453,7 @@
             return False
         return self._processes.current(listed).process == target.process
 
-    def _handle_result(self, step: Step, end: OrderEnd, *, expected: int) -> None:
+    def _handle_result(self, step: Step, end: OrderResult, *, expected: int) -> None:
         target = step.target
         is_late = not self._is_present(target)
         kind = type(step).__name__.lower()
--- a/mallowpond/node/ports.py
+++ b/mallowpond/node/ports.py
@@ -143,7 +143,7 @@
     reason: str
 
 
-OrderEnd = OrderTaken | OrderUnfit | OrderFenced | OrderMisdirected | OrderLost
+OrderResult = OrderTaken | OrderUnfit | OrderFenced | OrderMisdirected | OrderLost
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -177,7 +177,7 @@
     def notice(self, response: HttpResponse) -> TargetNotice:
         """Return what an answer says of the target itself."""
 
-    async def order(self, step: Step, *, fence: int, expected: int) -> OrderEnd:
+    async def order(self, step: Step, *, fence: int, expected: int) -> OrderResult:
         """Give an engine an order that only this count of earlier ones may precede."""
 
     async def report(self, target: Target) -> EngineReport | Unavailable:
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -8,10 +8,10 @@
 from mallowpond.node.ports import (
     CallerRequest,
     EngineReport,
-    OrderEnd,
     OrderFenced,
     OrderLost,
     OrderMisdirected,
+    OrderResult,
     OrderTaken,
     OrderUnfit,
 )
@@ -96,7 +96,7 @@
             is_leaving=found.get(names.LEAVING) == "1",
         )
 
-    async def order(self, step: Step, *, fence: int, expected: int) -> OrderEnd:
+    async def order(self, step: Step, *, fence: int, expected: int) -> OrderResult:
         """Give an engine an order that only this count of earlier ones may precede."""
         body = {**_operation(step), "fence": fence, "expected": expected}
         answer = await self._http.fetch(
