--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -202,7 +202,7 @@
             method="POST",
             target="/",
             body=str(self._asked).encode(),
-            passed_headers=(),
+            forwarded_headers=(),
             model=MODEL,
             prompt_tokens=int(
                 self._draw(scenario.prompt_tokens, scenario.prompt_spread)
--- a/mallowpond/node/ports.py
+++ b/mallowpond/node/ports.py
@@ -26,7 +26,7 @@
     method: str
     target: str
     body: bytes
-    passed_headers: Headers
+    forwarded_headers: Headers
     key: str | None = None
     seconds_left: float | None = None
     model: str | None = None
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -163,7 +163,7 @@
             method=request.method,
             target=request.target,
             body=request.body,
-            passed_headers=(),
+            forwarded_headers=(),
         )
 
     def answer_headers(self, response):
@@ -307,7 +307,7 @@
             method="POST",
             target="/x",
             body=b"",
-            passed_headers=(),
+            forwarded_headers=(),
             model="m",
             prompt_tokens=100,
         )
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -82,7 +82,7 @@
 def work_of(clock, route, exchange):
     """Write a request to serve."""
     request = CallerRequest(
-        id="q", host="h", method="POST", target="/", body=b"", passed_headers=()
+        id="q", host="h", method="POST", target="/", body=b"", forwarded_headers=()
     )
     return CallWork(
         request=request,
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -61,7 +61,7 @@
     ) -> HttpResponse | CallFailed:
         """Send a request and return once the head of its answer is here."""
         left = max(1, int(seconds_left * 1000))
-        headers = request.passed_headers + (
+        headers = request.forwarded_headers + (
             (names.DEADLINE, str(left)),
             (names.EXPECT_INSTANCE, target.id),
         )
