--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -236,7 +236,7 @@
     ) -> None:
         self._metrics.requests.labels("refused").inc()
         self._metrics.refusals.labels(refusal.reason.value).inc()
-        self._metrics.refusing.observe(seconds)
+        self._metrics.refusal_seconds.observe(seconds)
         log.info(
             "ingress: refused",
             request=request,
