--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -342,7 +342,7 @@
     return TargetAvailability(rate_limits=limits, directory=directory, clock=clock)
 
 
-async def rig_of(*groups, slack=100.0):
+async def make_rig(*groups, slack=100.0):
     """Build a stream service whose list holds these open groups."""
     clock, targets = FakeClock(), FakeTargets()
     members = [target for group in groups for target in open_group(group)]
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -25,7 +25,7 @@
     FakeExchange,
     FakeResponse,
     answer,
-    rig_of,
+    make_rig,
 )
 
 GROUP = ("a", 1)
@@ -100,7 +100,7 @@
 
 async def site_of(*groups):
     """Build two hosts that know these open groups."""
-    rig_a, rig_b = await rig_of(*groups), await rig_of(*groups)
+    rig_a, rig_b = await make_rig(*groups), await make_rig(*groups)
     rig_b.clock = rig_a.clock
     return Site(rig_a, rig_b)
 
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -33,7 +33,7 @@
     FakeExchange,
     FakeResponse,
     answer,
-    rig_of,
+    make_rig,
 )
 from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.standins.platform import MemoryTable, PlatformFaults
@@ -300,7 +300,7 @@
     Sequence: it runs on three groups, each ends; it comes again under another id.
     Cause: nothing but the exchange knew of the groups that had ended.
     """
-    rig = await rig_of(*"abcd")
+    rig = await make_rig(*"abcd")
     for group in "abcd":
         rig.targets.script(f"{group}0", FakeResponse(script=[BROKEN]))
     route = replace(ROUTE, max_attempts=4)
@@ -325,7 +325,7 @@
     Sequence: it runs beside the one that ends its groups, three times.
     Cause: both had stood on three targets that ended.
     """
-    rig = await rig_of("d")
+    rig = await make_rig("d")
     rig.targets.script("d0", answer(1, 2))
     quarantine = rig.service._quarantine
     beside, now = rig.work(FakeExchange()), rig.clock.now()
@@ -344,7 +344,7 @@
     connection is read, and the stream is moved away.
     Cause: only connections that broke counted.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     open_end = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[open_end]))
     rig.targets.script("b0", FakeResponse(script=[open_end]))
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -22,7 +22,7 @@
     answer,
     event,
     listing,
-    rig_of,
+    make_rig,
 )
 from mallowpond.node.tests.test_calls import (
     IDEMPOTENT,
@@ -58,7 +58,7 @@
 
 async def test_a_head_gets_no_more_than_the_rate_that_it_names():
     """Guards against a head that goes on getting what its slots would bear."""
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", *(limited(1.0, 1) for _ in range(80)))
     rig.targets.script("b0", *(answer(1) for _ in range(80)))
     sent = []
@@ -72,7 +72,7 @@
 
 
 async def test_a_limit_ends_with_the_first_answer_that_names_none():
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     rig.targets.script("a0", limited(1.0, 1), answer(1), answer(1))
     await rig.service.serve(rig.work(FakeExchange()))
     rig.clock.time += 3.5
@@ -83,7 +83,7 @@
 
 async def test_a_stream_that_no_group_takes_in_time_is_refused_at_once():
     """Guards against streams that wait for a place which a rate limit withholds."""
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     availability_of(rig).record_notice(head(rig, "a0"), SCARCE, rig.clock.now())
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert (outcome.status, outcome.reason) == (503, Reason.RATE_LIMITED)
@@ -93,7 +93,7 @@
 
 async def test_a_stream_that_moves_keeps_the_rate_of_where_it_goes():
     """Guards against moved streams that a limit on first sends would not hold."""
-    rig = await rig_of("a", "b", "c")
+    rig = await make_rig("a", "b", "c")
     availability_of(rig).record_notice(head(rig, "b0"), SCARCE, rig.clock.now())
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]))
     rig.targets.script("c0", answer(2))
@@ -102,7 +102,7 @@
 
 
 async def test_a_waiting_stream_gets_its_place_when_the_rate_leaves_room():
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     availability_of(rig).record_notice(head(rig, "a0"), NAMED, rig.clock.now())
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await settle()
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("status", [200, 500, 503])
 async def test_any_answer_may_name_a_limit(status):
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     headers = {"limit": "1.0"} | ({"not-run": "1"} if status == 503 else {})
     failing = FakeResponse(script=[], status=status, headers=headers)
     rig.targets.script("a0", replace(failing, script=answer(1).script))
@@ -205,7 +205,7 @@
 
 async def pair():
     """Build the rate limits of two hosts that hear each other."""
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     wires = Wire(), Wire()
     wires[0].other, wires[1].other = wires[1], wires[0]
     found = [
@@ -278,7 +278,7 @@
 
 async def test_a_stream_that_has_begun_waits_for_a_group_that_may_take_it():
     """Guards against begun streams that are cut off as all groups left are limited."""
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     limits = availability_of(rig)
     limits.record_notice(head(rig, "b0"), SCARCE, rig.clock.now())
     end = asyncio.get_running_loop().create_future()
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -19,8 +19,8 @@
     event,
     full,
     listing,
+    make_rig,
     misdirected,
-    rig_of,
 )
 from mallowpond.node.tests.test_watch import STALL_SECONDS, FakePeers
 from mallowpond.node.watch import GroupWatch
@@ -118,7 +118,7 @@
     def __init__(self):
         super().__init__()
         self.loop = FakeLoop()
-        self.rig = self.loop.run_until_complete(rig_of(*GROUPS, slack=0.0))
+        self.rig = self.loop.run_until_complete(make_rig(*GROUPS, slack=0.0))
         self.loop.clock = self.rig.clock
         self.directory = self.rig.directory
         self.platform = Platform(present=dict(self.directory.targets))
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -18,8 +18,8 @@
     answer,
     event,
     full,
+    make_rig,
     misdirected,
-    rig_of,
 )
 from mallowpond.state.crash_ledger import CrashRecord, Ending
 from mallowpond.state.fleet import Process
@@ -31,7 +31,7 @@
 
 
 async def test_a_whole_answer_reaches_the_caller():
-    rig = await rig_of("g")
+    rig = await make_rig("g")
     rig.targets.script("g0", answer(1, 2))
     exchange = FakeExchange()
     outcome = await rig.service.serve(rig.work(exchange))
@@ -46,7 +46,7 @@
     Sequence: a group breaks off in the middle of an event; another one goes on.
     Cause: the resume began elsewhere than after the last event passed on whole.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     half = replace(event(3), data=b"id: 3\nda")
     broken = FakeResponse(script=[event(1), event(2), half, BROKEN])
     rig.targets.script("a0", broken)
@@ -64,7 +64,7 @@
     Sequence: the group breaks off before the first event.
     Cause: the send was repeated although nothing proved that it had not run.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", BROKEN)
     rig.targets.script("b0", BROKEN)
     work = rig.work(FakeExchange(), replace(ROUTE, resumable=False))
@@ -74,7 +74,7 @@
 
 
 async def test_a_proof_of_not_run_allows_another_send():
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     refused = FakeResponse(script=[], status=503, headers={"not-run": "1"})
     rig.targets.script("a0", refused)
     rig.targets.script("b0", answer(1))
@@ -84,7 +84,7 @@
 
 
 async def test_a_target_that_cannot_be_reached_did_not_run_the_request():
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", UNREACHABLE)
     rig.targets.script("b0", answer(1))
     outcome = await rig.service.serve(rig.work(FakeExchange()))
@@ -92,7 +92,7 @@
 
 
 async def test_no_more_engines_than_the_route_allows_run_a_request():
-    rig = await rig_of("a", "b", "c")
+    rig = await make_rig("a", "b", "c")
     for group in "abc":
         rig.targets.script(f"{group}0", FakeResponse(script=[BROKEN]))
     outcome = await rig.service.serve(rig.work(FakeExchange()))
@@ -101,7 +101,7 @@
 
 
 async def test_an_answer_that_began_is_cut_and_never_ended_as_if_whole():
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]))
     exchange = FakeExchange()
     work = rig.work(exchange, replace(ROUTE, max_attempts=1))
@@ -111,7 +111,7 @@
 
 
 async def test_an_engines_own_failure_is_passed_on_unchanged():
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     failure = FakeResponse(script=[], status=500, headers={"stamp": "s"})
     rig.targets.script("a0", failure)
     exchange = FakeExchange()
@@ -127,7 +127,7 @@
     Sequence: both groups that a stream may be sent to fall silent for a moment.
     Cause: a stream that had used its attempts was moved all the same.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     held = asyncio.get_running_loop().create_future()
     for name in ("a0", "b0"):
         rig.targets.script(name, FakeResponse(script=[held]))
@@ -142,7 +142,7 @@
 
 
 async def test_a_moved_stream_goes_on_elsewhere():
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     held = asyncio.get_running_loop().create_future()
     for name in ("a0", "b0"):
         rig.targets.script(name, FakeResponse(script=[event(1), held]), answer(2))
@@ -168,7 +168,7 @@
     Cause: the time that callers wait for an event was counted from the start of the
     stream, so it was over.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     held = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[event(1), held, event(2), BROKEN]))
     rig.directory.loads.work(("b", 1)).running = 10
@@ -190,7 +190,7 @@
 
 
 async def test_the_work_on_a_group_is_counted_back_when_a_caller_leaves():
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     held = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[event(1), held]))
     exchange = FakeExchange()
@@ -212,7 +212,7 @@
     to it. That time was of a sound group, so a host whose groups ran at a
     fifth of their pace took streams that needed longer than it had.
     """
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     work = rig.work(FakeExchange())
     sound = rig.service.placement.longest_seconds(work)
     group_work = rig.directory.loads.work(("a", 1))
@@ -228,7 +228,7 @@
     Nothing was known of when a group would serve, yet the stream's time was reckoned
     as if one did.
     """
-    rig = await rig_of()
+    rig = await make_rig()
     assert rig.service.placement.longest_seconds(rig.work(FakeExchange())) == float(
         "inf"
     )
@@ -242,7 +242,7 @@
     Cause: the answer counted as that of a full head, which is left for a moment only;
     without streams it looked like the least loaded.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", *(misdirected() for _ in range(9)))
     rig.targets.script("b0", *(answer(1) for _ in range(9)))
     rig.directory.loads.work(("b", 1)).running = 1
@@ -254,7 +254,7 @@
 
 
 async def test_a_full_head_gets_streams_again_after_a_moment():
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", full(), answer(1))
     rig.targets.script("b0", answer(1), answer(1))
     rig.directory.loads.work(("b", 1)).running = 1
@@ -275,7 +275,7 @@
     Cause: the end of the budget was answered alike whether the stream may have run
     or was proved not to have.
     """
-    rig = await rig_of("a", "b", slack=0.0)
+    rig = await make_rig("a", "b", slack=0.0)
     for name in ("a0", "b0"):
         rig.targets.script(name, refusal())
     outcome = await rig.service.serve(rig.work(FakeExchange()))
@@ -285,7 +285,7 @@
 
 
 async def test_a_used_budget_after_an_attempt_that_may_have_run_stays_unknown():
-    rig = await rig_of("a", "b", "c", slack=2.5)
+    rig = await make_rig("a", "b", "c", slack=2.5)
     rig.targets.script("a0", FakeResponse(script=[BROKEN]))
     for name in ("b0", "c0"):
         rig.targets.script(name, full())
@@ -303,7 +303,7 @@
     Cause: the end of the time was answered alike whether the stream may have run or
     was proved not to have.
     """
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     refused = refusal()
     rig.targets.script("a0", refused)
     work = rig.work(FakeExchange())
@@ -324,7 +324,7 @@
     Sequence: the only group breaks off before the first event; no other has a place.
     Cause: the end of the wait for a place spoke for the whole request.
     """
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     rig.targets.script("a0", FakeResponse(script=[BROKEN]))
     work = rig.work(FakeExchange())
     work.deadline = rig.clock.now() + 0.1
@@ -356,7 +356,7 @@
     anew from the engines that started again under their ids.
     Cause: attempts and groups that were tried went by the engine's id.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     held = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]), answer(3))
     rig.targets.script("b0", FakeResponse(script=[event(2), held, BROKEN]))
@@ -378,7 +378,7 @@
     holds an open group when the connection breaks.
     Cause: the request had never been sent to that process, so it counted as not run.
     """
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     held = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[held, BROKEN]), answer(1))
     work = rig.work(FakeExchange(), replace(ROUTE, resumable=False))
@@ -398,7 +398,7 @@
     that the pause after the last one is over.
     Cause: the pause was as short after the tenth refusal as after the first.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", *(UNREACHABLE for _ in range(99)))
     rig.targets.script("b0", *(answer(1) for _ in range(99)))
     rig.directory.loads.work(("b", 1)).running = 1
@@ -410,7 +410,7 @@
 
 
 async def test_a_full_head_that_advances_is_left_for_a_moment_only():
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", full(), answer(1), full(), answer(1), full(), answer(1))
     rig.targets.script("b0", *(answer(1) for _ in range(9)))
     rig.directory.loads.work(("b", 1)).running = 1
@@ -421,7 +421,7 @@
 
 
 async def test_a_head_that_turned_streams_away_for_long_gets_one_again():
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", *(full() for _ in range(20)))
     rig.targets.script("b0", *(answer(1) for _ in range(99)))
     rig.directory.loads.work(("b", 1)).running = 1
@@ -440,7 +440,7 @@
     The place was offered to the first of the line, which wakes the next one when it is
     sent; its caller left in the same pass of the loop, and nobody was woken.
     """
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     rig.directory.loads.work(("a", 1)).running = PROFILE.slots + 1
     rig.targets.script("a0", answer(1))
     tasks = [
@@ -467,7 +467,7 @@
 
 async def test_a_head_that_others_saw_end_gets_a_stream_only_if_no_other_has_a_place():
     """Guard against losing streams to heads that are known to be gone."""
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", *(BROKEN for _ in range(9)))
     rig.targets.script("b0", *(answer(1) for _ in range(9)))
     rig.directory.loads.work(("b", 1)).running = 1
@@ -479,7 +479,7 @@
 
 async def test_a_head_that_breaks_off_again_after_its_end_is_left_alone_for_a_while():
     """Guard against sending stream after stream to a head that has ended."""
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     rig.targets.script("a0", *(FakeResponse(script=[BROKEN]) for _ in range(20)))
     ended(rig, "a")
     route = replace(ROUTE, resumable=False)
--- a/mallowpond/node/tests/test_target_availability.py
+++ b/mallowpond/node/tests/test_target_availability.py
@@ -10,8 +10,8 @@
     answer,
     event,
     listing,
+    make_rig,
     open_group,
-    rig_of,
 )
 from mallowpond.node.tests.test_calls import IDEMPOTENT, reply, serve
 
@@ -26,7 +26,7 @@
 
 async def test_a_head_that_asks_for_backoff_gets_no_stream_until_its_end():
     """Guards against pauses of this host's own that are shorter than what was asked."""
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", shedding(), answer(1))
     rig.targets.script("b0", *(answer(1) for _ in range(40)))
     for _ in range(int(SECONDS / 0.1)):
@@ -41,7 +41,7 @@
 
 async def test_a_stream_that_every_head_turned_away_is_refused_at_once():
     """Guards against streams that wait although their heads asked for longer."""
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     rig.targets.script("a0", shedding())
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert (outcome.status, outcome.reason) == (503, Reason.BACKING_OFF)
@@ -50,7 +50,7 @@
 
 
 async def test_a_moved_stream_goes_to_no_head_that_asks_for_backoff():
-    rig = await rig_of("a", "b", "c")
+    rig = await make_rig("a", "b", "c")
     availability = rig.service._availability
     notice = rig.targets.notice(shedding())
     availability.record_notice(rig.directory.targets["b0"], notice, rig.clock.now())
@@ -75,7 +75,7 @@
 
 async def test_a_head_that_says_that_it_leaves_gets_nothing_more():
     """Guards against streams to a head whose entry in the list is still open."""
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     rig.targets.script("a0", leaving(1))
     rig.targets.script("b0", answer(1), answer(1))
     for target in ("a0", "b0", "b0"):
@@ -85,7 +85,7 @@
 
 
 async def test_where_the_only_head_leaves_a_stream_waits_for_another_group():
-    rig = await rig_of("a")
+    rig = await make_rig("a")
     rig.targets.script("a0", leaving(1))
     await rig.service.serve(rig.work(FakeExchange()))
     outcome = await rig.service.serve(rig.work(FakeExchange()))
@@ -102,7 +102,7 @@
 
 async def test_what_a_target_asked_for_is_forgotten_with_the_target():
     """Guards against memory that grows with every process that ever asked."""
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     availability = rig.service._availability
     notice = rig.targets.notice(shedding())
     availability.record_notice(rig.directory.targets["a0"], notice, rig.clock.now())
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -14,9 +14,9 @@
     FakeResponse,
     answer,
     event,
+    make_rig,
     member,
     misdirected,
-    rig_of,
 )
 from mallowpond.node.watch import MIN_PACE_EVENTS, GroupWatch
 from mallowpond.state.first_event import MIN_SAMPLES
@@ -51,7 +51,7 @@
 
 async def watched(*groups):
     """Build a rig with a watch, and one stream that got its first event from `a`."""
-    rig = await rig_of(*groups)
+    rig = await make_rig(*groups)
     peers = FakePeers()
     watch = GroupWatch(
         streams=rig.service,
