--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -33,9 +33,9 @@
     FakeExchange,
     FakeResponse,
     answer,
-    rig_of,
+    make_rig,
 )
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.standins.platform import MemoryTable, PlatformFaults
 from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, QUARANTINE_SECONDS
 from mallowpond.state.fleet import Process
@@ -79,7 +79,7 @@
             clock=fleet.clock,
             store_clock=store_clock,
             rng=random.Random(1),
-            notes=UnreadableNotes(),
+            notes=UnreadableLog(),
         )
 
     def beat(self):
@@ -139,11 +139,11 @@
         for _ in range(int(seconds / 0.1)):
             self.clock.time += 0.1
             for host in self.hosts:
-                host.sharing.tell_due()
+                host.sharing.send_due()
 
     def who_holds(self, request="bad"):
         """Return the hosts that hold a request back."""
-        return [h.name for h in self.hosts if h.quarantine.is_held(request)]
+        return [h.name for h in self.hosts if h.quarantine.is_quarantined(request)]
 
     @property
     def names(self):
@@ -283,7 +283,7 @@
         sent_at = fleet.clock.now() - 0.4
         fleet.hosts[0].quarantine.record_ending(f"r{number}", target(1), sent_at)
     fleet.clock.time += 1.0
-    fleet.hosts[0].sharing.tell_due()
+    fleet.hosts[0].sharing.send_due()
     (_, _, data) = fleet.carried.pop()
     message = read_message(data)
     assert isinstance(message, CrashRecords)
@@ -300,7 +300,7 @@
     Sequence: it runs on three groups, each ends; it comes again under another id.
     Cause: nothing but the exchange knew of the groups that had ended.
     """
-    rig = await rig_of(*"abcd")
+    rig = await make_rig(*"abcd")
     for group in "abcd":
         rig.targets.script(f"{group}0", FakeResponse(script=[BROKEN]))
     route = replace(ROUTE, max_attempts=4)
@@ -325,14 +325,14 @@
     Sequence: it runs beside the one that ends its groups, three times.
     Cause: both had stood on three targets that ended.
     """
-    rig = await rig_of("d")
+    rig = await make_rig("d")
     rig.targets.script("d0", answer(1, 2))
     quarantine = rig.service._quarantine
     beside, now = rig.work(FakeExchange()), rig.clock.now()
     for number in range(ENDINGS_TO_QUARANTINE):
         quarantine.record_ending(beside.fingerprint, target(number), now - 0.4)
         quarantine.record_ending("bad", target(number), now - 0.1)
-    assert quarantine.is_held("bad")
+    assert quarantine.is_quarantined("bad")
     outcome = await rig.service.serve(beside)
     assert outcome == Answered(status=200, target="d0")
 
@@ -344,7 +344,7 @@
     connection is read, and the stream is moved away.
     Cause: only connections that broke counted.
     """
-    rig = await rig_of("a", "b")
+    rig = await make_rig("a", "b")
     open_end = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[open_end]))
     rig.targets.script("b0", FakeResponse(script=[open_end]))
