--- a/mallowpond/state/retry.py
+++ b/mallowpond/state/retry.py
@@ -1,14 +1,15 @@
-"""Keep retries from multiplying an overload."""
+"""Retry budget that keeps retries from amplifying an overload."""
 
 from dataclasses import dataclass, field
 
+# Retries earned by each new request, and the initial and maximum balance.
 RETRY_SHARE = 0.1
 BURST = 10.0
 
 
 @dataclass(kw_only=True)
 class RetryBudget:
-    """Allow retries up to a share of fresh requests."""
+    """Token bucket that allows retries up to a share of the new requests."""
 
     share: float = RETRY_SHARE
     burst: float = BURST
@@ -23,11 +24,11 @@
         return self._tokens
 
     def record_request(self) -> None:
-        """Count a fresh request."""
+        """Add the share of a new request to the budget."""
         self._tokens = min(self.burst, self._tokens + self.share)
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget if there is one."""
+        """Take one retry from the budget; return False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/mallowpond/state/retry_window.py
+++ b/mallowpond/state/retry_window.py
@@ -1,24 +1,27 @@
-"""Share one budget of repeated sends among all entry hosts.
+"""Retry budget that all entry hosts share, over a sliding window.
 
-The load pattern: a group or data centre dies and every host moves its streams at
-once. Together they may send no more than a share of the recent requests and a fixed
-number beyond; each host takes an equal part, since asking would take longer than
-the streams can wait.
+When a group or a data centre fails, every host moves its streams at once. Together they
+may resend no more than a share of the recent requests plus a fixed number. Each host
+takes an equal part of that number, as asking the others would take longer than the
+streams can wait.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Least time over which a rate is reckoned, in seconds: less would make a rate of one
-# request.
+# Minimum time over which a rate is computed, in seconds: over less, a single request
+# would give a high rate.
 MIN_RATE_SECONDS = 0.5
-# Part of the budget that is used: hosts count their windows at different moments.
+# Share of the budget that is used, since the windows of hosts are not aligned.
 USED_SHARE = 0.8
 
 
 @dataclass(kw_only=True)
 class RetryWindow:
-    """Count this host's first and repeated sends to one service."""
+    """This host's first and repeated sends to one service in the last window.
+
+    Repeated sends may be `ratio` times the first ones, plus a host's part of `slack`.
+    """
 
     ratio: float
     slack: float
@@ -32,14 +35,14 @@
         if self._since is None:
             self._since = now
         self._firsts.append(now)
-        _forget(self._firsts, now - self.window_seconds)
+        _drop_before(self._firsts, now - self.window_seconds)
 
     @property
     def first_sends_per_second(self) -> float:
-        """Return the rate of first sends over the last window, or since the first one.
+        """Return the rate of first sends over the last window, or since the first send.
 
-        Over a whole window, hosts that have just begun to serve would take the others
-        for idle, and send their streams to the same group.
+        Averaged over a whole window, hosts that have just begun to serve would take the
+        others for idle and send their streams to the same group.
         """
         if self._since is None:
             return 0.0
@@ -47,9 +50,9 @@
         return len(self._firsts) / min(self.window_seconds, known)
 
     def try_repeat(self, now: float, hosts: int) -> bool:
-        """Take one repeated send out of this host's part of the budget."""
-        _forget(self._firsts, now - self.window_seconds)
-        _forget(self._repeats, now - self.window_seconds)
+        """Take one repeated send from this host's part; return False if none is left."""
+        _drop_before(self._firsts, now - self.window_seconds)
+        _drop_before(self._repeats, now - self.window_seconds)
         part = self.ratio * len(self._firsts) + self.slack / max(1, hosts)
         if len(self._repeats) + 1 > USED_SHARE * part:
             return False
@@ -57,6 +60,6 @@
         return True
 
 
-def _forget(times: deque[float], before: float) -> None:
+def _drop_before(times: deque[float], before: float) -> None:
     while times and times[0] < before:
         times.popleft()
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -45,9 +45,9 @@
 
     `silent_seconds` is the time since the last event of any of them; `predicted_gap` is
     the longest silence that the known load explains, and `allowed_gap` the strictest
-    objective or gap target. With `has_running`, one of them has had an event there and would have
-    another with each pass. If none is running, a stream may wait for its first event
-    for up to `first_event_seconds`.
+    objective or gap target. With `has_running`, one of them has had an event there and
+    would have another with each pass. If none is running, a stream may wait for its
+    first event for up to `first_event_seconds`.
     """
 
     silent_seconds: float
--- a/mallowpond/state/tests/test_rate_limit.py
+++ b/mallowpond/state/tests/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""The part of a target's rate that each host keeps."""
+"""The part of a target's rate limit that each host may use."""
 
 from math import inf
 
@@ -19,24 +19,24 @@
 
 
 def named(limit, age=0.0, process=TARGET):
-    """Write what a target said."""
+    """Build the limit that a target named."""
     return TargetLimit(process=process, limit=limit, age=age)
 
 
 def fleet(count):
-    """Write the names of hosts."""
+    """Return the names of `count` hosts."""
     return [f"n{number}" for number in range(count)]
 
 
 def wait(shares, now, hosts=("n0",)):
-    """Return how long a host waits."""
+    """Return how long a host has to wait."""
     return shares.seconds_until(TARGET, lambda: hosts, now)
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 74])
 @pytest.mark.parametrize("limit", [0.0, 0.3, 1.0, 1.3, 5.0, 50.0])
 def test_all_hosts_together_keep_a_rate_in_each_window(count, limit):
-    """Guards against parts of a rate that add up to more than the target named."""
+    """Guard against parts of a rate that add up to more than the target named."""
     hosts = fleet(count)
     all_shares = [RateLimitShares(host=host) for host in hosts]
     sent = []
@@ -48,7 +48,7 @@
             while wait(shares, now, hosts) <= 0.0:
                 shares.record_sent(TARGET, now)
                 sent.append(now)
-    # Each request with the one that it may not share a window with.
+    # Each request with the first one that must not be in the same window.
     beyond = int(1.5 * 4.0 * limit + 5)
     pairs = zip(sent, sent[beyond:], strict=False)
     assert all(later - earlier >= 4.0 for earlier, later in pairs)
@@ -62,7 +62,7 @@
 
 
 def test_a_target_that_wants_nothing_is_asked_now_and_then():
-    """Guards against a limit that no answer can end, as nothing is sent any more."""
+    """Guard against a limit that is never lifted, as no request is sent any more."""
     assert host_rate("n0", TARGET, ["n0"], 0.0) == MIN_RATE
 
 
@@ -75,7 +75,7 @@
 
 
 def test_an_answer_asked_for_before_the_limit_does_not_end_it():
-    """Guards against answers that overtake each other and lift a limit in force."""
+    """Guard against answers that overtake each other and lift a limit in force."""
     shares = RateLimitShares(host="n0")
     assert shares.update(named(1.0), 10.0)
     assert not shares.update(named(None, age=0.5), 10.2)
--- a/mallowpond/state/tests/test_retry_window.py
+++ b/mallowpond/state/tests/test_retry_window.py
@@ -1,15 +1,15 @@
-"""The share of one budget that each host may use."""
+"""Each host's part of the shared retry budget."""
 
 from mallowpond.state.retry_window import RetryWindow
 
 
 def window():
-    """Return a window of 10 s with a fifth and 100 beyond."""
+    """Build a window of 10 s that allows a fifth of the first sends and 100 more."""
     return RetryWindow(ratio=0.2, slack=100.0, window_seconds=10.0)
 
 
-def repeats(budget, now, hosts):
-    """Return how many repeats are allowed at once."""
+def count_repeats(budget, now, hosts):
+    """Return how many repeated sends are allowed at once."""
     count = 0
     while budget.try_repeat(now, hosts):
         count += 1
@@ -17,10 +17,10 @@
 
 
 def test_all_hosts_together_stay_within_the_budget():
-    """Symptom: a dead data centre makes twice the allowed sends.
+    """Guard against twice the allowed sends after the loss of a data centre.
 
-    Sequence: seven hosts lose the same groups and each uses the whole slack.
-    Cause: the budget is shared, and nobody can ask the others in time.
+    Seven hosts lose the same groups and cannot ask each other in time. The budget is
+    shared, so none of them may use the whole slack.
     """
     hosts = 7
     total = 0
@@ -28,24 +28,24 @@
         budget = window()
         for at in range(50):
             budget.record_first_send(at / 10)
-        total += repeats(budget, 5.0, hosts)
+        total += count_repeats(budget, 5.0, hosts)
     assert total <= 0.2 * 50 * hosts + 100.0
     assert total >= 0.5 * (0.2 * 50 * hosts + 100.0)
 
 
 def test_the_window_slides():
     budget = window()
-    first = repeats(budget, 0.0, 1)
-    assert repeats(budget, 5.0, 1) == 0
-    assert repeats(budget, 10.1, 1) == first
+    first = count_repeats(budget, 0.0, 1)
+    assert count_repeats(budget, 5.0, 1) == 0
+    assert count_repeats(budget, 10.1, 1) == first
 
 
 def test_the_rate_of_a_host_that_has_just_begun_is_not_spread_over_the_window():
-    """Symptom: the groups that are listed first turn streams away at a fleet's start.
+    """Guard against the first listed groups refusing streams as a fleet starts.
 
-    Sequence: 195 hosts begin to serve with all groups idle.
-    Cause: each reckoned the others' rate from ten seconds, most of them before the
-    first request, and took the best group by figures in which nothing of it showed.
+    195 hosts begin to serve with all groups idle. If each estimated the others' rate
+    over ten seconds, most of them before the first request, it would choose the best
+    group by loads that do not show the others' streams yet.
     """
     budget = window()
     for number in range(10):
--- a/mallowpond/state/tests/test_stopping.py
+++ b/mallowpond/state/tests/test_stopping.py
@@ -1,14 +1,13 @@
-"""What a stopping host takes when callers have no other host."""
+"""What a stopping host admits when callers have no other host."""
 
 from mallowpond.state.stopping import MOVE_SECONDS, can_finish
 
 
 def test_what_a_stopping_host_takes_has_ended_before_the_host():
-    """Symptom: callers of a data centre see their answers cut off in the middle.
+    """Guard against answers that are cut off in the middle as hosts stop.
 
-    Sequence: all hosts of the data centre are stopped in turn and overlap; callers
-    come to a stopping host until it ends.
-    Cause: the host took streams of 1.6 s when 0.6 s were left to it.
+    The hosts of a data centre are stopped in overlapping turns, and callers reach a
+    stopping host until it ends. It must not admit a stream of 1.6 s with 0.6 s left.
     """
     assert not can_finish(longest_seconds=1.6, seconds_left=0.6)
 
@@ -24,11 +23,10 @@
 
 
 def test_most_requests_are_served_in_the_first_seconds_of_a_stop():
-    """Symptom: a planned stop of one host has hundreds of requests refused.
+    """Guard against a planned stop of one host that refuses hundreds of requests.
 
-    Sequence: a host that will serve on for 7.3 s is told to stop; for the 2 s in which
-    its balancer goes on sending, streams of 2.7 s at most come to it.
-    Cause: three times the time of a stream's longest answer was to be left, although
-    few answers are that long.
+    The host serves on for 7.3 s, and its balancer sends it streams of at most 2.7 s for
+    the first 2 s. A required margin of three times the longest answer, which few
+    answers reach, would refuse most of them.
     """
     assert all(can_finish(longest_seconds=2.7, seconds_left=7.3 - t) for t in (0, 1, 2))
--- a/mallowpond/state/tests/test_store_clock.py
+++ b/mallowpond/state/tests/test_store_clock.py
@@ -13,10 +13,10 @@
 
 
 def test_an_answer_that_stood_unread_here_is_as_old_as_it_is():
-    """Symptom: a key works seconds after it was taken away.
+    """Guard against a key that works for seconds after its revocation.
 
-    Sequence: a host asks, stands still for four seconds, and finds the answer.
-    Cause: an answer was counted from its arrival.
+    A host sends a query, stalls for four seconds, and then reads the answer. The answer
+    must not count from its arrival.
     """
     clock = StoreClock()
     clock.record(asked_at=100.0, answered_at=7.0)
