--- a/mallowpond/state/retry.py
+++ b/mallowpond/state/retry.py
@@ -28,7 +28,7 @@
         self._tokens = min(self.burst, self._tokens + self.share)
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget; return False if none is left."""
+        """Take one retry from the budget, False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/mallowpond/state/retry_window.py
+++ b/mallowpond/state/retry_window.py
@@ -50,7 +50,7 @@
         return len(self._firsts) / min(self.window_seconds, known)
 
     def try_repeat(self, now: float, hosts: int) -> bool:
-        """Take one repeated send from this host's part; return False if none is left."""
+        """Take one repeated send from this host's part, False if none is left."""
         _drop_before(self._firsts, now - self.window_seconds)
         _drop_before(self._repeats, now - self.window_seconds)
         part = self.ratio * len(self._firsts) + self.slack / max(1, hosts)
--- a/mallowpond/state/stopping.py
+++ b/mallowpond/state/stopping.py
@@ -9,8 +9,8 @@
 """
 
 # Time that a stream needs beyond that of its longest answer, in seconds: it may have to
-# move once, which takes 1.2 s of waiting for a slot from its last event on, and some tens
-# of milliseconds to repeat the prefill of its prompt.
+# move once, which takes a wait of 1.2 s for a slot from its last event on, and some
+# tens of milliseconds to repeat the prefill of its prompt.
 MOVE_SECONDS = 1.3
 
 
