--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -131,7 +131,7 @@
         if key not in self._directory.groups:
             return False
         own_silence = self._clock.now() - self._directory.loads.work(key).last_event_at
-        return has_advanced(own_silence=own_silence, asked_silence=question.silent)
+        return has_advanced(own_silence=own_silence, peer_silence=question.silent)
 
     def _on_advance(self, key: GroupKey) -> None:
         doubt = self._doubts.get(key)
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -119,6 +119,6 @@
     return ASK_SHARE * silence_limit(silence) - silence.silent_seconds
 
 
-def has_advanced(*, own_silence: float, asked_silence: float) -> bool:
+def has_advanced(*, own_silence: float, peer_silence: float) -> bool:
     """Return whether this host's last event shows a peer that the group is alive."""
-    return own_silence < ADVANCE_SHARE * asked_silence
+    return own_silence < ADVANCE_SHARE * peer_silence
