--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -8,7 +8,7 @@
 from mallowpond.coordination.ports import Clock, Unavailable
 from mallowpond.coordination.tasks import sleep_until_news
 from mallowpond.node.ports import ConfigurationRead, HistoryLost, SiteSource
-from mallowpond.state.confirmation import Confirmation, may_admit, merge
+from mallowpond.state.confirmation import Confirmation, may_admit, merge_confirmation
 from mallowpond.state.site_configuration import SiteConfiguration
 from mallowpond.state.store_clock import StoreClock
 
@@ -229,7 +229,7 @@
     def confirm(self, version: int, confirmed_at: float) -> None:
         """Take a peer's confirmation of the version that is held here."""
         if self._configuration and self._configuration.version == version:
-            self._confirmation = merge(
+            self._confirmation = merge_confirmation(
                 self._confirmation, version=version, confirmed_at=confirmed_at
             )
             self._check_confirmed()
@@ -290,7 +290,7 @@
         if known is None or configuration.version > known.version:
             log.info("configuration: in force", version=configuration.version)
             self._configuration = configuration
-        self._confirmation = merge(
+        self._confirmation = merge_confirmation(
             self._confirmation,
             version=configuration.version,
             confirmed_at=confirmed_at,
--- a/mallowpond/state/confirmation.py
+++ b/mallowpond/state/confirmation.py
@@ -34,7 +34,7 @@
     return confirmation.age(now) < bound_seconds - ADMISSION_MARGIN_SECONDS
 
 
-def merge(
+def merge_confirmation(
     known: Confirmation | None, *, version: int, confirmed_at: float
 ) -> Confirmation:
     """Return the newer of two confirmations; the version never decreases."""
