--- a/bench/limits.py
+++ b/bench/limits.py
@@ -8,7 +8,7 @@
 
 from bench.report import Report
 from mallowpond.state.admission import FairQueue, ServiceTime, refuse_if_late
-from mallowpond.state.quota import Chunk, chunk_size, grant
+from mallowpond.state.quota import Chunk, chunk_size, grantable_units
 from mallowpond.state.retry import RetryBudget
 
 PLACES = 64
@@ -233,7 +233,9 @@
             if rest is None:
                 rate = 32 * 1000 / size
                 wanted = chunk_size(budget=budget, recent_per_second=rate, needed=units)
-                got = grant(budget=budget, leased=leased, wanted=wanted, needed=units)
+                got = grantable_units(
+                    budget=budget, leased=leased, wanted=wanted, needed=units
+                )
                 if got is None:
                     break
                 leased, leases = leased + got, leases + 1
--- a/mallowpond/state/quota.py
+++ b/mallowpond/state/quota.py
@@ -38,7 +38,9 @@
     return max(needed, capped)
 
 
-def grant(*, budget: int, leased: int, wanted: int, needed: int) -> int | None:
+def grantable_units(
+    *, budget: int, leased: int, wanted: int, needed: int
+) -> int | None:
     """Return how many units may be leased, None if fewer than `needed` are left.
 
     `leased` units of the `budget` are leased already; `wanted` limits the result.
--- a/mallowpond/state/tests/test_quota.py
+++ b/mallowpond/state/tests/test_quota.py
@@ -1,6 +1,6 @@
 """Leased chunks of a workspace's budget."""
 
-from mallowpond.state.quota import Chunk, chunk_size, grant
+from mallowpond.state.quota import Chunk, chunk_size, grantable_units
 
 
 def test_chunk_is_never_overspent():
@@ -20,5 +20,5 @@
 
 
 def test_grant_stops_at_the_budget():
-    assert grant(budget=100, leased=95, wanted=50, needed=1) == 5
-    assert grant(budget=100, leased=95, wanted=50, needed=6) is None
+    assert grantable_units(budget=100, leased=95, wanted=50, needed=1) == 5
+    assert grantable_units(budget=100, leased=95, wanted=50, needed=6) is None
