--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -31,7 +31,7 @@
     HeadRead,
     NotAssured,
     PeerAnswer,
-    assess,
+    assess_assurance,
 )
 from mallowpond.state.codec import to_plain
 from mallowpond.state.declarations import Declaration
@@ -128,7 +128,7 @@
         """Tell whether the version in force is known now, and applied here."""
         cell = self._membership.known_cell
         members = cell.members if cell else ()
-        verdict = assess(
+        verdict = assess_assurance(
             member=self._membership.identity.name,
             now=self._clock.now(),
             limit_seconds=self._assurance_seconds,
--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -72,7 +72,7 @@
     reason: str
 
 
-def assess(
+def assess_assurance(
     *,
     member: str,
     now: float,
--- a/mallowpond/state/tests/test_assurance.py
+++ b/mallowpond/state/tests/test_assurance.py
@@ -11,7 +11,7 @@
     NotAssured,
     PeerAnswer,
     Source,
-    assess,
+    assess_assurance,
 )
 
 LIMIT = 4.0
@@ -34,7 +34,7 @@
 def assess_case(
     peer_answers=(), own_read=HeadRead(version=7, asked_at=40.0), holds_newer=False
 ):
-    return assess(
+    return assess_assurance(
         member="a",
         now=NOW,
         limit_seconds=LIMIT,
