--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -115,7 +115,7 @@
         ended_at = self._ended.get(process)
         return ended_at is not None and now - ended_at <= ENDED_SECONDS
 
-    def ended_before(self, process: Process, sent_at: float) -> bool:
+    def had_ended_before(self, process: Process, sent_at: float) -> bool:
         """Return whether a request that was sent to a target then found it ended."""
         ended_at = self._ended.get(process)
         return ended_at is not None and ended_at < sent_at <= ended_at + ENDED_SECONDS
@@ -129,7 +129,7 @@
         that, requests are still sent there, and none of them caused the end.
         """
         sent_at = now - ending.ran
-        if self.ended_before(ending.process, sent_at):
+        if self.had_ended_before(ending.process, sent_at):
             return None
         self._record_observed_end(ending.process, sent_at, now)
         self.merge(CrashRecord(request=Identifier(request), endings=(ending,)), now)
