--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -20,8 +20,8 @@
     FakeResponse,
     FakeSource,
     FakeTargets,
-    intake_of,
     listing,
+    make_availability,
 )
 from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, CrashRecord, Ending
 from mallowpond.state.fleet import Process, Target
@@ -74,7 +74,7 @@
         hosts=lambda: 1,
         rng=random.Random(1),
         quarantine=Quarantine(clock=clock, metrics=metrics),
-        intake=intake_of(directory, clock),
+        availability=make_availability(directory, clock),
     )
     return CallService(parts=parts)
 
@@ -82,7 +82,7 @@
 def work_of(clock, route, exchange):
     """Write a request to serve."""
     request = CallerRequest(
-        id="q", host="h", method="POST", target="/", body=b"", passed_headers=()
+        id="q", host="h", method="POST", target="/", body=b"", forwarded_headers=()
     )
     return CallWork(
         request=request,
@@ -278,7 +278,7 @@
     service = service_of(directory, fakes, clock, budget)
     endings = (Ending(process=Process(id=n, born=None), ran=0.1) for n in "abc")
     record = CrashRecord(request="bad", endings=tuple(endings))
-    service._quarantine.hear(record)
+    service._quarantine.merge(record)
     outcomes = [
         await service.serve(work_of(clock, ONCE, FakeExchange())) for _ in range(9)
     ]
