--- a/mallowpond/state/admission.py
+++ b/mallowpond/state/admission.py
@@ -12,7 +12,7 @@
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 60.0
 # Bounds of the retry delay in seconds for callers that wait only a few seconds, and the
-# factors of its jitter, which keeps callers refused together from retrying at once.
+# factors of its jitter, which keeps callers refused together from retrying together.
 SHORT_RETRY_AFTER_SECONDS = (0.1, 3.0)
 RETRY_JITTER = (0.6, 1.4)
 
@@ -36,7 +36,10 @@
 
 @dataclass(kw_only=True)
 class FairQueue:
-    """Weighted fair queue of waiting requests, with one weight for each workspace."""
+    """Weighted fair queue of waiting requests, with a weight for each workspace.
+
+    Requests are ordered by their virtual finish times.
+    """
 
     _heap: list[tuple[float, int, Ticket]] = field(default_factory=list)
     _last_finish: dict[str, float] = field(default_factory=dict)
@@ -79,7 +82,7 @@
         heapq.heappush(self._heap, (self._virtual, ticket.number, ticket))
 
     def ahead_of(self, workspace: str, share: float) -> int:
-        """Return how many waiting requests would go before a new one."""
+        """Return how many waiting requests go before a new one of a workspace."""
         start = max(self._virtual, self._last_finish.get(workspace, 0.0))
         finish = start + 1.0 / share
         before = sum(entry[0] <= finish for entry in self._heap)
--- a/mallowpond/state/balancer.py
+++ b/mallowpond/state/balancer.py
@@ -1,4 +1,4 @@
-"""Choose the group that a request is sent to."""
+"""Choose the group or plain target that a request is sent to."""
 
 import random
 from collections.abc import Sequence
@@ -47,7 +47,7 @@
 
 @dataclass(kw_only=True)
 class Balancer:
-    """Balance by the power of two random choices.
+    """Balance requests over targets by the power of two random choices.
 
     Requests with the same prefix prefer one target within a bound on its load, and
     latency outliers are ejected for a time.
@@ -104,7 +104,10 @@
         now: float,
         latency: float | None = None,
     ) -> None:
-        """Count a request that has ended; `latency` is in seconds per token."""
+        """Count a request that has ended.
+
+        `latency` is in seconds per token, None if the request gives no sample.
+        """
         load = self.load(target)
         load.own -= 1
         if latency is None:
@@ -134,8 +137,8 @@
         ejected = [t for t in targets if self.load(t).ejected_until > now]
         allowed = int(len(targets) * MAX_EJECTED_SHARE)
         ejected.sort(key=lambda t: self.load(t).latency, reverse=True)
-        out = frozenset(ejected[:allowed])
-        return [t for t in targets if t not in out]
+        excluded = frozenset(ejected[:allowed])
+        return [t for t in targets if t not in excluded]
 
     def _eject_if_outlier(self, target: str, now: float) -> None:
         known = [v for v in self._loads.values() if v.samples >= OUTLIER_SAMPLES]
--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -44,7 +44,7 @@
 ) -> ClaimDecision:
     """Decide on the `requested` claim of an attempt against the `stored` one.
 
-    `live_gateways` are those that can still end the attempts that they claimed.
+    `live_gateways` are the gateways that can still end the attempts they claimed.
     """
     match stored:
         case None:
--- a/mallowpond/state/fingerprint.py
+++ b/mallowpond/state/fingerprint.py
@@ -7,7 +7,7 @@
 
 
 def fingerprint(*, host: str, target: str, workspace: str | None, body: bytes) -> str:
-    """Return the hexadecimal digest that a request shares with its retries.
+    """Return the hexadecimal digest that an HTTP request shares with its retries.
 
     The request's id and deadline are left out, as both change with each retry.
     """
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -144,10 +144,11 @@
     limit_seconds: float,
     count: int = DRAWN_GROUPS,
 ) -> list[Candidate]:
-    """Return the first `count` candidates with capacity, of candidates in random order.
+    """Return the first `count` candidates with capacity.
 
-    The choice is made among these, so the others are not evaluated: in a large fleet
-    that would cost more than all other work of a host on placement.
+    The candidates must come in random order. The choice is made among those returned,
+    so the others are not evaluated: in a large fleet that would cost more than all
+    other work of a host on placement.
     """
     with_capacity = (
         candidate
--- a/mallowpond/state/rate_limit.py
+++ b/mallowpond/state/rate_limit.py
@@ -25,8 +25,8 @@
 BUCKET_SECONDS = 1.0
 # Time without any update from a target after which its limit expires, in seconds.
 LIMIT_EXPIRY_SECONDS = 60.0
-# Interval at which a rate is divided anew, in seconds; between, changes of the set of
-# hosts are ignored.
+# Interval at which a rate is divided anew, in seconds: until then, hosts that join or
+# leave are ignored.
 RESHARE_SECONDS = 1.0
 # Relative change of a limit from which it is published to other hosts.
 SIGNIFICANT_CHANGE = 0.1
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -24,8 +24,9 @@
 # Time that the other hosts have to report an event, in seconds: some tens of round
 # trips within a region, and a small part of any gap target.
 PEER_ANSWER_SECONDS = 0.025
-# Share of the limit after which they are asked, so that their answers are there at the
-# limit. If asked at the limit, streams would move later by the time for the answers.
+# Share of the limit after which the other hosts are asked, so that their answers are
+# there at the limit. If they were asked at the limit, streams would move later by the
+# time for the answers.
 ASK_SHARE = 0.75
 # Time for which such an answer is valid, in seconds; then the others are asked again,
 # as the group may have died since.
@@ -92,9 +93,9 @@
 ) -> SilenceVerdict:
     """Decide what to do by a group's silence here and the answers of the other hosts.
 
-    SOUND: do nothing. ASK: ask the other hosts. WAIT: wait for their answers, or since
-    the group advances for them. LEAVE: it advances only for others, so move this host's
-    streams off it. SUSPECT: take it for dead.
+    SOUND: do nothing. ASK: ask the other hosts. WAIT: wait for their answers, or
+    because the group advances for them. LEAVE: it advances only for them, so move this
+    host's streams off it. SUSPECT: take it for dead.
     """
     limit = silence_limit(silence)
     if silence.silent_seconds <= ASK_SHARE * limit:
