--- a/mallowpond/state/tests/test_lease.py
+++ b/mallowpond/state/tests/test_lease.py
@@ -41,6 +41,6 @@
     held = HeldLease(fence=1, version=1, valid_until=asked_at + 3.0)
     watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=seen_at)
-    first_lapse = seen_at + 3.0
-    assert watch.is_expired("a", now=first_lapse)
-    assert not held.is_valid(first_lapse)
+    first_expiry = seen_at + 3.0
+    assert watch.is_expired("a", now=first_expiry)
+    assert not held.is_valid(first_expiry)
