--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -249,7 +249,7 @@
     def _record_failure(self, reason: str) -> None:
         self._failures += 1
         self._is_first_settled.set()
-        self.store_clock.forget()
+        self.store_clock.reset()
         if self._configuration is None:
             self.request_document()
         if self._failures == 1:
