--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -55,7 +55,7 @@
         self.served = []
 
     @property
-    def placing(self):
+    def placement(self):
         """Return what tells how long a stream may take."""
         return self
 
