--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -14,21 +14,21 @@
     POLL_SECONDS,
     Directory,
 )
-from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.model_summary import demand, log_summary, utilization
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import (
-    OrderEnd,
     OrderFenced,
     OrderLost,
     OrderMisdirected,
+    OrderResult,
     OrderTaken,
     OrderUnfit,
     Targets,
 )
 from mallowpond.node.probes import TargetProbes
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.node.traffic import TrafficSeen
 from mallowpond.node.watch import GroupWatch
 from mallowpond.state.fleet import (
@@ -99,7 +99,7 @@
         metrics: NodeMetrics,
         stall_seconds: float,
         traffic_seen: TrafficSeen,
-        intake: Intake,
+        availability: TargetAvailability,
     ) -> None:
         self._configuration = configuration
         self._directory = directory
@@ -128,14 +128,14 @@
             book=self._book,
             clock=clock,
             gate=self._gate,
-            intake=intake,
+            availability=availability,
             is_report_current=self._is_report_current,
             spawn=self._spawn,
         )
         self._reset()
         leadership.on_acquired.append(self._reset)
         directory.on_change.append(self._record_members)
-        watch.on_suspect.append(self._investigate)
+        watch.on_suspect.append(self._on_suspicion)
 
     def _reset(self) -> None:
         self._probes.reset()
@@ -384,13 +384,13 @@
             return
         # Planned before this node lost the lease and took it anew, an order rests on
         # what was since forgotten.
-        async with self._gate.turn():
+        async with self._gate.admit():
             is_held = fence and fence == self._leadership.fence
             if not is_held or self._has_paused or self._is_outdated(step):
                 self._release_target(step)
                 return
             end = await self._targets.order(step, fence=fence, expected=expected)
-        self._gate.note(answered=not isinstance(end, OrderLost))
+        self._gate.record_result(answered=not isinstance(end, OrderLost))
         self._handle_result(step, end, expected=expected)
 
     def _is_outdated(self, step: Step) -> bool:
@@ -431,9 +431,9 @@
         known = self._book.count(target)
         if known is not None:
             return known
-        report = await self._probes.report(target)
+        report = await self._probes.fetch_report(target)
         if isinstance(report, Unavailable):
-            self._probes.investigate(target)
+            self._probes.start_probe(target)
             return None
         if report.target.group_key != target.group_key:
             # Another planner's order came after the list was read: a count that
@@ -453,7 +453,7 @@
             return False
         return self._processes.current(listed).process == target.process
 
-    def _handle_result(self, step: Step, end: OrderEnd, *, expected: int) -> None:
+    def _handle_result(self, step: Step, end: OrderResult, *, expected: int) -> None:
         target = step.target
         is_late = not self._is_present(target)
         kind = type(step).__name__.lower()
@@ -493,7 +493,7 @@
             case OrderLost():
                 self._book.invalidate_count(target)
                 self._release_target(step)
-                self._probes.investigate(target)
+                self._probes.start_probe(target)
 
     def _record_accepted(self, step: Step) -> None:
         self._book.record_taken(step, self._clock.now())
@@ -522,7 +522,7 @@
 
     # -- probes --------------------------------------------------------------
 
-    def _investigate(self, key: GroupKey) -> None:
+    def _on_suspicion(self, key: GroupKey) -> None:
         if not self._leadership.fence:
             return
         group = self._directory.groups.get(key)
--- a/mallowpond/state/tests/test_lease.py
+++ b/mallowpond/state/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases compare no clocks across hosts."""
+"""Leases that do not compare clocks across hosts."""
 
 from mallowpond.state.lease import ExpiryWatch, HeldLease
 
@@ -23,10 +23,10 @@
 
 
 def test_outage_of_the_table_lapses_nobody():
-    """
-    Symptom: after an outage all controllers take over from each other at once.
-    Events: the table is dark for a minute; the first read shows counters that could
-    not move. Cause: time in which nothing could be seen counted as standing still.
+    """Guard against controllers that all take over from each other after an outage.
+
+    The table is unreachable for a minute, and the first read afterwards shows unchanged
+    counters. Time without reads must not count towards the expiry of a lease.
     """
     watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=0.0)
@@ -41,6 +41,6 @@
     held = HeldLease(fence=1, version=1, valid_until=asked_at + 3.0)
     watch = ExpiryWatch(lease_seconds=3.0)
     watch.observe("a", 1, now=seen_at)
-    first_lapse = seen_at + 3.0
-    assert watch.is_expired("a", now=first_lapse)
-    assert not held.is_valid(first_lapse)
+    first_expiry = seen_at + 3.0
+    assert watch.is_expired("a", now=first_expiry)
+    assert not held.is_valid(first_expiry)
