--- a/mallowpond/node/repeated_news.py
+++ b/mallowpond/node/resend_schedule.py
@@ -13,7 +13,7 @@
 Key = TypeVar("Key", bound=Hashable)
 
 
-class RepeatedNews(Generic[Key]):
+class ResendSchedule(Generic[Key]):
     """Schedule what is told, and how often it was.
 
     `pauses` are those before each telling of one piece, in seconds, and `at_once` is
@@ -55,8 +55,8 @@
                 self._due[key] = (now + self._pauses[times], times + 1)
         return due[: self._at_once]
 
-    async def run(self, tell_due: Callable[[], None]) -> None:
-        """Call `tell_due` whenever something is due, until cancelled."""
+    async def run(self, send_due: Callable[[], None]) -> None:
+        """Call `send_due` whenever something is due, until cancelled."""
         while True:
             self._news.clear()
             if not self._due:
@@ -66,5 +66,5 @@
             if seconds > 0.0:
                 await sleep_until_news(self._clock, seconds, self._news)
                 continue
-            tell_due()
+            send_due()
             await self._clock.sleep(TELL_SECONDS)
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -7,7 +7,6 @@
 
 from mallowpond.coordination.ports import Unavailable
 from mallowpond.node.directory import Directory
-from mallowpond.node.intake import Intake
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import (
     CallerRequest,
@@ -21,6 +20,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.fleet import (
     EngineProfile,
     GroupPhase,
@@ -163,7 +163,7 @@
             method=request.method,
             target=request.target,
             body=request.body,
-            passed_headers=(),
+            forwarded_headers=(),
         )
 
     def answer_headers(self, response):
@@ -307,7 +307,7 @@
             method="POST",
             target="/x",
             body=b"",
-            passed_headers=(),
+            forwarded_headers=(),
             model="m",
             prompt_tokens=100,
         )
@@ -334,15 +334,15 @@
     return FakeResponse(script=[], status=503, headers={"not-run": "1"})
 
 
-def intake_of(directory, clock, **more):
+def make_availability(directory, clock, **more):
     """Build what a host knows of the work that targets want."""
     limits = RateLimits(
         name="n0", directory=directory, clock=clock, metrics=NodeMetrics(), **more
     )
-    return Intake(rate_limits=limits, directory=directory, clock=clock)
+    return TargetAvailability(rate_limits=limits, directory=directory, clock=clock)
 
 
-async def rig_of(*groups, slack=100.0):
+async def make_rig(*groups, slack=100.0):
     """Build a stream service whose list holds these open groups."""
     clock, targets = FakeClock(), FakeTargets()
     members = [target for group in groups for target in open_group(group)]
@@ -360,7 +360,7 @@
         hosts=lambda: 1,
         rng=random.Random(1),
         quarantine=Quarantine(clock=clock, metrics=metrics),
-        intake=intake_of(directory, clock),
+        availability=make_availability(directory, clock),
     )
     service = StreamService(parts=parts)
     await directory.refresh()
