--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""How hosts get places from the one that counts them, and do without it."""
+"""How hosts get slots from the dispatcher, and place streams without its answer."""
 
 import asyncio
 
@@ -31,8 +31,8 @@
 GROUP = ("a", 1)
 
 
-class Wire:
-    """Carry messages between two hosts at once, unless it is cut."""
+class FakeNetwork:
+    """Delivers messages between two hosts at once unless it is cut."""
 
     def __init__(self, name):
         self.name, self.other, self.is_cut = name, None, False
@@ -40,7 +40,7 @@
         self.sent = []
 
     def send_to(self, message, nodes):
-        """Hand a message to the other host."""
+        """Deliver a message to the other host."""
         self.sent.append(message)
         if self.is_cut or self.other is None or self.other.name not in nodes:
             return
@@ -53,29 +53,29 @@
             notify(message)
 
 
-class Site:
-    """Hold two hosts, of which `b` counts the places for both."""
+class TwoHosts:
+    """Two hosts, of which `b` is the dispatcher."""
 
     def __init__(self, rig_a, rig_b):
         self.rig_a, self.rig_b = rig_a, rig_b
-        self.wire_a, self.wire_b = Wire("a"), Wire("b")
-        self.wire_a.other, self.wire_b.other = self.wire_b, self.wire_a
-        self.dispatcher, self.asking_b = self._host(rig_b, self.wire_b)
-        _, self.dispatcher_client = self._host(rig_a, self.wire_a)
+        self.network_a, self.network_b = FakeNetwork("a"), FakeNetwork("b")
+        self.network_a.other, self.network_b.other = self.network_b, self.network_a
+        self.dispatcher, self.dispatcher_client_b = self._host(rig_b, self.network_b)
+        _, self.dispatcher_client = self._host(rig_a, self.network_a)
 
-    def _host(self, rig, wire):
+    def _host(self, rig, network):
         dispatcher = Dispatcher(
-            name=wire.name,
-            peers=wire,
+            name=network.name,
+            peers=network,
             directory=rig.directory,
             selector=rig.service.placement.selector,
             clock=rig.clock,
             find_model=lambda service, model: (PROFILE, MODEL),
-            is_dispatcher=lambda: wire.name == "b",
+            is_dispatcher=lambda: network.name == "b",
         )
         dispatcher_client = DispatcherClient(
-            name=wire.name,
-            peers=wire,
+            name=network.name,
+            peers=network,
             directory=rig.directory,
             dispatcher=dispatcher,
             clock=rig.clock,
@@ -84,8 +84,8 @@
         rig.service.placement.dispatcher_client = dispatcher_client
         return dispatcher, dispatcher_client
 
-    def tell_work(self):
-        """Let `b` hear of the streams of `a`."""
+    def report_loads(self):
+        """Report the loads of `a` to `b`, and wake its queues."""
         loads = self.rig_a.directory.loads.own_loads()
         work = Work(
             node="a",
@@ -99,31 +99,31 @@
 
 
 async def site_of(*groups):
-    """Build two hosts that know these open groups."""
+    """Return two hosts that know these open groups."""
     rig_a, rig_b = await make_rig(*groups), await make_rig(*groups)
     rig_b.clock = rig_a.clock
-    return Site(rig_a, rig_b)
+    return TwoHosts(rig_a, rig_b)
 
 
 async def settle():
-    """Let tasks go on until they wait."""
+    """Run the event loop until all tasks wait."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
-def held():
-    """Write an answer that ends when its future is done."""
+def delayed_answer():
+    """Return a future, and a response that goes on when the future is done."""
     future = asyncio.get_running_loop().create_future()
     return future, FakeResponse(script=[future, *answer(1).script])
 
 
 async def test_hosts_that_know_nothing_of_each_other_do_not_fill_the_same_group():
-    """Guard against all hosts sending to the one group that was best in old news."""
+    """By old reports alone, all hosts sent streams to the group that was best then."""
     site = await site_of("a", "b", "c")
     futures = []
     for rig in (site.rig_a, site.rig_b):
         for name in "abc":
-            future, response = held()
+            future, response = delayed_answer()
             futures.append(future)
             rig.targets.script(f"{name}0", response)
     tasks = []
@@ -156,26 +156,26 @@
 
 
 async def test_without_an_answer_a_host_goes_by_its_own_view():
-    """Guard against losing streams to a dispatcher that is gone or cut off."""
+    """Streams must not be lost with a dispatcher that is gone or cut off."""
     site = await site_of("a")
-    site.wire_a.is_cut = True
+    site.network_a.is_cut = True
     site.rig_a.targets.script("a0", answer(1), answer(1), answer(1))
     for _ in range(2):
         outcome = await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
         assert outcome == Answered(status=200, target="a0")
-    # Asked once: each question in vain costs its stream time.
-    assert len(site.wire_a.sent) == 1
+    # Only one request was sent: each unanswered one delays its stream.
+    assert len(site.network_a.sent) == 1
     site.rig_a.clock.time += UNRESPONSIVE_SECONDS
-    site.wire_a.is_cut = False
+    site.network_a.is_cut = False
     await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
-    assert len(site.wire_a.sent) == 2
+    assert len(site.network_a.sent) == 2
     assert site.dispatcher_client.grant_number == 1
 
 
 async def test_a_place_that_nobody_takes_is_free_again():
-    """Guard against places that are lost with the callers who left."""
+    """A slot that is granted after its caller left must not stay counted."""
     site = await site_of("a")
-    site.dispatcher_client.on_unused_grant.append(site.tell_work)
+    site.dispatcher_client.on_unused_grant.append(site.report_loads)
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
     site.rig_b.directory.loads.record_peer_loads("c", full)
     serving = asyncio.create_task(
@@ -186,14 +186,14 @@
     await asyncio.gather(serving, return_exceptions=True)
     site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
-    given = site.wire_b.sent[-1]
-    assert given.verdict is PlaceVerdict.GRANTED
-    assert site.dispatcher_client.grant_number == given.grant_number
+    granted = site.network_b.sent[-1]
+    assert granted.verdict is PlaceVerdict.GRANTED
+    assert site.dispatcher_client.grant_number == granted.grant_number
     assert site.rig_b.directory.loads.load(GROUP).running == 0
 
 
 async def test_who_cannot_be_placed_in_time_is_refused_at_once():
-    """Guard against callers that wait for what the line says will not come."""
+    """Callers must not wait for a slot that the queue length rules out in time."""
     site = await site_of("a")
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     waiting = []
@@ -201,10 +201,10 @@
         work = site.rig_a.work(FakeExchange())
         waiting.append(asyncio.create_task(site.rig_a.service.serve(work)))
     await settle()
-    over = [task.result() for task in waiting if task.done()]
-    assert over
-    assert all(o.status == 503 and o.reason is Reason.OVERLOADED for o in over)
-    assert all(o.retry_after > 0 for o in over)
+    rejected = [task.result() for task in waiting if task.done()]
+    assert rejected
+    assert all(o.status == 503 and o.reason is Reason.OVERLOADED for o in rejected)
+    assert all(o.retry_after > 0 for o in rejected)
     for task in waiting:
         task.cancel()
     await asyncio.gather(*waiting, return_exceptions=True)
@@ -214,7 +214,7 @@
     ("groups", "reason"), [("a", Reason.OVERLOADED), ("", Reason.NO_GROUP)]
 )
 async def test_who_waited_in_vain_is_not_told_to_come_back_at_once(groups, reason):
-    """Guard against callers whose only other try comes while nothing has changed."""
+    """A caller's only retry must not come before anything can have changed."""
     site = await site_of(*groups)
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
@@ -228,21 +228,21 @@
 
 
 async def test_a_group_that_only_the_asker_avoids_is_not_named():
-    """Guard against sending a stream back to the group that it was moved from."""
+    """A stream must not be sent back to the group that it was moved from."""
     site = await site_of("a", "b")
     site.rig_a.directory.suspend_group(GROUP, site.rig_a.clock.now() + 9.0)
     site.rig_a.targets.script("b0", *(answer(1) for _ in range(4)))
     for _ in range(4):
         outcome = await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
         assert outcome == Answered(status=200, target="b0")
-    questions = [m for m in site.wire_a.sent if isinstance(m, PlaceQuestion)]
+    questions = [m for m in site.network_a.sent if isinstance(m, PlaceQuestion)]
     assert [question.avoided for question in questions] == [("a",)] * 4
 
 
 async def test_the_dispatchers_own_streams_count_once():
-    """Guard against a dispatcher that takes its own streams for twice as many."""
+    """The dispatcher must not count its own streams and their grants both."""
     site = await site_of("a")
-    future, response = held()
+    future, response = delayed_answer()
     site.rig_b.targets.script("a0", response)
     work = site.rig_b.work(FakeExchange())
     serving = asyncio.create_task(site.rig_b.service.serve(work))
@@ -253,7 +253,7 @@
 
 
 async def test_a_stopping_host_ends_the_waits_at_the_dispatcher_too():
-    """Guard against requests that get no answer as their host ends."""
+    """Requests must not stay unanswered when their host shuts down."""
     site = await site_of("a")
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     serving = asyncio.create_task(
@@ -268,7 +268,7 @@
 
 
 def test_a_place_counts_until_its_host_tells_of_the_stream():
-    """Guard against counting a stream twice, or not at all, between two tellings."""
+    """Between two reports a stream must be counted exactly once."""
     clock = FakeClock()
     loads = GroupLoads(clock=clock)
     loads.record_grant("a", 1, GROUP, 100.0)
@@ -282,20 +282,20 @@
     assert loads.load(GROUP).prefill_tokens == 0.0
 
 
-@pytest.mark.parametrize("tells", [True, False])
-def test_a_place_of_a_host_that_is_gone_is_free_again(tells):
-    """Guard against places that are lost with a host."""
+@pytest.mark.parametrize("reports", [True, False])
+def test_a_place_of_a_host_that_is_gone_is_free_again(reports):
+    """Slots that were granted to a host must not stay counted when it is gone."""
     clock = FakeClock()
     loads = GroupLoads(clock=clock)
     loads.record_grant("a", 1, GROUP, 100.0)
-    if tells:
+    if reports:
         loads.record_peer_loads("a", {GROUP: (1, 0.0)}, 1)
     clock.time += max(GRANT_TTL_SECONDS, PEER_LOAD_TTL_SECONDS) + 0.1
     assert loads.load(GROUP).running == 0
 
 
 async def test_a_stream_whose_answer_was_lost_asks_again(monkeypatch):
-    """Guard against streams that wait for an answer that got lost."""
+    """A stream must not wait on for an answer that was lost."""
     monkeypatch.setattr(dispatcher_client, "RENEW_SECONDS", 0.01)
     site = await site_of("a")
     site.rig_a.targets.script("a0", answer(1))
@@ -303,10 +303,10 @@
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
     await settle()
-    site.wire_b.is_cut = True
+    site.network_b.is_cut = True
     site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
-    site.wire_b.is_cut = False
-    # Well before the patience of its caller ends.
+    site.network_b.is_cut = False
+    # Well before the caller's patience ends.
     async with asyncio.timeout(0.9):
         assert await serving == Answered(status=200, target="a0")
--- a/mallowpond/node/tests/test_model_summary.py
+++ b/mallowpond/node/tests/test_model_summary.py
@@ -1,4 +1,4 @@
-"""What the planner is told of each model's work."""
+"""Demand and utilization of each model, as the planner gets them."""
 
 from collections import deque
 
@@ -17,7 +17,7 @@
 
 
 async def directory_of(*targets):
-    """Hold a list of targets."""
+    """Return a directory that has read these targets."""
     source = FakeSource(listed=deque([listing(*targets)]))
     directory = Directory(source=source, clock=FakeClock())
     await directory.refresh()
@@ -25,11 +25,11 @@
 
 
 async def test_a_model_without_an_open_group_counts_as_full():
-    """Survivors stood free for 40 s while no request for their model was served.
+    """A model without a group has no running streams, which was read as no demand.
 
-    Symptom: both groups of the larger model had lost a member; 15 and 14 targets with
-    its weights stood in two domains, and none was formed across them. Cause: nothing
-    ran on no group, which was read as a model that needs none.
+    Both groups of the larger model had lost a member. 15 and 14 targets with its
+    weights were free in two domains for 40 s while no request for the model was
+    served, and no group was formed across the domains.
     """
     directory = await directory_of(*open_group("g"))
     assert utilization(directory, PROFILE)["large"] == 1.0
@@ -37,7 +37,7 @@
 
 
 async def test_a_model_that_serves_nobody_keeps_its_declared_share():
-    """What cannot run is not seen; taken for no work, it halved the model's share."""
+    """Streams that cannot run were counted as no load, which halved the share."""
     directory = await directory_of(*open_group("g"))
     directory.loads.work(("g", 1)).running = 20
     assert demand(directory, PROFILE) == {}
--- a/mallowpond/node/tests/test_waiting.py
+++ b/mallowpond/node/tests/test_waiting.py
@@ -1,12 +1,12 @@
-"""Who gets the next place, and who is told to come back."""
+"""The order in which waiting streams are woken, and how waits end."""
 
 import asyncio
 
 from mallowpond.node.waiting import WaitQueue
 
 
-async def served(queue, now, *streams):
-    """Let streams wait, free one place after the other, return their order."""
+async def wake_order(queue, now, *streams):
+    """Return the order in which waiting streams get slots that come free one by one."""
     order = []
 
     async def wait(name, priority, objective_deadline, has_begun=False):
@@ -29,20 +29,19 @@
 
 
 async def test_streams_that_can_be_on_time_go_first():
-    """Symptom: in a burst every stream is late, although half could be on time.
+    """In a burst every stream was late although half could have been on time.
 
-    Sequence: more streams come than there are places; the queue grows past the
-    objective.
-    Cause: places went by arrival, so each one waited as long as the queue was.
+    More streams came than there were slots, and the queue took longer than the
+    objective. Slots went by arrival, so each stream waited for the whole queue.
     """
-    order = await served(
+    order = await wake_order(
         WaitQueue(), 10.0, ("late", 1, 9.0), ("fresh", 1, 10.2), ("second", 1, 10.3)
     )
     assert order == ["fresh", "second", "late"]
 
 
 async def test_a_more_urgent_stream_goes_before_an_equal_one():
-    order = await served(WaitQueue(), 10.0, ("low", 2, 11.0), ("high", 0, 11.0))
+    order = await wake_order(WaitQueue(), 10.0, ("low", 2, 11.0), ("high", 0, 11.0))
     assert order == ["high", "low"]
 
 
@@ -58,13 +57,14 @@
 
 
 async def test_a_stream_whose_group_died_goes_before_newcomers():
-    """Symptom: answers are cut off in the middle while new ones begin.
+    """Answers were cut off in the middle while new ones began.
 
-    Sequence: a group dies under its streams at a time when all places are taken; a
-    place frees, and a newcomer gets it, and the next one too.
-    Cause: the begun stream counted as late, and late ones went last.
+    A group died while all slots were taken, and new streams got the slots that came
+    free: a stream that had begun counted as late, and late ones went last.
     """
-    order = await served(WaitQueue(), 10.0, ("fresh", 0, 10.2), ("begun", 1, 8.0, True))
+    order = await wake_order(
+        WaitQueue(), 10.0, ("fresh", 0, 10.2), ("begun", 1, 8.0, True)
+    )
     assert order == ["begun", "fresh"]
 
 
@@ -87,12 +87,12 @@
 
 
 async def test_a_stream_that_leaves_the_line_as_a_place_frees_harms_no_other():
-    """The look at the groups ended for good, and no stream was moved any more.
+    """The group watch ended for good, and no stream was moved any more.
 
-    A caller left, or a wait ran out, in the very pass of the loop in which a place was
-    found for its stream. The stream stood in the queue until its own next step, so it
-    was woken although its wait had ended, which failed in whoever was waking: the look
-    at the groups, or the end of another stream.
+    A caller left, or a wait timed out, in the same iteration of the event loop in which
+    a slot was found for its stream. The stream stayed in the queue until its task ran
+    again, so it was woken although its wait had ended. That raised in the waking task:
+    the group watch, or another stream that ended.
     """
     queue = WaitQueue()
 
@@ -111,7 +111,7 @@
 
 
 async def test_a_turn_that_comes_as_the_time_runs_out_has_come():
-    """A stream was refused although a place had been found for it in the same pass."""
+    """A stream was refused although a slot was found in the same loop iteration."""
     queue = WaitQueue()
     waiting = asyncio.create_task(
         queue.wait(priority=0, objective_deadline=0.0, seconds=0.0)
