--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -105,7 +105,7 @@
     return TwoHosts(rig_a, rig_b)
 
 
-async def settle():
+async def run_pending_tasks():
     """Run the event loop until all tasks wait."""
     for _ in range(20):
         await asyncio.sleep(0)
@@ -132,7 +132,7 @@
             if len(tasks) < 3:
                 work = rig.work(FakeExchange())
                 tasks.append(asyncio.create_task(rig.service.serve(work)))
-                await settle()
+                await run_pending_tasks()
     sent = [name for rig in (site.rig_a, site.rig_b) for name, _ in rig.targets.sends]
     assert sorted(sent) == ["a0", "b0", "c0"]
     for future in futures:
@@ -148,7 +148,7 @@
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
-    await settle()
+    await run_pending_tasks()
     assert site.rig_a.targets.sends == []
     site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
@@ -181,7 +181,7 @@
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
-    await settle()
+    await run_pending_tasks()
     serving.cancel()
     await asyncio.gather(serving, return_exceptions=True)
     site.rig_b.directory.loads.record_peer_loads("c", {})
@@ -200,7 +200,7 @@
     for _ in range(60):
         work = site.rig_a.work(FakeExchange())
         waiting.append(asyncio.create_task(site.rig_a.service.serve(work)))
-    await settle()
+    await run_pending_tasks()
     rejected = [task.result() for task in waiting if task.done()]
     assert rejected
     assert all(o.status == 503 and o.reason is Reason.OVERLOADED for o in rejected)
@@ -219,7 +219,7 @@
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
-    await settle()
+    await run_pending_tasks()
     site.rig_a.clock.time += 2.0
     async with asyncio.timeout(3.0):
         outcome = await serving
@@ -246,7 +246,7 @@
     site.rig_b.targets.script("a0", response)
     work = site.rig_b.work(FakeExchange())
     serving = asyncio.create_task(site.rig_b.service.serve(work))
-    await settle()
+    await run_pending_tasks()
     assert site.rig_b.directory.loads.load(GROUP).running == 1
     future.set_result(None)
     assert await serving == Answered(status=200, target="a0")
@@ -259,7 +259,7 @@
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
     )
-    await settle()
+    await run_pending_tasks()
     site.rig_a.service.placement.end_waits()
     async with asyncio.timeout(1.0):
         outcome = await serving
@@ -302,7 +302,7 @@
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
-    await settle()
+    await run_pending_tasks()
     site.network_b.is_cut = True
     site.rig_b.directory.loads.record_peer_loads("c", {})
     site.dispatcher.wake()
