--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -98,7 +98,7 @@
         self.dispatcher.wake()
 
 
-async def site_of(*groups):
+async def two_hosts(*groups):
     """Return two hosts that know these open groups."""
     rig_a, rig_b = await make_rig(*groups), await make_rig(*groups)
     rig_b.clock = rig_a.clock
@@ -119,7 +119,7 @@
 
 async def test_hosts_that_know_nothing_of_each_other_do_not_fill_the_same_group():
     """By old reports alone, all hosts sent streams to the group that was best then."""
-    site = await site_of("a", "b", "c")
+    site = await two_hosts("a", "b", "c")
     futures = []
     for rig in (site.rig_a, site.rig_b):
         for name in "abc":
@@ -141,7 +141,7 @@
 
 
 async def test_a_stream_waits_at_the_dispatcher_and_goes_when_a_place_frees():
-    site = await site_of("a")
+    site = await two_hosts("a")
     site.rig_a.targets.script("a0", answer(1))
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
     site.rig_b.directory.loads.record_peer_loads("c", full)
@@ -157,7 +157,7 @@
 
 async def test_without_an_answer_a_host_goes_by_its_own_view():
     """Streams must not be lost with a dispatcher that is gone or cut off."""
-    site = await site_of("a")
+    site = await two_hosts("a")
     site.network_a.is_cut = True
     site.rig_a.targets.script("a0", answer(1), answer(1), answer(1))
     for _ in range(2):
@@ -174,7 +174,7 @@
 
 async def test_a_place_that_nobody_takes_is_free_again():
     """A slot that is granted after its caller left must not stay counted."""
-    site = await site_of("a")
+    site = await two_hosts("a")
     site.dispatcher_client.on_unused_grant.append(site.report_loads)
     full = {GROUP: (PROFILE.slots + 1, 0.0)}
     site.rig_b.directory.loads.record_peer_loads("c", full)
@@ -194,7 +194,7 @@
 
 async def test_who_cannot_be_placed_in_time_is_refused_at_once():
     """Callers must not wait for a slot that the queue length rules out in time."""
-    site = await site_of("a")
+    site = await two_hosts("a")
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     waiting = []
     for _ in range(60):
@@ -215,7 +215,7 @@
 )
 async def test_who_waited_in_vain_is_not_told_to_come_back_at_once(groups, reason):
     """A caller's only retry must not come before anything can have changed."""
-    site = await site_of(*groups)
+    site = await two_hosts(*groups)
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
     serving = asyncio.create_task(site.rig_a.service.serve(work))
@@ -229,7 +229,7 @@
 
 async def test_a_group_that_only_the_asker_avoids_is_not_named():
     """A stream must not be sent back to the group that it was moved from."""
-    site = await site_of("a", "b")
+    site = await two_hosts("a", "b")
     site.rig_a.directory.suspend_group(GROUP, site.rig_a.clock.now() + 9.0)
     site.rig_a.targets.script("b0", *(answer(1) for _ in range(4)))
     for _ in range(4):
@@ -241,7 +241,7 @@
 
 async def test_the_dispatchers_own_streams_count_once():
     """The dispatcher must not count its own streams and their grants both."""
-    site = await site_of("a")
+    site = await two_hosts("a")
     future, response = delayed_answer()
     site.rig_b.targets.script("a0", response)
     work = site.rig_b.work(FakeExchange())
@@ -254,7 +254,7 @@
 
 async def test_a_stopping_host_ends_the_waits_at_the_dispatcher_too():
     """Requests must not stay unanswered when their host shuts down."""
-    site = await site_of("a")
+    site = await two_hosts("a")
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     serving = asyncio.create_task(
         site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
@@ -297,7 +297,7 @@
 async def test_a_stream_whose_answer_was_lost_asks_again(monkeypatch):
     """A stream must not wait on for an answer that was lost."""
     monkeypatch.setattr(dispatcher_client, "RENEW_SECONDS", 0.01)
-    site = await site_of("a")
+    site = await two_hosts("a")
     site.rig_a.targets.script("a0", answer(1))
     site.rig_b.directory.loads.record_peer_loads("c", {GROUP: (PROFILE.slots + 1, 0.0)})
     work = site.rig_a.work(FakeExchange())
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -32,7 +32,7 @@
     service_of,
     work_of,
 )
-from mallowpond.node.tests.test_dispatcher import run_pending_tasks, site_of
+from mallowpond.node.tests.test_dispatcher import run_pending_tasks, two_hosts
 from mallowpond.state.fleet import BreakCause
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.state.target_notice import TargetNotice
@@ -120,7 +120,7 @@
 
     The stream waited for its place while its host heard of the limit.
     """
-    site = await site_of("a")
+    site = await two_hosts("a")
     rig, unused = site.rig_a, []
     site.dispatcher_client.on_unused_grant.append(lambda: unused.append(True))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
