--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -96,7 +96,7 @@
     let_pass(rig, watch, 0.3)
     assert await task == Answered(status=200, target="b0")
     assert exchange.body == event(1).data + event(2).data
-    assert peers.told == [("a", 1)]
+    assert peers.broadcasts == [("a", 1)]
     names = {g.name for g in rig.directory.serving_groups("engines", "m")}
     assert names == {"b"}
 
@@ -118,7 +118,7 @@
     (note,) = peers.on_advance
     note(("a", 1))
     let_pass(rig, watch, 0.04)
-    assert peers.told == []
+    assert peers.broadcasts == []
     assert not task.done()
     await end(task)
 
@@ -167,7 +167,7 @@
     (stream,) = rig.service.active
     assert stream.move_reason is Reason.SILENT_GROUP
     assert await task == Answered(status=200, target="b0")
-    assert peers.told == []
+    assert peers.broadcasts == []
 
 
 async def test_a_host_tells_of_an_event_that_it_saw_since():
@@ -192,7 +192,7 @@
     rig.directory.loads.work(("a", 1)).slowness = 12.0
     rig.clock.time += 0.02
     watch.check()
-    assert peers.told == []
+    assert peers.broadcasts == []
     assert stream.move_reason is Reason.SLOW_TARGET
     assert await task == Answered(status=200, target="b0")
 
@@ -206,7 +206,7 @@
     rig, watch, peers, task, _ = await watched("a", "b")
     rig.clock.time += 2.0
     watch.check()
-    assert peers.told == []
+    assert peers.broadcasts == []
     await end(task)
 
 
@@ -253,7 +253,7 @@
     assert outcome == Answered(status=200, target="b0")
     assert stream.move_reason is Reason.SILENT_GROUP
     assert await task == Answered(status=200, target="b0")
-    assert peers.told == [(("a", 1), BreakCause.REFUSED)]
+    assert peers.broadcasts == [(("a", 1), BreakCause.REFUSED)]
 
 
 async def test_streams_that_advance_end_where_they_are_when_a_head_refuses():
@@ -288,7 +288,7 @@
     hear(GroupBroken(group="b", head=Process(id="b0", born=0), **told))
     names = {g.name for g in rig.directory.serving_groups("engines", "m")}
     assert names == {"a"}
-    assert peers.told == []
+    assert peers.broadcasts == []
     await end(task)
 
 
@@ -307,7 +307,7 @@
     anew = replace(anew, membership=None)
     rig.directory.apply_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
     assert stream.move_reason is Reason.RESTARTED
-    assert peers.told == []
+    assert peers.broadcasts == []
     for _ in range(9):
         await asyncio.sleep(0)
     assert not task.done()
@@ -319,7 +319,7 @@
 async def test_peers_are_told_of_a_restart_that_the_list_does_not_show():
     rig, watch, peers, task, _ = await watched("a", "b")
     rig.directory.apply_report(replace(member("a1", "a", 1, born=1), membership=None))
-    assert peers.told == [(("a", 1), BreakCause.RESTARTED)]
+    assert peers.broadcasts == [(("a", 1), BreakCause.RESTARTED)]
     assert await task == Answered(status=200, target="b0")
 
 
