--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -113,7 +113,7 @@
     (stream,) = rig.service.active
     stream.events = 0
     rig.clock.time += 0.02
-    while not peers.asked:
+    while not peers.queried_groups:
         let_pass(rig, watch, 0.02)
     (note,) = peers.on_advance
     note(("a", 1))
@@ -125,16 +125,16 @@
 
 async def test_a_group_that_died_after_an_answer_is_asked_about_again():
     rig, watch, peers, task, _ = await watched("a", "b")
-    while not peers.asked:
+    while not peers.queried_groups:
         let_pass(rig, watch, 0.02)
     (note,) = peers.on_advance
     note(("a", 1))
     (stream,) = rig.service.active
     stream.events = 0
     learn_delay(rig, stream, 0.0)
-    asked = len(peers.asked)
+    asked = len(peers.queried_groups)
     let_pass(rig, watch, 0.12)
-    assert len(peers.asked) > asked
+    assert len(peers.queried_groups) > asked
     assert await task == Answered(status=200, target="b0")
 
 
@@ -146,7 +146,7 @@
     Cause: the old question counted as unanswered.
     """
     rig, watch, peers, task, _ = await watched("a", "b")
-    while not peers.asked:
+    while not peers.queried_groups:
         let_pass(rig, watch, 0.02)
     await end(task)
     let_pass(rig, watch, 0.04)
