--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -361,13 +361,13 @@
             self._notes.record("datagram", addr[0], message)
             return
         try:
-            self._take(message)
+            self._handle_message(message)
         except Exception:
             # A bug in a listener must not reach the transport, which carries all other
             # messages.
             log.exception("peers: message failed", kind=type(message).__name__)
 
-    def _take(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         match message:
             case Heartbeat():
                 self._on_heartbeat(message)
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -109,7 +109,7 @@
     def hear(self, *messages):
         """Take messages of other hosts."""
         for message in messages:
-            self.peers._take(message)
+            self.peers._handle_message(message)
 
     def told_of(self, kind):
         """Return what was told of one kind."""
