--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -165,7 +165,7 @@
             for group in self._groups.values()
         )
 
-    def suspend_group(self, key: GroupKey, until: float) -> None:
+    def exclude_group(self, key: GroupKey, until: float) -> None:
         """Send a group no new streams until a time."""
         work = self.loads.work(key)
         work.excluded_until = max(work.excluded_until, until)
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -239,7 +239,7 @@
         # would get new streams.
         work = self._directory.loads.work(key)
         work.suspicions += 1
-        self._directory.suspend_group(key, self._clock.now() + self._stall_seconds)
+        self._directory.exclude_group(key, self._clock.now() + self._stall_seconds)
         for notify in self.on_suspect:
             notify(key)
 
@@ -310,7 +310,7 @@
         self._exclude(key, self._stall_seconds)
 
     def _exclude(self, key: GroupKey, seconds: float) -> None:
-        self._directory.suspend_group(key, self._clock.now() + seconds)
+        self._directory.exclude_group(key, self._clock.now() + seconds)
 
     def clear(self, key: GroupKey) -> None:
         """Clear the suspicion of a group whose members were all found alive."""
