--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -171,7 +171,7 @@
         work.excluded_until = max(work.excluded_until, until)
         self._resume_at = min(self._resume_at, work.excluded_until)
 
-    def resume_group(self, key: GroupKey) -> None:
+    def readmit_group(self, key: GroupKey) -> None:
         """Send a group new streams again that was withheld."""
         work, now = self.loads.work(key), self._clock.now()
         work.excluded_until = min(work.excluded_until, now)
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -314,4 +314,4 @@
 
     def clear(self, key: GroupKey) -> None:
         """Clear the suspicion of a group whose members were all found alive."""
-        self._directory.resume_group(key)
+        self._directory.readmit_group(key)
