--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -177,7 +177,7 @@
         work.excluded_until = min(work.excluded_until, now)
         self._resume_at = min(self._resume_at, now)
 
-    def consume_resumed(self) -> bool:
+    def consume_readmitted(self) -> bool:
         """Tell whether a group may get streams again since this was last asked.
 
         Nothing else tells those that wait: without it, streams that a suspicion had
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -95,7 +95,7 @@
         if now - self._due_at > STALLED_SECONDS:
             self._silence_counts_from = now
         self._interval = MAX_CHECK_INTERVAL_SECONDS
-        if self._directory.consume_resumed():
+        if self._directory.consume_readmitted():
             self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
