--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""What a caller sees of a stream when groups fail under it."""
+"""What a caller gets of a stream when groups fail."""
 
 import asyncio
 from dataclasses import replace
@@ -25,8 +25,8 @@
 from mallowpond.state.fleet import Process
 
 
-def whole(*numbers):
-    """Return the bytes of these events."""
+def event_bytes(*numbers):
+    """Return the bytes of these complete events."""
     return b"".join(event(number).data for number in numbers)
 
 
@@ -36,15 +36,15 @@
     exchange = FakeExchange()
     outcome = await rig.service.serve(rig.work(exchange))
     assert outcome == Answered(status=200, target="g0")
-    assert exchange.body == whole(1, 2)
+    assert exchange.body == event_bytes(1, 2)
     assert exchange.finished
 
 
 async def test_a_broken_stream_goes_on_after_its_last_whole_event():
-    """Symptom: an event comes twice, or half of one stands in the answer.
+    """An event came twice, or half of one was in the answer.
 
-    Sequence: a group breaks off in the middle of an event; another one goes on.
-    Cause: the resume began elsewhere than after the last event passed on whole.
+    A group broke off in the middle of an event, and another one resumed elsewhere than
+    after the last event that had been forwarded whole.
     """
     rig = await make_rig("a", "b")
     half = replace(event(3), data=b"id: 3\nda")
@@ -55,14 +55,14 @@
     outcome = await rig.service.serve(rig.work(exchange))
     assert outcome == Answered(status=200, target="b0")
     assert rig.targets.sends == [("a0", None), ("b0", "2")]
-    assert exchange.body == whole(1, 2, 3, 4)
+    assert exchange.body == event_bytes(1, 2, 3, 4)
 
 
 async def test_a_stream_that_cannot_be_resumed_is_sent_once():
-    """Symptom: a request that may run once at most runs twice.
+    """A request that may run at most once ran twice.
 
-    Sequence: the group breaks off before the first event.
-    Cause: the send was repeated although nothing proved that it had not run.
+    Its group broke off before the first event, and it was sent again although nothing
+    proved that it had not run.
     """
     rig = await make_rig("a", "b")
     rig.targets.script("a0", BROKEN)
@@ -122,15 +122,15 @@
 
 
 async def test_a_suspected_group_loses_its_streams_only_if_they_can_go_on():
-    """Symptom: streams are cut off although their group only paused.
+    """Streams were cut off although their group had only paused.
 
-    Sequence: both groups that a stream may be sent to fall silent for a moment.
-    Cause: a stream that had used its attempts was moved all the same.
+    Both groups that a stream may be sent to fell silent for a moment, and the stream
+    was moved although it had used its attempts.
     """
     rig = await make_rig("a", "b")
-    held = asyncio.get_running_loop().create_future()
+    blocker = asyncio.get_running_loop().create_future()
     for name in ("a0", "b0"):
-        rig.targets.script(name, FakeResponse(script=[held]))
+        rig.targets.script(name, FakeResponse(script=[blocker]))
     route = replace(ROUTE, max_attempts=1)
     task = asyncio.create_task(rig.service.serve(rig.work(FakeExchange(), route)))
     await asyncio.sleep(0)
@@ -143,9 +143,9 @@
 
 async def test_a_moved_stream_goes_on_elsewhere():
     rig = await make_rig("a", "b")
-    held = asyncio.get_running_loop().create_future()
+    blocker = asyncio.get_running_loop().create_future()
     for name in ("a0", "b0"):
-        rig.targets.script(name, FakeResponse(script=[event(1), held]), answer(2))
+        rig.targets.script(name, FakeResponse(script=[event(1), blocker]), answer(2))
     exchange = FakeExchange()
     task = asyncio.create_task(rig.service.serve(rig.work(exchange)))
     while not exchange.body:
@@ -157,27 +157,26 @@
     assert rig.service.can_move(stream)
     stream.move(Reason.SILENT_GROUP)
     assert await task == Answered(status=200, target=other)
-    assert exchange.body == whole(1, 2)
+    assert exchange.body == event_bytes(1, 2)
 
 
 async def test_a_stream_that_ran_long_waits_for_a_place_when_its_group_dies():
-    """Symptom: answers are cut off in the middle, although a place frees soon.
+    """Answers were cut off in the middle although a slot came free soon.
 
-    Sequence: a stream has run for 2 s; its group breaks off while the other groups
-    are full; half a second later one has a place.
-    Cause: the time that callers wait for an event was counted from the start of the
-    stream, so it was over.
+    A stream had run for 2 s when its group broke off while the other groups were full;
+    half a second later one had a slot. The caller's patience was counted from the start
+    of the stream, so it was used up.
     """
     rig = await make_rig("a", "b")
-    held = asyncio.get_running_loop().create_future()
-    rig.targets.script("a0", FakeResponse(script=[event(1), held, event(2), BROKEN]))
+    blocker = asyncio.get_running_loop().create_future()
+    rig.targets.script("a0", FakeResponse(script=[event(1), blocker, event(2), BROKEN]))
     rig.directory.loads.work(("b", 1)).running = 10
     exchange = FakeExchange()
     task = asyncio.create_task(rig.service.serve(rig.work(exchange)))
     while not exchange.body:
         await asyncio.sleep(0)
     rig.clock.time += 2.0
-    held.set_result(None)
+    blocker.set_result(None)
     for _ in range(20):
         await asyncio.sleep(0)
     assert not task.done()
@@ -186,13 +185,13 @@
     rig.directory.loads.work(("b", 1)).running = 0
     rig.service.placement.wake_all()
     assert await task == Answered(status=200, target="b0")
-    assert exchange.body == whole(1, 2, 3)
+    assert exchange.body == event_bytes(1, 2, 3)
 
 
 async def test_the_work_on_a_group_is_counted_back_when_a_caller_leaves():
     rig = await make_rig("a")
-    held = asyncio.get_running_loop().create_future()
-    rig.targets.script("a0", FakeResponse(script=[event(1), held]))
+    blocker = asyncio.get_running_loop().create_future()
+    rig.targets.script("a0", FakeResponse(script=[event(1), blocker]))
     exchange = FakeExchange()
     task = asyncio.create_task(rig.service.serve(rig.work(exchange)))
     while not exchange.body:
@@ -206,11 +205,11 @@
 
 
 async def test_a_stopping_host_reckons_with_the_pace_that_its_groups_show():
-    """A caller's stream was cut in the middle when its host ended after a planned stop.
+    """A stream was cut off in the middle when its host shut down as planned.
 
-    A host that stops takes a stream if the time that the stream may take is left
-    to it. That time was of a sound group, so a host whose groups ran at a
-    fifth of their pace took streams that needed longer than it had.
+    A stopping host accepts a stream if it can end before the shutdown. Its duration was
+    predicted for the declared pace, so a host whose groups ran at a fifth of their pace
+    accepted streams that took longer than it had.
     """
     rig = await make_rig("a")
     work = rig.work(FakeExchange())
@@ -225,8 +224,8 @@
 async def test_a_stopping_host_takes_no_stream_for_which_it_has_no_group():
     """A caller waited on a stopping host for a group, and its answer was cut off.
 
-    Nothing was known of when a group would serve, yet the stream's time was reckoned
-    as if one did.
+    The stream's duration was predicted as if a group served the model, although it was
+    not known when one would.
     """
     rig = await make_rig()
     assert rig.service.placement.longest_seconds(rig.work(FakeExchange())) == float(
@@ -235,12 +234,11 @@
 
 
 async def test_a_head_that_says_it_is_not_the_one_gets_no_more_streams():
-    """Symptom: streams are sent to one head over and over, which runs none of them.
+    """Streams were sent over and over to a head that ran none of them.
 
-    Sequence: a head starts again behind a cut; the list still shows it open. It
-    answers each stream that it holds no open group.
-    Cause: the answer counted as that of a full head, which is left for a moment only;
-    without streams it looked like the least loaded.
+    The head restarted behind a network cut while the list still showed it open, and
+    answered each stream that it holds no open group. That counted as the answer of a
+    full head, with a short backoff; without streams it looked the least loaded.
     """
     rig = await make_rig("a", "b")
     rig.targets.script("a0", *(misdirected() for _ in range(9)))
@@ -269,11 +267,10 @@
 
 @pytest.mark.parametrize("refusal", [full, misdirected])
 async def test_refused_for_sure_and_no_budget_left_is_not_run(refusal):
-    """Symptom: callers are told 502, and give up, for streams that nobody ran.
+    """Callers got 502 and gave up on streams that no engine ran.
 
-    Sequence: a head turns a stream away; the repeats of this window are used up.
-    Cause: the end of the budget was answered alike whether the stream may have run
-    or was proved not to have.
+    A head rejected a stream, and the retry budget was used up. The answer was the same
+    whether the stream may have run or was proved not to have run.
     """
     rig = await make_rig("a", "b", slack=0.0)
     for name in ("a0", "b0"):
@@ -297,11 +294,10 @@
 
 @pytest.mark.parametrize("refusal", [full, misdirected])
 async def test_a_stream_that_no_group_ran_until_its_deadline_is_not_run(refusal):
-    """Symptom: a caller that could come back is told that its time is over.
+    """A caller that could have retried got a timeout.
 
-    Sequence: the only group turns a stream away, just before the route's timeout.
-    Cause: the end of the time was answered alike whether the stream may have run or
-    was proved not to have.
+    The only group rejected a stream just before the route's timeout. The answer was the
+    same whether the stream may have run or was proved not to have run.
     """
     rig = await make_rig("a")
     refused = refusal()
@@ -319,10 +315,10 @@
 
 
 async def test_no_place_left_after_an_attempt_that_may_have_run_stays_unknown():
-    """Symptom: a caller is promised that a stream did not run, and it had.
+    """A caller got the answer that a stream did not run although it had.
 
-    Sequence: the only group breaks off before the first event; no other has a place.
-    Cause: the end of the wait for a place spoke for the whole request.
+    The only group broke off before the first event, and no other had a free slot. The
+    end of the wait for a slot decided the answer for the whole request.
     """
     rig = await make_rig("a")
     rig.targets.script("a0", FakeResponse(script=[BROKEN]))
@@ -332,10 +328,10 @@
     assert (outcome.status, outcome.reason) == (502, Reason.OVERLOADED)
 
 
-async def formed_anew(rig, group):
-    """Start the members of a group again, and form it anew."""
+async def form_anew(rig, group):
+    """Restart the members of a group and form it anew."""
     known = rig.directory.targets
-    anew = [
+    restarted = [
         replace(
             known[name],
             born=known[name].born + 1,
@@ -345,58 +341,57 @@
     ]
     revision = rig.directory.changed + 1
     rig.directory.apply_change(
-        TargetsRead(revision=revision, targets=tuple(anew)), previous=revision - 1
+        TargetsRead(revision=revision, targets=tuple(restarted)), previous=revision - 1
     )
 
 
 async def test_engines_that_started_again_do_not_count_as_attempts():
-    """Symptom: streams are cut off although a group has a place for them.
+    """Streams were cut off although a group had a free slot for them.
 
-    Sequence: two groups break off under a stream, as their engines crash; one is formed
-    anew from the engines that started again under their ids.
-    Cause: attempts and groups that were tried went by the engine's id.
+    Two groups of a stream broke off as their engines crashed, and one was formed anew
+    from the engines that restarted under their ids. Attempts and tried groups were
+    counted by engine id instead of by process.
     """
     rig = await make_rig("a", "b")
-    held = asyncio.get_running_loop().create_future()
+    blocker = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]), answer(3))
-    rig.targets.script("b0", FakeResponse(script=[event(2), held, BROKEN]))
+    rig.targets.script("b0", FakeResponse(script=[event(2), blocker, BROKEN]))
     rig.directory.loads.work(("b", 1)).running = 1
     exchange = FakeExchange()
     task = asyncio.create_task(rig.service.serve(rig.work(exchange)))
     while len(rig.targets.sends) < 2:
         await asyncio.sleep(0)
-    await formed_anew(rig, "a")
-    held.set_result(None)
+    await form_anew(rig, "a")
+    blocker.set_result(None)
     assert await task == Answered(status=200, target="a0")
-    assert exchange.body == whole(1, 2, 3)
+    assert exchange.body == event_bytes(1, 2, 3)
 
 
 async def test_a_stream_that_may_run_once_never_goes_to_the_later_process():
-    """Symptom: a request that may run once at most runs twice.
+    """A request that may run at most once ran twice.
 
-    Sequence: its head crashes before the first event, starts again under its id and
-    holds an open group when the connection breaks.
-    Cause: the request had never been sent to that process, so it counted as not run.
+    Its head crashed before the first event, restarted under its id and held an open
+    group when the connection broke. The request had never been sent to that process,
+    so it counted as not run.
     """
     rig = await make_rig("a")
-    held = asyncio.get_running_loop().create_future()
-    rig.targets.script("a0", FakeResponse(script=[held, BROKEN]), answer(1))
+    blocker = asyncio.get_running_loop().create_future()
+    rig.targets.script("a0", FakeResponse(script=[blocker, BROKEN]), answer(1))
     work = rig.work(FakeExchange(), replace(ROUTE, resumable=False))
     task = asyncio.create_task(rig.service.serve(work))
     while not rig.targets.sends:
         await asyncio.sleep(0)
-    await formed_anew(rig, "a")
-    held.set_result(None)
+    await form_anew(rig, "a")
+    blocker.set_result(None)
     assert await task == Refusal(status=502, reason=Reason.MAYBE_RUN)
     assert len(rig.targets.sends) == 1
 
 
 async def test_a_head_that_cannot_be_reached_is_tried_less_and_less():
-    """Symptom: the repeats of a window are used up at one address.
+    """One crashed head used up the retry budget.
 
-    Sequence: a head crashes; until the list shows it, a stream is sent there each time
-    that the pause after the last one is over.
-    Cause: the pause was as short after the tenth refusal as after the first.
+    Until the list showed the crash, a stream was sent there after each backoff, which
+    was as short after the tenth rejection as after the first.
     """
     rig = await make_rig("a", "b")
     rig.targets.script("a0", *(UNREACHABLE for _ in range(99)))
@@ -435,10 +430,10 @@
 
 
 async def test_the_place_of_a_woken_stream_that_leaves_goes_to_the_next():
-    """A stream waited on beside a free place.
+    """A stream went on waiting although a slot was free.
 
-    The place was offered to the first of the line, which wakes the next one when it is
-    sent; its caller left in the same pass of the loop, and nobody was woken.
+    The slot was offered to the first stream in the queue, which wakes the next one when
+    it is sent. Its caller left in the same loop iteration, and no stream was woken.
     """
     rig = await make_rig("a")
     rig.directory.loads.work(("a", 1)).running = PROFILE.slots + 1
@@ -458,30 +453,30 @@
     assert await tasks[1] == Answered(status=200, target="a0")
 
 
-def ended(rig, name):
-    """Let another host tell that a group's head ended under some request."""
+def report_ended(rig, name):
+    """Record another host's report that a group's head crashed under some request."""
     process = Process(id=f"{name}0", born=0)
     record = CrashRecord(request="bad", endings=(Ending(process=process, ran=0.1),))
     rig.service._quarantine.merge(record)
 
 
 async def test_a_head_that_others_saw_end_gets_a_stream_only_if_no_other_has_a_place():
-    """Guard against losing streams to heads that are known to be gone."""
+    """Streams must not be lost to heads that are known to be gone."""
     rig = await make_rig("a", "b")
     rig.targets.script("a0", *(BROKEN for _ in range(9)))
     rig.targets.script("b0", *(answer(1) for _ in range(9)))
     rig.directory.loads.work(("b", 1)).running = 1
-    ended(rig, "a")
+    report_ended(rig, "a")
     route = replace(ROUTE, resumable=False)
     outcome = await rig.service.serve(rig.work(FakeExchange(), route))
     assert outcome == Answered(status=200, target="b0")
 
 
 async def test_a_head_that_breaks_off_again_after_its_end_is_left_alone_for_a_while():
-    """Guard against sending stream after stream to a head that has ended."""
+    """Streams must not be sent one after the other to a head that has ended."""
     rig = await make_rig("a")
     rig.targets.script("a0", *(FakeResponse(script=[BROKEN]) for _ in range(20)))
-    ended(rig, "a")
+    report_ended(rig, "a")
     route = replace(ROUTE, resumable=False)
     rig.clock.time += 0.01
     outcome = await rig.service.serve(rig.work(FakeExchange(), route))
