--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -386,7 +386,7 @@
             # Streams that were in flight together count as one rejection.
             backoff = max(backoff, min(2 * own.backoff_seconds, MAX_BACKOFF_SECONDS))
             own.backoff_seconds = backoff
-        self._directory.suspend_group(group.key, now + backoff)
+        self._directory.exclude_group(group.key, now + backoff)
 
     def _log_rejected(self, work: StreamWork, group: Group, reason: Reason) -> None:
         log.info(
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -230,7 +230,7 @@
 async def test_a_group_that_only_the_asker_avoids_is_not_named():
     """A stream must not be sent back to the group that it was moved from."""
     site = await two_hosts("a", "b")
-    site.rig_a.directory.suspend_group(GROUP, site.rig_a.clock.now() + 9.0)
+    site.rig_a.directory.exclude_group(GROUP, site.rig_a.clock.now() + 9.0)
     site.rig_a.targets.script("b0", *(answer(1) for _ in range(4)))
     for _ in range(4):
         outcome = await site.rig_a.service.serve(site.rig_a.work(FakeExchange()))
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -95,7 +95,7 @@
         if now - self._due_at > STALLED_SECONDS:
             self._silence_counts_from = now
         self._interval = MAX_CHECK_INTERVAL_SECONDS
-        if self._directory.consume_resumed():
+        if self._directory.consume_readmitted():
             self._streams.placement.wake_all()
         by_group: dict[GroupKey, list[ActiveStream]] = defaultdict(list)
         for stream in self._streams.active:
@@ -239,7 +239,7 @@
         # would get new streams.
         work = self._directory.loads.work(key)
         work.suspicions += 1
-        self._directory.suspend_group(key, self._clock.now() + self._stall_seconds)
+        self._directory.exclude_group(key, self._clock.now() + self._stall_seconds)
         for notify in self.on_suspect:
             notify(key)
 
@@ -310,8 +310,8 @@
         self._exclude(key, self._stall_seconds)
 
     def _exclude(self, key: GroupKey, seconds: float) -> None:
-        self._directory.suspend_group(key, self._clock.now() + seconds)
+        self._directory.exclude_group(key, self._clock.now() + seconds)
 
     def clear(self, key: GroupKey) -> None:
         """Clear the suspicion of a group whose members were all found alive."""
-        self._directory.resume_group(key)
+        self._directory.readmit_group(key)
