--- a/mallowpond/coordination/claims.py
+++ b/mallowpond/coordination/claims.py
@@ -173,8 +173,8 @@
 
     async def _commit_group(self, waiting: list[_Waiting]) -> None:
         group = _Group()
-        held = await asyncio.gather(*(self._table.read(w.key) for w in waiting))
-        for one, row in zip(waiting, held, strict=True):
+        stored = await asyncio.gather(*(self._table.read(w.key) for w in waiting))
+        for one, row in zip(waiting, stored, strict=True):
             if isinstance(row, Unavailable):
                 _answer(one, StoreUnavailable(reason=row.reason))
             else:
@@ -187,22 +187,24 @@
         await self._commit(group)
 
     def _decide(self, waiting: _Waiting, row: Row | None, group: _Group) -> None:
-        held = from_plain(row.value, ClaimRow) if row else None
+        stored = from_plain(row.value, ClaimRow) if row else None
         match waiting.work:
-            case Claim(row=asked):
+            case Claim(row=requested):
                 decision = decide_claim(
-                    held=held, asked=asked, live_gateways=self._live_gateways()
+                    stored=stored,
+                    requested=requested,
+                    live_gateways=self._live_gateways(),
                 )
-                if not isinstance(decision, Granted) or decision.row is held:
+                if not isinstance(decision, Granted) or decision.row is stored:
                     _answer(waiting, decision)
                     return
-                change = Settled(row=asked, units=asked.units)
+                change = Settled(row=requested, units=requested.units)
                 result: ClaimResult = decision
-            case Finish(row=asked):
-                change = settle_end(held=held, asked=asked)
+            case Finish(row=requested):
+                change = settle_end(stored=stored, requested=requested)
                 result = SettledAnswer()
-            case Void(row=asked):
-                change = settle_void(held=held, asked=asked)
+            case Void(row=requested):
+                change = settle_void(stored=stored, requested=requested)
                 result = SettledAnswer()
         if change is None:
             _answer(waiting, result)
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -30,8 +30,8 @@
     CellView,
     HeadRead,
     NotAssured,
-    Vouch,
-    assess,
+    PeerAnswer,
+    assess_assurance,
 )
 from mallowpond.state.codec import to_plain
 from mallowpond.state.declarations import Declaration
@@ -96,7 +96,7 @@
         self._head_read: HeadRead | None = None
         self._held: ProposalRow | None = None
         self._first_seen: dict[str, float] = {}
-        self._vouches: dict[str, Vouch] = {}
+        self._peer_answers: dict[str, PeerAnswer] = {}
 
     @property
     def applied(self) -> Applied:
@@ -128,22 +128,22 @@
         """Tell whether the version in force is known now, and applied here."""
         cell = self._membership.known_cell
         members = cell.members if cell else ()
-        verdict = assess(
-            me=self._membership.identity.name,
+        verdict = assess_assurance(
+            member=self._membership.identity.name,
             now=self._clock.now(),
             limit_seconds=self._assurance_seconds,
             cell=CellView(epoch=self._membership.epoch, members=members),
-            own=self._head_read,
+            own_read=self._head_read,
             holds_newer=self._held is not None,
-            vouches=tuple(self._vouches.values()),
+            peer_answers=tuple(self._peer_answers.values()),
         )
         if isinstance(verdict, Assured) and verdict.version != self._applied.version:
             return NotAssured(reason=f"version {verdict.version} is not applied yet")
         return verdict
 
-    def note_vouch(self, vouch: Vouch) -> None:
+    def record_peer_answer(self, vouch: PeerAnswer) -> None:
         """Keep a peer's latest answer."""
-        self._vouches[vouch.member] = vouch
+        self._peer_answers[vouch.member] = vouch
 
     def after_read(self, asked_at: float) -> None:
         """Take in what a read of the shared rows showed; `asked_at` is before it."""
--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -199,7 +199,7 @@
         # idle before then may still be sent a request that its stop would cut off.
         if age < self._timings.drain_settle:
             return False
-        status = self._watch.recent(group.leader.host)
+        status = self._watch.recent(group.head.host)
         return status is None or status.in_flight == 0
 
     # -- planning ------------------------------------------------------------
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -25,9 +25,9 @@
     commit_settled,
     transaction,
 )
-from mallowpond.state.lease import LapseWatch
+from mallowpond.state.lease import ExpiryWatch
 from mallowpond.state.proposal import next_epoch
-from mallowpond.state.rows import BeatRow, CellRow, MemberRow, MemberState
+from mallowpond.state.rows import CellRow, HeartbeatRow, MemberRow, MemberState
 
 GONE_AFTER_LEASES = 3.0
 
@@ -71,8 +71,8 @@
         self._lease_seconds = lease_seconds
         self._draw_id = draw_id
         self._cell_view = TableView(table=table, prefix=cell_prefix(identity.cell))
-        self._watch = LapseWatch(lease_seconds=lease_seconds)
-        self._gone_watch = LapseWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
+        self._watch = ExpiryWatch(lease_seconds=lease_seconds)
+        self._gone_watch = ExpiryWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
         self._state = MemberState.JOINING
         self._counter = 0
         self._joined_at: float | None = None
@@ -124,7 +124,7 @@
         return {
             name: member
             for name, member in rows.items()
-            if not self._watch.is_lapsed((name, member.incarnation), now)
+            if not self._watch.is_expired((name, member.incarnation), now)
         }
 
     def is_gone(self, member: str, incarnation: str) -> bool:
@@ -137,7 +137,7 @@
         key = (member, incarnation)
         if not self._watch.is_watched(key):
             self._watch.observe(key, "holder", now)
-        return self._watch.is_lapsed(key, now)
+        return self._watch.is_expired(key, now)
 
     def takers(self) -> list[str]:
         """Return the members that may take ownership."""
@@ -168,7 +168,7 @@
                 self._watch.postpone(dark)
                 self._gone_watch.postpone(dark)
         self._last_read_at = now
-        beats = self._cell_view.below(BEATS, BeatRow)
+        beats = self._cell_view.below(BEATS, HeartbeatRow)
         for name, member in self.members().items():
             key = (name, member.incarnation)
             beat = beats[name].value.n if name in beats else 0
@@ -218,7 +218,7 @@
             return
         step = next_epoch(
             cell=cell.value,
-            noted=self._noted(cell.value),
+            acknowledged=self._noted(cell.value),
             joining=tuple(self.takers()),
             gone=self._gone(cell.value),
         )
@@ -232,12 +232,12 @@
         """Return the next beat, with the member row only where that changed."""
         prefix = cell_prefix(self._identity.cell)
         name = self._identity.name
-        beat = self._cell_view.get(BEATS + name, BeatRow)
+        beat = self._cell_view.get(BEATS + name, HeartbeatRow)
         self._counter += 1
         puts = [
             TypedPut(
                 key=prefix + BEATS + name,
-                value=BeatRow(n=self._counter),
+                value=HeartbeatRow(n=self._counter),
                 expect=beat.version if beat else 0,
             )
         ]
@@ -289,5 +289,5 @@
             for name in cell.members
             if name not in rows
             or rows[name].state is MemberState.LEAVING
-            or self._gone_watch.is_lapsed(name, now)
+            or self._gone_watch.is_expired(name, now)
         )
--- a/mallowpond/coordination/quotas.py
+++ b/mallowpond/coordination/quotas.py
@@ -8,7 +8,7 @@
 from mallowpond.coordination.ports import Committed, TableService, Unavailable
 from mallowpond.coordination.store import TypedPut, commit_settled, transaction
 from mallowpond.state.codec import from_plain
-from mallowpond.state.quota import grant
+from mallowpond.state.quota import grantable_units
 from mallowpond.state.rows import QuotaRow
 
 PERIOD_SECONDS = 86400
@@ -61,7 +61,9 @@
                 period, leased = held.period, held.leased
             else:
                 leased = 0
-            units = grant(budget=budget, leased=leased, wanted=wanted, needed=needed)
+            units = grantable_units(
+                budget=budget, leased=leased, wanted=wanted, needed=needed
+            )
             if units is None:
                 return Leased(period=period, units=0, period_left=left)
             new = QuotaRow(workspace=workspace, period=period, leased=leased + units)
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -30,7 +30,7 @@
 from mallowpond.coordination.store import TableView, new_id
 from mallowpond.protocol.declaration_file import Document, parse_document
 from mallowpond.standins.platform import MemoryTable
-from mallowpond.state.assurance import Vouch
+from mallowpond.state.assurance import PeerAnswer
 from mallowpond.state.declarations import Declaration, Deployment
 from mallowpond.state.rows import Holder
 
@@ -208,12 +208,12 @@
         self.clock.time += delay
         if cell is not None:
             self.membership.note_cell(cell)
-        self.configuration.note_vouch(vouch)
+        self.configuration.record_peer_answer(vouch)
 
-    def vouch(self, asked_at: float) -> Vouch:
+    def vouch(self, asked_at: float) -> PeerAnswer:
         """Answer a peer as the link service does."""
         read = self.configuration.head_read
-        return Vouch(
+        return PeerAnswer(
             member=self.name,
             asked_at=asked_at,
             epoch=self.membership.epoch,
--- a/mallowpond/coordination/tests/test_configuration.py
+++ b/mallowpond/coordination/tests/test_configuration.py
@@ -202,7 +202,7 @@
     reborn = make_node("b", table, clock, incarnation="2")
     nodes[0].line.cut = nodes[2].line.cut = True
     clock.time += ASSURANCE + 1
-    nodes[0].configuration.note_vouch(reborn.vouch(clock.now()))
+    nodes[0].configuration.record_peer_answer(reborn.vouch(clock.now()))
     assert isinstance(nodes[0].configuration.assurance(), NotAssured)
 
 
--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -423,8 +423,8 @@
 async def test_leaving_host_is_drained_before_its_group_is_taken_apart():
     site = await ready_site()
     (group,) = site.groups
-    leader = site.engines.engines[group.leader.host]
-    leader.in_flight = 1
+    head = site.engines.engines[group.head.host]
+    head.in_flight = 1
     site.hosts = tuple(
         listed(h.name)[0].__class__(**{**vars(h), "state": HostState.LEAVING})
         if h.name == group.hosts[1]
@@ -433,8 +433,8 @@
     )
     await site.tick(times=10)
     assert site.groups[0].state is GroupState.DRAINING
-    assert leader.status().group == group.group
-    leader.in_flight = 0
+    assert head.status().group == group.group
+    head.in_flight = 0
     await site.tick(times=10)
     (fresh,) = site.groups
     assert fresh.state is GroupState.READY
