--- /dev/null
+++ b/mallowpond/node/group_selector.py
@@ -0,0 +1,163 @@
+"""Select the group for a stream by the known load of every group."""
+
+import random
+from collections import defaultdict
+from collections.abc import Callable, Collection, Iterator
+from dataclasses import dataclass, replace
+
+from mallowpond.node.directory import Directory
+from mallowpond.node.quarantine import Quarantine
+from mallowpond.state.first_event import FirstEventDelay
+from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
+from mallowpond.state.placement import (
+    DRAWN_GROUPS,
+    UNREPORTED_STREAMS,
+    Candidate,
+    GroupLoad,
+    choose_group,
+    draw_candidates,
+    pass_seconds,
+    unreported_streams,
+)
+from mallowpond.state.retry_window import RetryWindow
+
+# Share of the objective that a group's predicted first event may take. Less makes
+# streams wait although groups that span domains could serve them in time.
+FIRST_EVENT_SHARE = 1.0
+# Groups with a free slot that are drawn at random where all load is known: the best of
+# so many is hardly worse than the best of all.
+DRAWN_GROUPS_EXACT = 10
+# Lower bound of the time for which a stream is expected to hold its slot, in seconds.
+MIN_HOLD_SECONDS = 0.1
+
+
+@dataclass(frozen=True, kw_only=True)
+class SlotRequest:
+    """Describes the slot that a stream needs.
+
+    `objective` is the time allowed until the first event, in seconds; groups whose
+    names are in `avoided` are not selected.
+    """
+
+    service: str
+    profile: EngineProfile
+    model: ModelSpec
+    prompt_tokens: float
+    objective: float
+    avoided: frozenset[str] = frozenset()
+
+    def without(self, groups: Collection[str]) -> "SlotRequest":
+        """Return a copy that avoids these groups too."""
+        return replace(self, avoided=self.avoided.union(groups))
+
+
+class GroupSelector:
+    """Selects groups of a directory for streams."""
+
+    def __init__(
+        self,
+        *,
+        directory: Directory,
+        quarantine: Quarantine,
+        budget: Callable[[str], RetryWindow],
+        hosts: Callable[[], int],
+        rng: random.Random,
+    ) -> None:
+        self._directory = directory
+        self._quarantine = quarantine
+        self._budget = budget
+        self._hosts = hosts
+        self._rng = rng
+        self._delays: dict[tuple[str, str], FirstEventDelay] = defaultdict(
+            FirstEventDelay
+        )
+
+    def delay(self, service: str, model: str) -> FirstEventDelay:
+        """Return the learned delay of a model's first events beyond the prediction."""
+        return self._delays[(service, model)]
+
+    def select_by_reports(self, request: SlotRequest) -> Group | None:
+        """Select a group by load reports, which are some tenths of a second old.
+
+        Where other hosts may have sent many streams since, the choice is between a few
+        groups drawn at random, so that not all hosts pick the same one.
+        """
+        unreported = unreported_streams(
+            own_per_second=self._budget(request.service).first_sends_per_second,
+            hosts=self._hosts(),
+            age_seconds=self._directory.loads.load_age,
+            groups=self._directory.count_open_groups(request.service),
+        )
+        groups = self._groups(request)
+        if unreported < UNREPORTED_STREAMS:
+            candidates = list(self._candidates(request, groups))
+        else:
+            candidates = self._draw(request, groups, DRAWN_GROUPS)
+        return self._select(request, groups, candidates)
+
+    def select_exact(self, request: SlotRequest) -> Group | None:
+        """Select a group where the load of all hosts is known exactly."""
+        groups = self._groups(request)
+        return self._select(
+            request, groups, self._draw(request, groups, DRAWN_GROUPS_EXACT)
+        )
+
+    def hold_seconds(self, profile: EngineProfile, model: ModelSpec) -> float:
+        """Return the typical time for which a stream holds its slot, in seconds."""
+        load = GroupLoad(running=profile.slots)
+        passes = profile.typical_answer_tokens / max(1, profile.stride)
+        return max(MIN_HOLD_SECONDS, passes * pass_seconds(profile, model, load))
+
+    def _groups(self, request: SlotRequest) -> list[Group]:
+        groups = self._directory.serving_groups(request.service, request.model.name)
+        return [g for g in groups if g.name not in request.avoided]
+
+    def _select(
+        self, request: SlotRequest, groups: list[Group], candidates: list[Candidate]
+    ) -> Group | None:
+        chosen = choose_group(
+            request.profile,
+            request.model,
+            candidates,
+            prompt_tokens=request.prompt_tokens,
+            limit_seconds=FIRST_EVENT_SHARE * request.objective,
+            delay_seconds=self.delay(request.service, request.model.name).typical,
+        )
+        if chosen is None:
+            return None
+        return next(group for group in groups if _key_of(group) == chosen.key)
+
+    def _draw(
+        self, request: SlotRequest, groups: list[Group], limit: int
+    ) -> list[Candidate]:
+        """Return up to `limit` groups with a free slot, drawn at random."""
+        shuffled = self._rng.sample(groups, len(groups))
+        # Groups whose head process has ended come last.
+        shuffled.sort(key=self._has_ended)
+        return draw_candidates(
+            request.profile,
+            request.model,
+            self._candidates(request, shuffled),
+            prompt_tokens=request.prompt_tokens,
+            limit_seconds=FIRST_EVENT_SHARE * request.objective,
+            count=limit,
+        )
+
+    def _candidates(
+        self, request: SlotRequest, groups: list[Group]
+    ) -> Iterator[Candidate]:
+        for group in groups:
+            yield Candidate(
+                key=_key_of(group),
+                load=self._directory.loads.load_of(group, request.profile),
+                is_leaving=group.is_leaving,
+                has_ended=self._has_ended(group),
+            )
+
+    def _has_ended(self, group: Group) -> bool:
+        head = group.head
+        return head is not None and self._quarantine.has_ended(head.process)
+
+
+def _key_of(group: Group) -> str:
+    return f"{group.name}/{group.epoch}"
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -1,4 +1,4 @@
-"""Find out which targets live, by asking them."""
+"""Probe targets directly to find out which ones are alive."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -10,31 +10,31 @@
 from mallowpond.node.call_gate import CallGate
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.directory import Directory
-from mallowpond.node.intake import Intake
+from mallowpond.node.indirect_probe import IndirectProbe
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import EngineReport, Targets
-from mallowpond.node.second_opinion import SecondOpinion
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.node.target_availability import TargetAvailability
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.observer_doubt import ObserverDoubt
+from mallowpond.state.observer_health import ObserverHealth
 from mallowpond.state.order_book import OrderBook
-from mallowpond.state.processes import PresentProcesses
+from mallowpond.state.processes import CurrentProcesses
 
 log = structlog.get_logger()
 
-# Pause between two probes of a target that did not answer, in seconds.
-PROBE_SECONDS = 2.0
-# Probes in a row that must fail before a target counts as lost.
-PROBES = 2
-# Pause between two probes of a member that the list has lost, in seconds.
-LAPSE_PROBE_SECONDS = 1.0
-# Probes in a row that find a target unhealthy before it counts as leaving: a head
-# whose slots are full refuses a probe as it refuses a request.
-UNHEALTHY_PROBES = 2
+# Interval between two probes of a target that did not answer, in seconds.
+PROBE_INTERVAL_SECONDS = 2.0
+# Consecutive requests without an answer after which a target counts as lost.
+PROBE_ATTEMPTS = 2
+# Interval between two probes of a group member whose list entry lapsed, in seconds.
+LAPSED_PROBE_INTERVAL_SECONDS = 1.0
+# Consecutive failed health checks after which a target counts as leaving. One is not
+# enough: a head whose slots are all taken refuses a health check like a request.
+UNHEALTHY_THRESHOLD = 2
 
 
 class TargetProbes:
-    """Remember which targets do not answer, and which leave unannounced."""
+    """Probes targets, and tracks those that are lost or stop without announcing it."""
 
     def __init__(
         self,
@@ -43,12 +43,12 @@
         directory: Directory,
         targets: Targets,
         peers: PeerNetwork,
-        processes: PresentProcesses,
+        processes: CurrentProcesses,
         book: OrderBook,
         clock: Clock,
         gate: CallGate,
-        intake: Intake,
-        may_learn: Callable[[Target], bool],
+        availability: TargetAvailability,
+        is_report_current: Callable[[Target], bool],
         spawn: Callable[[Coroutine[Any, Any, Any]], None],
     ) -> None:
         self._configuration = configuration
@@ -59,101 +59,115 @@
         self._book = book
         self._clock = clock
         self._gate = gate
-        self._intake = intake
-        self._may_learn = may_learn
+        self._availability = availability
+        self._is_report_current = is_report_current
         self._spawn = spawn
-        # What is known of a process ends with it: kept by the id, a target that has
-        # just started again would count as dead, or share the answer of the earlier.
-        self._lost: dict[Process, float] = {}
-        self._replaced: dict[Process, float] = {}
-        self._asking: dict[Process, asyncio.Task[bool]] = {}
-        self._lapse_probed: dict[Process, float] = {}
-        self._unhealthy: dict[Process, int] = {}
-        self._doubt = ObserverDoubt()
-        self._others = SecondOpinion(peers=peers, look=self._look, spawn=spawn)
+        # Keyed by process, not by target id: a target that has just restarted would
+        # otherwise count as lost, or share the answer of its earlier process.
+        self._lost: dict[Process, float] = {}  # time of the last failed probe
+        self._replaced: dict[Process, float] = {}  # time of the refused order
+        self._running_probes: dict[Process, asyncio.Task[bool]] = {}
+        self._lapsed_probed_at: dict[Process, float] = {}
+        self._unhealthy: dict[Process, int] = {}  # consecutive failed health checks
+        self._observer_health = ObserverHealth()
+        self._indirect_probe = IndirectProbe(
+            peers=peers, probe=self._probe_for_peer, spawn=spawn
+        )
 
     @property
     def lost(self) -> frozenset[str]:
-        """Return the targets that do not answer, or at whose address another does."""
+        """Return the ids of targets that do not answer or were replaced by another."""
         return frozenset(process.id for process in (*self._lost, *self._replaced))
 
     def is_leaving(self, target: Target) -> bool:
-        """Tell whether a target is about to stop although the list does not say so."""
-        if self._intake.is_leaving(target):
+        """Return whether a target is about to stop although it is not listed so."""
+        if self._availability.is_leaving(target):
             return True
         unhealthy = self._unhealthy.get(target.process, 0)
-        return target.lapsed and unhealthy >= UNHEALTHY_PROBES
+        return target.lapsed and unhealthy >= UNHEALTHY_THRESHOLD
 
     def reset(self) -> None:
-        """Forget what an earlier planner's time taught."""
+        """Drop the findings of this node's earlier term as planner."""
         self._lost.clear()
         self._replaced.clear()
-        self._lapse_probed.clear()
+        self._lapsed_probed_at.clear()
         self._unhealthy.clear()
 
-    def look(self) -> None:
-        """Probe again what is due: lost targets, and those the list has lost."""
+    def probe_due(self) -> None:
+        """Start the probes of lost targets and lapsed group members that are due."""
         now = self._clock.now()
         targets = self._directory.targets
         listed = {target.process: target for target in targets.values()}
-        for known in (self._lost, self._replaced, self._lapse_probed, self._unhealthy):
+        for known in (
+            self._lost,
+            self._replaced,
+            self._lapsed_probed_at,
+            self._unhealthy,
+        ):
             for process in [p for p in known if p not in listed]:
                 del known[process]
-        # What the list still shows by then is written anew, so the word was wrong.
+        # An entry that is still listed by then was written again by the process, so
+        # the report of its replacement was wrong.
         for process, at in list(self._replaced.items()):
-            if now - at > STILL_WRITTEN_SECONDS:
+            if now - at > STALE_ENTRY_SECONDS:
                 del self._replaced[process]
         for target in list(targets.values()):
             if target.lapsed and target.membership is not None:
-                self._look_at_lapsed(target, now)
+                self._check_lapsed(target, now)
         for process, at in self._lost.items():
-            if now - at > PROBE_SECONDS and process not in self._asking:
+            if (
+                now - at > PROBE_INTERVAL_SECONDS
+                and process not in self._running_probes
+            ):
                 self._spawn(self.probe(listed[process]))
 
-    def investigate(self, target: Target) -> None:
-        """Probe a target that did not answer an order or a question."""
+    def start_probe(self, target: Target) -> None:
+        """Start a probe of a target that did not answer, if none is running."""
         process = target.process
-        if process not in self._asking and process not in self._lost:
+        if process not in self._running_probes and process not in self._lost:
             self._spawn(self.probe(target))
 
-    def note_replaced(self, target: Target) -> None:
-        """Note that another engine refused what was meant for this one.
+    def mark_replaced(self, target: Target) -> None:
+        """Record that another process at a target's address refused its order.
 
-        Its report would be no news of this one, and looks like a late one of it: a
-        formation waited three seconds for a member that was gone.
+        A probe cannot show this: the report of the other process looks like an outdated
+        one of the target. A formation waited three seconds for a member that was gone.
         """
         if target.process not in self._replaced:
             log.warning("planner: target lost", target=target.id, reason="replaced")
         self._replaced[target.process] = self._clock.now()
 
     async def probe(self, target: Target) -> bool:
-        """Ask whether a process lives; whoever asks meanwhile shares the answer."""
+        """Return whether the target's listed process answers.
+
+        Concurrent callers share one probe.
+        """
         process = target.process
-        running = self._asking.get(process)
+        running = self._running_probes.get(process)
         if running is None:
-            running = asyncio.ensure_future(self._ask(target))
-            self._asking[process] = running
-            running.add_done_callback(lambda _: self._asking.pop(process, None))
+            running = asyncio.ensure_future(self._probe(target))
+            self._running_probes[process] = running
+            running.add_done_callback(lambda _: self._running_probes.pop(process, None))
         return await asyncio.shield(running)
 
-    async def report(self, target: Target) -> EngineReport | Unavailable:
-        """Ask a target what it holds, and note which of its processes answers."""
-        async with self._gate.turn():
-            return await self._report(target)
+    async def fetch_report(self, target: Target) -> EngineReport | Unavailable:
+        """Fetch a target's report and record which process answered."""
+        async with self._gate.admit():
+            return await self._fetch_report(target)
 
-    async def _report(self, target: Target) -> EngineReport | Unavailable:
-        asked_at = self._clock.now()
+    async def _fetch_report(self, target: Target) -> EngineReport | Unavailable:
+        sent_at = self._clock.now()
         report = await self._targets.report(target)
-        self._gate.note(answered=not isinstance(report, Unavailable))
+        self._gate.record_result(answered=not isinstance(report, Unavailable))
         if isinstance(report, Unavailable):
             return report
-        self._processes.hear(
+        self._processes.record_answer(
             asked=target,
             answered=report.target,
-            asked_at=asked_at,
-            shows_orders=self._may_learn(report.target),
+            asked_at=sent_at,
+            shows_orders=self._is_report_current(report.target),
         )
-        self._book.note_seen(report.target, report.orders)
+        self._book.raise_min_count(report.target, report.orders)
         if report.target.process != target.process:
             log.info(
                 "planner: another process answered",
@@ -163,15 +177,15 @@
             )
         return report
 
-    async def _ask(self, target: Target) -> bool:
+    async def _probe(self, target: Target) -> bool:
         reason = ""
-        for _ in range(PROBES):
-            report = await self.report(target)
+        for _ in range(PROBE_ATTEMPTS):
+            report = await self.fetch_report(target)
             if isinstance(report, Unavailable):
                 reason = report.reason
                 continue
-            if self._may_learn(report.target):
-                self._directory.learn(report.target)
+            if self._is_report_current(report.target):
+                self._directory.apply_report(report.target)
             if self._lost.pop(target.process, None) is not None:
                 log.info("planner: target regained", target=target.id)
             return report.target.process == target.process
@@ -186,62 +200,65 @@
         return False
 
     async def _is_confirmed_silent(self, target: Target) -> bool:
-        """Tell whether a target's silence is its own, not this host's.
+        """Return whether a target's silence is not caused by this host.
 
-        Where so many fall silent that this host doubts itself, another one must find
-        the same; without any that can tell, its own finding counts.
+        When so many targets are silent that this host itself may be at fault, another
+        host probes the target indirectly. If none can answer, the silence counts.
         """
         now = self._clock.now()
-        self._doubt.note_silent(target.id, target.domain, now)
-        if not self._doubt.is_doubtful(now):
+        self._observer_health.record_silence(target.id, target.domain, now)
+        if not self._observer_health.is_suspect(now):
             return True
-        if not await self._others.sees(target.id):
+        if not await self._indirect_probe.sees(target.id):
             return True
         log.warning("planner: target seen by another host", target=target.id)
         return False
 
-    async def _look(self, identifier: str) -> bool | None:
-        """Tell another host whether a target answers here, None if it is not known."""
+    async def _probe_for_peer(self, identifier: str) -> bool | None:
+        """Probe a target for another host; return None if it is not listed here."""
         target = self._directory.targets.get(identifier)
         if target is None:
             return None
-        for _ in range(PROBES):
-            if not isinstance(await self.report(target), Unavailable):
+        for _ in range(PROBE_ATTEMPTS):
+            if not isinstance(await self.fetch_report(target), Unavailable):
                 return True
         return False
 
-    def _look_at_lapsed(self, target: Target, now: float) -> None:
+    def _check_lapsed(self, target: Target, now: float) -> None:
         if target.process in self._lost:
-            self._directory.forget(target.id)
-        elif now - self._lapse_probed.get(target.process, 0.0) > LAPSE_PROBE_SECONDS:
-            self._lapse_probed[target.process] = now
+            self._directory.drop_lapsed(target.id)
+        elif (
+            now - self._lapsed_probed_at.get(target.process, 0.0)
+            > LAPSED_PROBE_INTERVAL_SECONDS
+        ):
+            self._lapsed_probed_at[target.process] = now
             self._spawn(self._probe_lapsed(target))
 
     async def _probe_lapsed(self, target: Target) -> None:
-        """Tell a target that is cut off from the list from one that leaves."""
+        """Check the health of a lapsed target, which may be cut off or stopping."""
         configuration = self._configuration.configuration
         service = configuration and configuration.services.get(target.service)
-        if not service or not self._intake.may_send(target):
+        if not service or not self._availability.can_send(target):
             return
-        async with self._gate.turn():
-            # It takes a slot as a request does.
-            self._intake.note_sent(target)
+        async with self._gate.admit():
+            # A health check takes up a slot like a request.
+            self._availability.record_sent(target)
             healthy = await self._targets.is_healthy(target, service.health_path)
         if isinstance(healthy, Unavailable):
             await self.probe(target)
             return
         if healthy:
             self._unhealthy.pop(target.process, None)
-            # A target that started again is healthy too, yet its group is over: its
-            # streams would be turned away for as long as it was vouched for.
+            # A restarted target is healthy too, but it has lost its group: it would
+            # refuse every stream sent to it while it is recorded as healthy.
             if not await self.probe(target):
                 return
-            if self._processes.present(target).place != target.place:
+            if self._processes.current(target).group_key != target.group_key:
                 return
-            self._directory.vouch(target.id)
-            self._peers.tell_vouch(target.id)
+            self._directory.record_healthy(target.id)
+            self._peers.broadcast_target_healthy(target.id)
             return
         times = self._unhealthy.get(target.process, 0) + 1
         self._unhealthy[target.process] = times
-        if times == UNHEALTHY_PROBES:
+        if times == UNHEALTHY_THRESHOLD:
             log.info("planner: target leaves unannounced", target=target.id)
--- a/mallowpond/node/tests/test_watch.py
+++ b/mallowpond/node/tests/test_watch.py
@@ -14,12 +14,12 @@
     FakeResponse,
     answer,
     event,
+    make_rig,
     member,
     misdirected,
-    rig_of,
 )
-from mallowpond.node.watch import SLOW_EVENTS, GroupWatch
-from mallowpond.state.first_event import LEAST_SAMPLES
+from mallowpond.node.watch import MIN_PACE_EVENTS, GroupWatch
+from mallowpond.state.first_event import MIN_SAMPLES
 from mallowpond.state.fleet import BreakCause, Process
 
 STALL_SECONDS = 4.0
@@ -32,26 +32,26 @@
         self.told = []
         self.asked = []
         self.on_suspicion = []
-        self.on_question = []
+        self.on_silence_question = []
         self.on_advance = []
         self.on_group_broken = []
 
-    def ask_about(self, key, silent):
+    def ask_group_progress(self, key, silent):
         """Remember a question."""
         self.asked.append(key)
 
-    def tell_broken(self, group, cause):
+    def broadcast_group_broken(self, group, cause):
         """Remember a message."""
         self.told.append((group.key, cause))
 
-    def tell_suspicion(self, key, *, cleared=False, closing=False):
+    def broadcast_suspicion(self, key, *, cleared=False, closing=False):
         """Remember a message."""
         self.told.append(key)
 
 
 async def watched(*groups):
     """Build a rig with a watch, and one stream that got its first event from `a`."""
-    rig = await rig_of(*groups)
+    rig = await make_rig(*groups)
     peers = FakePeers()
     watch = GroupWatch(
         streams=rig.service,
@@ -75,14 +75,14 @@
     """Let time pass in steps as short as the watch's own."""
     for _ in range(round(seconds / 0.02)):
         rig.clock.time += 0.02
-        watch.look()
+        watch.check()
 
 
 def learn_delay(rig, stream, seconds):
     """Let first events of the stream's model come so much later than predicted."""
-    delay = rig.service.placing.delay(stream.work.service, stream.work.model.name)
-    for _ in range(LEAST_SAMPLES):
-        delay.note(observed=seconds, predicted=0.0)
+    delay = rig.service.placement.delay(stream.work.service, stream.work.model.name)
+    for _ in range(MIN_SAMPLES):
+        delay.record(observed=seconds, predicted=0.0)
 
 
 async def end(task):
@@ -96,7 +96,7 @@
     let_pass(rig, watch, 0.3)
     assert await task == Answered(status=200, target="b0")
     assert exchange.body == event(1).data + event(2).data
-    assert peers.told == [("a", 1)]
+    assert peers.broadcasts == [("a", 1)]
     names = {g.name for g in rig.directory.serving_groups("engines", "m")}
     assert names == {"b"}
 
@@ -113,28 +113,28 @@
     (stream,) = rig.service.active
     stream.events = 0
     rig.clock.time += 0.02
-    while not peers.asked:
+    while not peers.queried_groups:
         let_pass(rig, watch, 0.02)
     (note,) = peers.on_advance
     note(("a", 1))
     let_pass(rig, watch, 0.04)
-    assert peers.told == []
+    assert peers.broadcasts == []
     assert not task.done()
     await end(task)
 
 
 async def test_a_group_that_died_after_an_answer_is_asked_about_again():
     rig, watch, peers, task, _ = await watched("a", "b")
-    while not peers.asked:
+    while not peers.queried_groups:
         let_pass(rig, watch, 0.02)
     (note,) = peers.on_advance
     note(("a", 1))
     (stream,) = rig.service.active
     stream.events = 0
     learn_delay(rig, stream, 0.0)
-    asked = len(peers.asked)
+    asked = len(peers.queried_groups)
     let_pass(rig, watch, 0.12)
-    assert len(peers.asked) > asked
+    assert len(peers.queried_groups) > asked
     assert await task == Answered(status=200, target="b0")
 
 
@@ -146,11 +146,11 @@
     Cause: the old question counted as unanswered.
     """
     rig, watch, peers, task, _ = await watched("a", "b")
-    while not peers.asked:
+    while not peers.queried_groups:
         let_pass(rig, watch, 0.02)
     await end(task)
     let_pass(rig, watch, 0.04)
-    assert watch._doubts == {}
+    assert watch._queries == {}
 
 
 async def test_a_host_leaves_a_group_that_only_others_can_reach():
@@ -165,14 +165,14 @@
         let_pass(rig, watch, 0.02)
         note(("a", 1))
     (stream,) = rig.service.active
-    assert stream.moved is Reason.SILENT_GROUP
+    assert stream.move_reason is Reason.SILENT_GROUP
     assert await task == Answered(status=200, target="b0")
-    assert peers.told == []
+    assert peers.broadcasts == []
 
 
 async def test_a_host_tells_of_an_event_that_it_saw_since():
     rig, watch, peers, task, _ = await watched("a", "b")
-    (asked,) = peers.on_question
+    (asked,) = peers.on_silence_question
     rig.clock.time += 0.1
     assert asked(SilenceQuestion(node="n", group="a", epoch=1, silent=0.3))
     assert not asked(SilenceQuestion(node="n", group="a", epoch=1, silent=0.1))
@@ -188,12 +188,12 @@
     """
     rig, watch, peers, task, _ = await watched("a", "b")
     (stream,) = rig.service.active
-    stream.events = SLOW_EVENTS
+    stream.events = MIN_PACE_EVENTS
     rig.directory.loads.work(("a", 1)).slowness = 12.0
     rig.clock.time += 0.02
-    watch.look()
-    assert peers.told == []
-    assert stream.moved is Reason.SLOW_TARGET
+    watch.check()
+    assert peers.broadcasts == []
+    assert stream.move_reason is Reason.SLOW_TARGET
     assert await task == Answered(status=200, target="b0")
 
 
@@ -205,8 +205,8 @@
     """
     rig, watch, peers, task, _ = await watched("a", "b")
     rig.clock.time += 2.0
-    watch.look()
-    assert peers.told == []
+    watch.check()
+    assert peers.broadcasts == []
     await end(task)
 
 
@@ -231,7 +231,7 @@
     names = {g.name for g in rig.directory.serving_groups("engines", "m")}
     assert names == {"b"}
     (stream,) = rig.service.active
-    assert stream.moved is None
+    assert stream.move_reason is None
     await end(task)
 
 
@@ -251,9 +251,9 @@
     (stream,) = rig.service.active
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert outcome == Answered(status=200, target="b0")
-    assert stream.moved is Reason.SILENT_GROUP
+    assert stream.move_reason is Reason.SILENT_GROUP
     assert await task == Answered(status=200, target="b0")
-    assert peers.told == [(("a", 1), BreakCause.REFUSED)]
+    assert peers.broadcasts == [(("a", 1), BreakCause.REFUSED)]
 
 
 async def test_streams_that_advance_end_where_they_are_when_a_head_refuses():
@@ -269,7 +269,7 @@
     (stream,) = rig.service.active
     await rig.service.serve(rig.work(FakeExchange()))
     assert rig.directory.is_broken(("a", 1))
-    assert stream.moved is None
+    assert stream.move_reason is None
     await end(task)
 
 
@@ -288,7 +288,7 @@
     hear(GroupBroken(group="b", head=Process(id="b0", born=0), **told))
     names = {g.name for g in rig.directory.serving_groups("engines", "m")}
     assert names == {"a"}
-    assert peers.told == []
+    assert peers.broadcasts == []
     await end(task)
 
 
@@ -305,21 +305,21 @@
     (stream,) = rig.service.active
     anew = member("a1", "a", 1, born=1)
     anew = replace(anew, membership=None)
-    rig.directory.hear_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
-    assert stream.moved is Reason.RESTARTED
-    assert peers.told == []
+    rig.directory.apply_change(TargetsRead(revision=2, targets=(anew,)), previous=1)
+    assert stream.move_reason is Reason.RESTARTED
+    assert peers.broadcasts == []
     for _ in range(9):
         await asyncio.sleep(0)
     assert not task.done()
     rig.directory.loads.work(("b", 1)).running = 0
-    rig.service.placing.wake_all()
+    rig.service.placement.wake_all()
     assert await task == Answered(status=200, target="b0")
 
 
 async def test_peers_are_told_of_a_restart_that_the_list_does_not_show():
     rig, watch, peers, task, _ = await watched("a", "b")
-    rig.directory.learn(replace(member("a1", "a", 1, born=1), membership=None))
-    assert peers.told == [(("a", 1), BreakCause.RESTARTED)]
+    rig.directory.apply_report(replace(member("a1", "a", 1, born=1), membership=None))
+    assert peers.broadcasts == [(("a", 1), BreakCause.RESTARTED)]
     assert await task == Answered(status=200, target="b0")
 
 
@@ -332,8 +332,8 @@
     rig, watch, peers, task, _ = await watched("a", "b")
     (stream,) = rig.service.active
     stream.work.route = replace(stream.work.route, resumable=False)
-    rig.directory.learn(replace(member("a0", "a", 0, born=1), membership=None))
-    assert stream.moved is None
+    rig.directory.apply_report(replace(member("a0", "a", 0, born=1), membership=None))
+    assert stream.move_reason is None
     await end(task)
 
 
@@ -348,7 +348,7 @@
     """
     rig, watch, peers, task, exchange = await watched("a", "b")
     for group in "ab":
-        watch._mark((group, 1))
+        watch._exclude_suspected((group, 1))
     (stream,) = rig.service.active
     stream.move(Reason.SILENT_GROUP)
     for _ in range(10):
@@ -376,7 +376,7 @@
     stream.events = 0
     learn_delay(rig, stream, 0.4)
     let_pass(rig, watch, 0.3)
-    assert stream.moved is None
+    assert stream.move_reason is None
     let_pass(rig, watch, 0.3)
-    assert stream.moved is Reason.SILENT_GROUP
+    assert stream.move_reason is Reason.SILENT_GROUP
     await end(task)
