--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -165,19 +165,19 @@
             for group in self._groups.values()
         )
 
-    def suspend_group(self, key: GroupKey, until: float) -> None:
+    def exclude_group(self, key: GroupKey, until: float) -> None:
         """Send a group no new streams until a time."""
         work = self.loads.work(key)
         work.excluded_until = max(work.excluded_until, until)
         self._resume_at = min(self._resume_at, work.excluded_until)
 
-    def resume_group(self, key: GroupKey) -> None:
+    def readmit_group(self, key: GroupKey) -> None:
         """Send a group new streams again that was withheld."""
         work, now = self.loads.work(key), self._clock.now()
         work.excluded_until = min(work.excluded_until, now)
         self._resume_at = min(self._resume_at, now)
 
-    def consume_resumed(self) -> bool:
+    def consume_readmitted(self) -> bool:
         """Tell whether a group may get streams again since this was last asked.
 
         Nothing else tells those that wait: without it, streams that a suspicion had
