--- a/mallowpond/coordination/tasks.py
+++ b/mallowpond/coordination/tasks.py
@@ -11,7 +11,7 @@
     await asyncio.gather(task, return_exceptions=True)
 
 
-async def sleep_until_news(clock: Clock, seconds: float, news: asyncio.Event) -> None:
+async def sleep_until_event(clock: Clock, seconds: float, news: asyncio.Event) -> None:
     """Sleep for a time, or until there is news before that."""
     sleep = asyncio.ensure_future(clock.sleep(seconds))
     heard = asyncio.ensure_future(news.wait())
--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -6,7 +6,7 @@
 import structlog
 
 from mallowpond.coordination.ports import Clock, Unavailable
-from mallowpond.coordination.tasks import sleep_until_news
+from mallowpond.coordination.tasks import sleep_until_event
 from mallowpond.node.ports import ConfigurationRead, HistoryLost, SiteSource
 from mallowpond.state.confirmation import Confirmation, may_admit, merge_confirmation
 from mallowpond.state.site_configuration import SiteConfiguration
@@ -150,7 +150,7 @@
 
     async def _pause(self, seconds: float, news: asyncio.Event) -> None:
         """Wait for the next question, or until there is news to ask about."""
-        await sleep_until_news(self._clock, seconds, news)
+        await sleep_until_event(self._clock, seconds, news)
 
     def handle_store_reachable(self) -> None:
         """Note that another host reaches the store, which was away for all."""
