--- a/mallowpond/coordination/claims.py
+++ b/mallowpond/coordination/claims.py
@@ -15,7 +15,7 @@
     Transaction,
     Unavailable,
 )
-from mallowpond.coordination.store import commit_settled
+from mallowpond.coordination.store import commit_and_resolve
 from mallowpond.state.claims import (
     AlreadyRun,
     Granted,
@@ -237,7 +237,7 @@
             puts=tuple(Put(key=k, value=to_plain(r)) for k, r in group.rows.items()),
         )
         self._on_transaction()
-        match await commit_settled(self._table, change):
+        match await commit_and_resolve(self._table, change):
             case Committed():
                 for waiting, result in group.pending:
                     _answer(waiting, result)
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -22,7 +22,7 @@
 from mallowpond.coordination.store import (
     TableView,
     TypedPut,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
 from mallowpond.state.assurance import (
@@ -172,7 +172,7 @@
         put = TypedPut(key=SHARED + PROPOSAL, value=proposal, expect=0)
         check = Check(key=SHARED + HEAD, version=head.version if head else 0)
         change = transaction(proposal.proposal, put, checks=(check,))
-        match await commit_settled(self._table, change):
+        match await commit_and_resolve(self._table, change):
             case Committed():
                 return Proposed(version=proposal.version, proposal=proposal.proposal)
             case Conflict():
--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -13,7 +13,7 @@
     TableService,
     Transaction,
 )
-from mallowpond.coordination.store import TableView, Versioned, commit_settled
+from mallowpond.coordination.store import TableView, Versioned, commit_and_resolve
 from mallowpond.state.codec import to_plain
 from mallowpond.state.rows import (
     GroupMember,
@@ -174,6 +174,6 @@
             puts=tuple(Put(key=key, value=to_plain(row)) for key, row in rows),
             deletes=deletes,
         )
-        outcome = await commit_settled(self._table, change)
+        outcome = await commit_and_resolve(self._table, change)
         await self._shared.refresh()
         return isinstance(outcome, Committed)
--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -10,7 +10,7 @@
     TableView,
     TypedPut,
     Versioned,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
 from mallowpond.state.lease import HeldLease
@@ -100,5 +100,5 @@
     async def _put(self, lease: LeaseRow, row: Versioned[LeaseRow] | None) -> None:
         expect = row.version if row else 0
         put = TypedPut(key=self.key, value=lease, expect=expect)
-        await commit_settled(self._table, transaction(self._draw_id(), put))
+        await commit_and_resolve(self._table, transaction(self._draw_id(), put))
         await self._shared.refresh()
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -22,7 +22,7 @@
     TableView,
     TypedPut,
     Versioned,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
 from mallowpond.state.lease import ExpiryWatch
@@ -187,7 +187,7 @@
             return Heartbeat.REPLACED
         row = self._row(applied, prepared, gateways)
         change = self._renewal(row, held)
-        outcome = await commit_settled(self._table, change)
+        outcome = await commit_and_resolve(self._table, change)
         match outcome:
             case Committed():
                 self._renewed_at = asked_at
--- a/mallowpond/coordination/quotas.py
+++ b/mallowpond/coordination/quotas.py
@@ -6,7 +6,7 @@
 
 from mallowpond.coordination.keys import quota_key
 from mallowpond.coordination.ports import Committed, TableService, Unavailable
-from mallowpond.coordination.store import TypedPut, commit_settled, transaction
+from mallowpond.coordination.store import TypedPut, commit_and_resolve, transaction
 from mallowpond.state.codec import from_plain
 from mallowpond.state.quota import grantable_units
 from mallowpond.state.rows import QuotaRow
@@ -69,7 +69,7 @@
             new = QuotaRow(workspace=workspace, period=period, leased=leased + units)
             put = TypedPut(key=key, value=new, expect=row.version if row else 0)
             change = transaction(self._draw_id(), put)
-            if isinstance(await commit_settled(self._table, change), Committed):
+            if isinstance(await commit_and_resolve(self._table, change), Committed):
                 return Leased(period=period, units=units, period_left=left)
         # An unknown commit may have taken effect: its units are forfeited, not spent.
         return LeaseFailed(reason="too many conflicts")
--- a/mallowpond/coordination/store.py
+++ b/mallowpond/coordination/store.py
@@ -57,7 +57,7 @@
     )
 
 
-async def commit_settled(table: TableService, change: Transaction) -> CommitOutcome:
+async def commit_and_resolve(table: TableService, change: Transaction) -> CommitOutcome:
     """Commit, and settle an unknown outcome by reading one of the rows written.
 
     The answer of a commit can be lost after the change took effect; one notices it
