--- a/mallowpond/controller/quarantine.py
+++ b/mallowpond/controller/quarantine.py
@@ -86,7 +86,7 @@
 
     async def step(self) -> None:
         """Take the rows that changed, write what is reported, drop what is over."""
-        rows = self._shared.below(QUARANTINE, QuarantineRow)
+        rows = self._shared.with_prefix(QUARANTINE, QuarantineRow)
         for request, row in rows.items():
             if self._versions.get(request) != row.version:
                 self._versions[request] = row.version
--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -104,7 +104,7 @@
         return rows
 
     def _host_rows(self) -> list[Cells]:
-        bound = self._shared.below(HOSTS, HostRow)
+        bound = self._shared.with_prefix(HOSTS, HostRow)
         tainted = self._groups.tainted
         drained = self._configuration.applied.declaration.drained_hosts
         rows = []
@@ -147,7 +147,7 @@
 
     def _order_rows(self) -> list[Cells]:
         rows = []
-        for name, row in self._shared.below(HOSTS, HostRow).items():
+        for name, row in self._shared.with_prefix(HOSTS, HostRow).items():
             one = row.value
             cells = (
                 name,
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -121,7 +121,9 @@
 
     def history(self) -> list[VersionRow]:
         """Return the accepted versions, latest first."""
-        rows = [v.value for v in self._shared.below(VERSIONS, VersionRow).values()]
+        rows = [
+            v.value for v in self._shared.with_prefix(VERSIONS, VersionRow).values()
+        ]
         return sorted(rows, key=lambda r: -r.version)
 
     def assurance(self) -> Assured | NotAssured:
@@ -196,7 +198,7 @@
             return
         now = self._clock.now()
         opened = self._first_seen.setdefault(row.value.proposal, now)
-        cells = self._shared.below(CELLS, CellRow)
+        cells = self._shared.with_prefix(CELLS, CellRow)
         decision = decide_proposal(
             proposal=row.value,
             cells=tuple(c.value for c in cells.values()),
@@ -212,7 +214,7 @@
 
     async def _accept(self, proposal: ProposalRow, row_version: int) -> None:
         head = self._shared.get(HEAD, HeadRow)
-        cells = self._shared.below(CELLS, CellRow)
+        cells = self._shared.with_prefix(CELLS, CellRow)
         checks = [
             Check(key=SHARED + HEAD, version=head.version if head else 0),
             Check(key=SHARED + PROPOSAL, version=row_version),
--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -49,11 +49,11 @@
 
     def groups(self) -> dict[str, Versioned[GroupRow]]:
         """Return the groups as last read."""
-        return self._shared.below(GROUPS, GroupRow)
+        return self._shared.with_prefix(GROUPS, GroupRow)
 
     def hosts(self) -> dict[str, Versioned[HostRow]]:
         """Return the rows of hosts as last read."""
-        return self._shared.below(HOSTS, HostRow)
+        return self._shared.with_prefix(HOSTS, HostRow)
 
     async def start_group(
         self,
