--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -114,7 +114,7 @@
 
     def members(self) -> dict[str, MemberRow]:
         """Return every member row of the cell as last read."""
-        rows = self._cell_view.below(MEMBERS, MemberRow)
+        rows = self._cell_view.with_prefix(MEMBERS, MemberRow)
         return {name: row.value for name, row in rows.items()}
 
     def live(self) -> dict[str, MemberRow]:
@@ -168,7 +168,7 @@
                 self._watch.postpone(dark)
                 self._gone_watch.postpone(dark)
         self._last_read_at = now
-        beats = self._cell_view.below(BEATS, HeartbeatRow)
+        beats = self._cell_view.with_prefix(BEATS, HeartbeatRow)
         for name, member in self.members().items():
             key = (name, member.incarnation)
             beat = beats[name].value.n if name in beats else 0
