--- a/mallowpond/coordination/store.py
+++ b/mallowpond/coordination/store.py
@@ -109,7 +109,7 @@
         row = self.rows.get(self.prefix + key)
         return None if row is None else self._as(row, kind)
 
-    def below(self, prefix: str, kind: type[T]) -> dict[str, Versioned[T]]:
+    def with_prefix(self, prefix: str, kind: type[T]) -> dict[str, Versioned[T]]:
         """Return the rows below a prefix, typed, by the rest of their key."""
         start = self.prefix + prefix
         return {
