--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -13,7 +13,7 @@
     TableService,
     Transaction,
 )
-from mallowpond.coordination.store import TableView, Versioned, commit_settled
+from mallowpond.coordination.store import TableView, Versioned, commit_and_resolve
 from mallowpond.state.codec import to_plain
 from mallowpond.state.rows import (
     GroupMember,
@@ -49,11 +49,11 @@
 
     def groups(self) -> dict[str, Versioned[GroupRow]]:
         """Return the groups as last read."""
-        return self._shared.below(GROUPS, GroupRow)
+        return self._shared.with_prefix(GROUPS, GroupRow)
 
     def hosts(self) -> dict[str, Versioned[HostRow]]:
         """Return the rows of hosts as last read."""
-        return self._shared.below(HOSTS, HostRow)
+        return self._shared.with_prefix(HOSTS, HostRow)
 
     async def start_group(
         self,
@@ -174,6 +174,6 @@
             puts=tuple(Put(key=key, value=to_plain(row)) for key, row in rows),
             deletes=deletes,
         )
-        outcome = await commit_settled(self._table, change)
+        outcome = await commit_and_resolve(self._table, change)
         await self._shared.refresh()
         return isinstance(outcome, Committed)
