--- a/mallowpond/node/configuration_sharing.py
+++ b/mallowpond/node/configuration_sharing.py
@@ -53,7 +53,7 @@
         peers.on_configuration_question.append(self._on_question)
 
     def _broadcast(self) -> None:
-        if self._readers.reads:
+        if self._readers.is_reader:
             for part in self._split():
                 self._fanout.broadcast(part)
 
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -194,7 +194,7 @@
         return max(planners, key=lambda p: p.heartbeat.planning, default=None)
 
     @property
-    def hosts(self) -> int:
+    def host_count(self) -> int:
         """Return the number of live nodes, this one included."""
         return 1 + len(self.live)
 
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -84,7 +84,7 @@
         self._directory = directory
         self._clock = clock
         self._is_stopping = is_stopping
-        self._reads = False
+        self._acts_as_reader = False
         self._turn = 0
         self._work_turn = 0
         self._last_sent_work: LoadsByGroup = {}
@@ -92,9 +92,9 @@
         # The last place that this host was given, which its work holds.
         self.grant_number: Callable[[], int] = lambda: 0
         self.after_digest: list[Callable[[], None]] = []
-        configuration.is_reader = lambda: self.reads
+        configuration.is_reader = lambda: self.is_reader
         configuration.ask_readers = self._ask_reader
-        directory.is_reader = lambda: self.reads
+        directory.is_reader = lambda: self.is_reader
         configuration.should_retry_often = lambda: self.should_retry_often
         directory.should_retry_often = lambda: self.should_retry_often
         directory.is_standby = lambda: self.is_standby
@@ -128,7 +128,7 @@
         return ranked_by_capacity(READERS_KEY, cores)
 
     @property
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Tell whether this host is to read the store."""
         names = self.names
         return not names or self._name in names
@@ -183,10 +183,10 @@
         candidates = self._ranked()[:CANDIDATE_COUNT]
         self._peers.is_candidate = self._name in candidates or self._is_planning()
         self._peers.candidates = frozenset(candidates) - {self._name}
-        if self.reads != self._reads:
-            self._reads = not self._reads
-            log.info("readers: changed", reads=self._reads, readers=self.names)
-        if not self._reads:
+        if self.is_reader != self._acts_as_reader:
+            self._acts_as_reader = not self._acts_as_reader
+            log.info("readers: changed", reads=self._acts_as_reader, readers=self.names)
+        if not self._acts_as_reader:
             if self._peers.is_large_fleet:
                 self._publish_work()
             return
@@ -245,7 +245,7 @@
     # -- the list of targets -------------------------------------------------
 
     def _broadcast_change(self, read: TargetsRead, previous: int) -> None:
-        if not self._reads:
+        if not self._acts_as_reader:
             return
         for change in self._split(read, previous):
             self._fanout.broadcast(change)
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -121,20 +121,20 @@
     assert decode_loads(heard[0]) == LOADS
     assert suspected == [suspicion]
     assert vouched == ["t"]
-    assert peers.hosts == 2
+    assert peers.host_count == 2
 
 
 def test_a_silent_peer_counts_no_more():
     peers, clock = network()
     peers.datagram_received(encode(beat()), SENDER)
     clock.time += GONE_SECONDS + 0.1
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 def test_a_nodes_own_message_is_no_peer():
     peers, _ = network()
     peers.datagram_received(encode(beat("a")), SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -142,7 +142,7 @@
 def test_no_datagram_makes_a_node_fail(data):
     peers, _ = network()
     peers.datagram_received(data, SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 async def test_nodes_find_one_another_through_their_rows():
@@ -333,7 +333,7 @@
     peers, taken = listening()
     peers.datagram_received(cbor2.dumps([name, plain]), SENDER)
     assert taken == []
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 @pytest.mark.parametrize(
@@ -358,21 +358,21 @@
 def test_a_peers_name_as_address_is_never_looked_up():
     peers, _ = network()
     peers.datagram_received(encode(replace(beat(), address="peer.example:9")), SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 @pytest.mark.parametrize("interval", [0.0, 1e6])
 def test_a_peer_cannot_be_silent_for_ever_and_count_as_alive(interval):
     peers, _ = network()
     peers.datagram_received(encode(beat(interval=interval)), SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 def test_a_listener_that_fails_does_not_end_the_listening():
     peers, _ = network()
     peers.on_heartbeat.append(lambda heartbeat: 1 / 0)
     peers.datagram_received(encode(beat()), SENDER)
-    assert peers.hosts == 2
+    assert peers.host_count == 2
 
 
 BAD_NODE_ROWS = [
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -124,7 +124,7 @@
     await host.configuration.step()
     host.source.listed.append(listing(*targets, revision=10))
     await host.directory.refresh()
-    while host.readers.reads:
+    while host.readers.is_reader:
         host.hear(beat(next(names)))
     host.hear(digest(last_change=10))
     return host
