--- a/bench/membership.py
+++ b/bench/membership.py
@@ -160,7 +160,7 @@
     rows = []
     for hosts in sizes:
         view = _view_of(hosts)
-        view.below(HOSTS, HostRow)
+        view.with_prefix(HOSTS, HostRow)
         look = best_seconds(lambda v=view: v.below(HOSTS, HostRow))
         answer = len(encode(_answer_at_rest()))
         changed = len(encode(_answer_at_rest(_groups_of(hosts // 8))))
