--- a/bench/membership.py
+++ b/bench/membership.py
@@ -161,7 +161,7 @@
     for hosts in sizes:
         view = _view_of(hosts)
         view.with_prefix(HOSTS, HostRow)
-        look = best_seconds(lambda v=view: v.below(HOSTS, HostRow))
+        look = best_seconds(lambda v=view: v.with_prefix(HOSTS, HostRow))
         answer = len(encode(_answer_at_rest()))
         changed = len(encode(_answer_at_rest(_groups_of(hosts // 8))))
         rows.append((hosts, look * 1e3, answer, changed))
