--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -25,9 +25,9 @@
 from mallowpond.coordination.keys import SHARED
 from mallowpond.coordination.leases import NamedLease
 from mallowpond.coordination.membership import (
-    Heartbeat,
     MemberIdentity,
     Membership,
+    RenewalResult,
 )
 from mallowpond.coordination.ports import Host, Ports, Unavailable
 from mallowpond.coordination.quotas import QuotaLeaser
@@ -272,7 +272,7 @@
             gateways=self._links.gateways,
         )
         self.metrics.heartbeats.labels(result=result.value).inc()
-        if result is Heartbeat.REPLACED:
+        if result is RenewalResult.REPLACED:
             log.error("controller: another process took this name, stopping")
             self.replaced.set()
             return
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -32,7 +32,7 @@
 GONE_AFTER_LEASES = 3.0
 
 
-class Heartbeat(str, Enum):
+class RenewalResult(str, Enum):
     """Say how a renewal of the member row ended."""
 
     RENEWED = "renewed"
@@ -178,13 +178,13 @@
 
     async def renew(
         self, *, applied: int, prepared: str, gateways: tuple[str, ...]
-    ) -> Heartbeat:
+    ) -> RenewalResult:
         """Write the own row; `prepared` is the proposal that is held."""
         asked_at = self._clock.now()
         self._advance_state(asked_at)
         held = self._cell_view.get(MEMBERS + self._identity.name, MemberRow)
         if self._is_replaced(held):
-            return Heartbeat.REPLACED
+            return RenewalResult.REPLACED
         row = self._row(applied, prepared, gateways)
         change = self._renewal(row, held)
         outcome = await commit_and_resolve(self._table, change)
@@ -192,12 +192,12 @@
             case Committed():
                 self._renewed_at = asked_at
                 self._joined_at = self._joined_at or asked_at
-                return Heartbeat.RENEWED
+                return RenewalResult.RENEWED
             case Conflict():
                 await self._cell_view.refresh()
-                return Heartbeat.FAILED
+                return RenewalResult.FAILED
             case _:
-                return Heartbeat.FAILED
+                return RenewalResult.FAILED
 
     async def leave(self, *, applied: int, prepared: str) -> None:
         """Mark the own row as leaving, so that others take over at once."""
