--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -283,7 +283,7 @@
     def _keeps_epoch(self) -> bool:
         if self.membership.cell is None:
             return True
-        owner = owner_of("epoch", self.membership.takers())
+        owner = owner_of("epoch", self.membership.eligible_owners())
         return owner == self._settings.name
 
     async def _read_hosts(self) -> None:
--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -65,7 +65,7 @@
     async def keep(self) -> HeldLease | None:
         """Take the lease when it is ours to take, give it back when it is not."""
         me = self._membership.identity
-        owner = owner_of(self._name, self._membership.takers())
+        owner = owner_of(self._name, self._membership.eligible_owners())
         row = self._row
         if row is not None and self._is_mine(row.value):
             if owner not in (None, me.name):
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -139,7 +139,7 @@
             self._watch.observe(key, "holder", now)
         return self._watch.is_expired(key, now)
 
-    def takers(self) -> list[str]:
+    def eligible_owners(self) -> list[str]:
         """Return the members that may take ownership."""
         return [n for n, m in self.live().items() if m.state is MemberState.LIVE]
 
@@ -219,7 +219,7 @@
         step = next_epoch(
             cell=cell.value,
             acknowledged=self._noted(cell.value),
-            joining=tuple(self.takers()),
+            joining=tuple(self.eligible_owners()),
             gone=self._gone(cell.value),
         )
         if step is not None:
