--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -195,7 +195,7 @@
             me=settings.name,
             clock=ports.clock,
             on_vouch=self.configuration.record_peer_answer,
-            on_cell=self.membership.note_cell,
+            on_cell=self.membership.adopt_cell,
         )
         self.tables = Tables(
             configuration=self.configuration,
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -147,7 +147,7 @@
         """Return the incarnations of gateways attached to a live member."""
         return frozenset(g for m in self.live().values() for g in m.gateways)
 
-    def note_cell(self, cell: CellRow) -> None:
+    def adopt_cell(self, cell: CellRow) -> None:
         """Take over a later epoch that a peer has read.
 
         A table that goes dark while a member is being counted leaves some members an
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -207,7 +207,7 @@
         vouch, cell = peer.vouch(asked_at), peer.membership.known_cell
         self.clock.time += delay
         if cell is not None:
-            self.membership.note_cell(cell)
+            self.membership.adopt_cell(cell)
         self.configuration.record_peer_answer(vouch)
 
     def vouch(self, asked_at: float) -> PeerAnswer:
