--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -277,7 +277,7 @@
             self.replaced.set()
             return
         if self._keeps_epoch():
-            await self.membership.move_epoch()
+            await self.membership.advance_epoch()
         await self.configuration.drive()
 
     def _keeps_epoch(self) -> bool:
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -205,7 +205,7 @@
         await self._cell_view.refresh()
         await self.renew(applied=applied, prepared=prepared, gateways=())
 
-    async def move_epoch(self) -> None:
+    async def advance_epoch(self) -> None:
         """Create the cell's row, or count one member more or less."""
         cell = self.cell
         key = SHARED + CELLS + self._identity.cell
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -185,7 +185,7 @@
             return
         self.configuration.after_read(asked_at)
         await self.renew()
-        await self.membership.move_epoch()
+        await self.membership.advance_epoch()
         await self.configuration.drive()
 
     async def renew(self) -> None:
