--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -95,7 +95,9 @@
     def _is_free(self, row: Versioned[LeaseRow] | None) -> bool:
         if row is None or not row.value.holder:
             return True
-        return self._membership.is_gone(row.value.holder, row.value.incarnation)
+        return self._membership.is_lease_expired(
+            row.value.holder, row.value.incarnation
+        )
 
     async def _put(self, lease: LeaseRow, row: Versioned[LeaseRow] | None) -> None:
         expect = row.version if row else 0
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -127,7 +127,7 @@
             if not self._watch.is_expired((name, member.incarnation), now)
         }
 
-    def is_gone(self, member: str, incarnation: str) -> bool:
+    def is_lease_expired(self, member: str, incarnation: str) -> bool:
         """Tell whether a lease that this incarnation holds has lapsed.
 
         An incarnation that was never seen is watched from now on, so that a holder
