--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -130,7 +130,7 @@
         return [(k.name, k.repeatable) for k in kinds]
 
     def _member_rows(self) -> list[Cells]:
-        live = self._membership.live()
+        live = self._membership.live_members()
         rows = []
         for name, member in self._membership.members().items():
             cells = (
