--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -117,7 +117,7 @@
         rows = self._cell_view.with_prefix(MEMBERS, MemberRow)
         return {name: row.value for name, row in rows.items()}
 
-    def live(self) -> dict[str, MemberRow]:
+    def live_members(self) -> dict[str, MemberRow]:
         """Return the members whose heartbeat moves, this one included."""
         now = self._clock.now()
         rows = self.members()
@@ -141,11 +141,13 @@
 
     def eligible_owners(self) -> list[str]:
         """Return the members that may take ownership."""
-        return [n for n, m in self.live().items() if m.state is MemberState.LIVE]
+        return [
+            n for n, m in self.live_members().items() if m.state is MemberState.LIVE
+        ]
 
     def live_gateways(self) -> frozenset[str]:
         """Return the incarnations of gateways attached to a live member."""
-        return frozenset(g for m in self.live().values() for g in m.gateways)
+        return frozenset(g for m in self.live_members().values() for g in m.gateways)
 
     def adopt_cell(self, cell: CellRow) -> None:
         """Take over a later epoch that a peer has read.
