--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -381,7 +381,7 @@
         recent = self._settings.timings.watch * RECENT_WATCHES
         seen_age, exceptions = 0.0, []
         for group in self._routed:
-            age = self.watch.whole_age(group)
+            age = self.watch.confirmed_age(group)
             if age is not None and age <= recent:
                 seen_age = max(seen_age, age)
                 continue
--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -91,7 +91,7 @@
     def _group_rows(self) -> list[Cells]:
         rows = []
         for group in self._groups.groups().values():
-            age = self._watch.whole_age(group)
+            age = self._watch.confirmed_age(group)
             row = (
                 group.group,
                 group.deployment,
--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -163,7 +163,7 @@
             group = row.value
             if group.state not in (GroupState.LOADING, GroupState.BROKEN):
                 continue
-            if self._watch.whole_age(group) is None:
+            if self._watch.confirmed_age(group) is None:
                 continue
             if not self._excluded.isdisjoint(group.hosts):
                 continue
@@ -308,7 +308,7 @@
         group = row.value
         if group.state not in (GroupState.READY, GroupState.BROKEN):
             return False
-        if self._watch.whole_age(group) is None:
+        if self._watch.confirmed_age(group) is None:
             return False
         draining = replace(group, state=GroupState.DRAINING)
         await self._rows.commit({GROUPS + name: (draining, row.version)})
--- a/mallowpond/coordination/health.py
+++ b/mallowpond/coordination/health.py
@@ -46,7 +46,7 @@
             return None
         return seen.status
 
-    def whole_age(self, group: GroupRow) -> float | None:
+    def confirmed_age(self, group: GroupRow) -> float | None:
         """Return the age of the oldest report that confirms a member's place.
 
         None when a member contradicts it, or is silent.
--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -129,7 +129,7 @@
     assert (site.states() == [GroupState.READY]) == (phase == "ready")
     await fault(lost)
     await site.tick(times=1)
-    age = site.nodes[0].watch.whole_age(site.groups[0])
+    age = site.nodes[0].watch.confirmed_age(site.groups[0])
     assert age is None or age >= 0.5
     lost.loads = True
     await site.tick(times=12)
@@ -149,7 +149,7 @@
     (group,) = site.groups
     await loses_its_place(site.engines.engines[group.hosts[2]])
     await site.owner.watch.poll(site.hosts[:5])
-    assert site.owner.watch.whole_age(group) is None
+    assert site.owner.watch.confirmed_age(group) is None
     await site.tick(times=8)
     assert site.states() == [GroupState.READY]
     assert site.groups[0].generation == group.generation + 1
@@ -160,7 +160,7 @@
     (group,) = site.groups
     site.engines.engines["h1"].restart(keeps_place=True)
     await site.owner.watch.poll(site.hosts)
-    assert site.owner.watch.whole_age(group) is None
+    assert site.owner.watch.confirmed_age(group) is None
 
 
 async def test_group_that_waits_for_its_lost_member_is_not_ready():
@@ -516,7 +516,7 @@
         """What a planner takes for whole has every member where it says."""
         for node in self.site.nodes:
             for group in node.groups.groups().values():
-                age = node.watch.whole_age(group)
+                age = node.watch.confirmed_age(group)
                 if age is None or age > 0.0:
                     continue
                 for member in group.members:
