--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from mallowpond.coordination.group_rows import Changes, GroupRows
-from mallowpond.coordination.health import EngineWatch, is_in_place
+from mallowpond.coordination.health import EngineWatch, confirms_member
 from mallowpond.coordination.keys import GROUPS, HOSTS
 from mallowpond.coordination.leases import NamedLease
 from mallowpond.coordination.orders import OrderDesk
@@ -270,7 +270,7 @@
         if status.incarnation != member.incarnation:
             return True
         if group.state is not GroupState.LOADING:
-            return not is_in_place(status, member, group)
+            return not confirms_member(status, member, group)
         return self._age(group) >= self._timings.forming_limit
 
     def _is_carried_out(self, row: HostRow) -> bool:
--- a/mallowpond/coordination/health.py
+++ b/mallowpond/coordination/health.py
@@ -54,7 +54,7 @@
         ages = []
         for member in group.members:
             status = self.recent(member.host)
-            if status is None or not is_in_place(status, member, group):
+            if status is None or not confirms_member(status, member, group):
                 return None
             ages.append(self._clock.now() - self._seen[member.host].asked_at)
         return max(ages, default=None)
@@ -67,7 +67,7 @@
         self._seen[host.name] = Seen(status=status, asked_at=asked_at)
 
 
-def is_in_place(status: EngineStatus, member: GroupMember, group: GroupRow) -> bool:
+def confirms_member(status: EngineStatus, member: GroupMember, group: GroupRow) -> bool:
     """Tell whether a member confirms its incarnation, generation and weights."""
     place = (status.incarnation, status.group, status.generation)
     expected = (member.incarnation, group.group, group.generation)
