--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -199,7 +199,7 @@
         # idle before then may still be sent a request that its stop would cut off.
         if age < self._timings.drain_settle:
             return False
-        status = self._watch.recent(group.head.host)
+        status = self._watch.recent_status(group.head.host)
         return status is None or status.in_flight == 0
 
     # -- planning ------------------------------------------------------------
@@ -237,7 +237,7 @@
         is_usable = (
             host.name not in self._excluded
             and host.name not in self._tainted
-            and self._watch.recent(host.name) is not None
+            and self._watch.recent_status(host.name) is not None
         )
         return PlanHost(
             name=host.name,
@@ -264,7 +264,7 @@
 
     def _has_lost(self, member: GroupMember, group: GroupRow) -> bool:
         """Tell whether a member came back as another, or never took its place."""
-        status = self._watch.recent(member.host)
+        status = self._watch.recent_status(member.host)
         if status is None:
             return True
         if status.incarnation != member.incarnation:
@@ -274,7 +274,7 @@
         return self._age(group) >= self._timings.forming_limit
 
     def _is_carried_out(self, row: HostRow) -> bool:
-        status = self._watch.recent(row.host)
+        status = self._watch.recent_status(row.host)
         return status is not None and status.order == row.order
 
     async def _carry_out(
@@ -324,7 +324,7 @@
         listed = {host.name: host for host in hosts}
         members = []
         for rank, name in enumerate(chosen):
-            status = self._watch.recent(name)
+            status = self._watch.recent_status(name)
             if status is None:
                 return ()
             member = GroupMember(
@@ -363,7 +363,7 @@
         """Return the rows of reachable hosts whose engines hold something else."""
         found = []
         for name, row in self._rows.hosts().items():
-            status = self._watch.recent(name)
+            status = self._watch.recent_status(name)
             if status is None or name not in addresses or name in self._tainted:
                 continue
             if not self._needs_nothing(row.value, status):
--- a/mallowpond/coordination/health.py
+++ b/mallowpond/coordination/health.py
@@ -39,7 +39,7 @@
         listed = {host.name for host in hosts}
         self._seen = {n: s for n, s in self._seen.items() if n in listed}
 
-    def recent(self, host: str) -> EngineStatus | None:
+    def recent_status(self, host: str) -> EngineStatus | None:
         """Return the report of a host that is not silent."""
         seen = self._seen.get(host)
         if seen is None or self._clock.now() - seen.asked_at > self._silent_seconds:
@@ -53,7 +53,7 @@
         """
         ages = []
         for member in group.members:
-            status = self.recent(member.host)
+            status = self.recent_status(member.host)
             if status is None or not confirms_member(status, member, group):
                 return None
             ages.append(self._clock.now() - self._seen[member.host].asked_at)
--- a/mallowpond/coordination/orders.py
+++ b/mallowpond/coordination/orders.py
@@ -94,7 +94,7 @@
 
     async def _send_one(self, address: str, row: HostRow, order: Order) -> None:
         key = (row.host, row.order)
-        status = self._watch.recent(row.host)
+        status = self._watch.recent_status(row.host)
         self._sent.add(key)
         self._in_doubt[key] = status.incarnation if status else ""
         match await self._engines.order(address, order):
@@ -111,7 +111,7 @@
         return tuple(o for o in orders if not self._is_closed(o, row))
 
     def _is_closed(self, order: OpenOrder, row: HostRow) -> bool:
-        status = self._watch.recent(row.host)
+        status = self._watch.recent_status(row.host)
         if status is not None and status.order == order.order:
             return True
         if order.holder == self._holder():
--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -520,7 +520,7 @@
                 if age is None or age > 0.0:
                     continue
                 for member in group.members:
-                    seen = node.watch.recent(member.host)
+                    seen = node.watch.recent_status(member.host)
                     assert seen.generation == group.generation
 
 
