--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -248,7 +248,7 @@
     @property
     def owns_planner(self) -> bool:
         """Tell whether this controller plans groups now."""
-        return self._lease.held is not None
+        return self._lease.current is not None
 
     @property
     def shared(self) -> TableView:
--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -137,7 +137,7 @@
 
     def next_order(self, row: HostRow) -> HostRow:
         """Return the row with a new open order under the lease."""
-        lease = self._lease.held
+        lease = self._lease.current
         return self._desk.next_order(row, lease.fence if lease else row.fence)
 
     async def commit(
@@ -153,7 +153,7 @@
         row's version as last read would let a holder that woke after a takeover write
         under the new holder's lease.
         """
-        lease = self._lease.held
+        lease = self._lease.current
         if lease is None:
             return False
         fenced = (*checks, Check(key=self._lease.key, version=lease.version))
--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -347,7 +347,7 @@
         open_rows = [await self._adopt(n, r) for n, r in self._unfinished(addresses)]
         # The lease is looked at after every commit and right before the sends, since
         # an engine that ignores fencing obeys a holder whose lease has lapsed.
-        lease = self._lease.held
+        lease = self._lease.current
         if lease is None:
             return
         orders = [
@@ -380,7 +380,7 @@
 
     async def _adopt(self, name: str, row: Versioned[HostRow]) -> HostRow | None:
         """Write an older holder's order down as our own before sending it again."""
-        lease = self._lease.held
+        lease = self._lease.current
         if lease is None:
             return None
         if row.value.fence == lease.fence:
