--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -64,7 +64,7 @@
 
     @property
     def owner(self):
-        return next(n for n in self.nodes if n.lease.held)
+        return next(n for n in self.nodes if n.lease.current)
 
     @property
     def groups(self):
@@ -228,7 +228,7 @@
     frozen = site.owner
     (other,) = [n for n in site.nodes if n is not frozen]
     await site.tick(other, times=20)
-    assert other.lease.held
+    assert other.lease.current
     groups = list(other.groups.groups().values())
     assert [g.state for g in groups] == [GroupState.READY]
 
@@ -294,7 +294,7 @@
     Cause: nothing in its transaction depends on the lease.
     """
     site = await Site(controllers="ab", size=2).start()
-    while not any(n.lease.held for n in site.nodes):
+    while not any(n.lease.current for n in site.nodes):
         await site.tick()
     frozen = site.owner
     (other,) = [n for n in site.nodes if n is not frozen]
