--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -39,7 +39,7 @@
         self._draw_id = draw_id
 
     @property
-    def held(self) -> HeldLease | None:
+    def current(self) -> HeldLease | None:
         """Return the lease while this process may act under it."""
         row = self._row
         if row is None or not self._is_mine(row.value):
@@ -71,7 +71,7 @@
             if owner not in (None, me.name):
                 await self.release()
                 return None
-            return self.held
+            return self.current
         if owner == me.name and self._is_free(row):
             fence = row.value.fence + 1 if row else 1
             taken = LeaseRow(holder=me.name, incarnation=me.incarnation, fence=fence)
