--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -5,7 +5,7 @@
 
 from mallowpond.coordination.keys import GROUPS, HOSTS, SHARED
 from mallowpond.coordination.leases import NamedLease
-from mallowpond.coordination.orders import OrderDesk
+from mallowpond.coordination.orders import OrderTracker
 from mallowpond.coordination.ports import (
     Check,
     Committed,
@@ -36,7 +36,7 @@
         table: TableService,
         shared: TableView,
         lease: NamedLease,
-        desk: OrderDesk,
+        desk: OrderTracker,
         holder: Callable[[], Holder],
         draw_id: Callable[[], str],
     ) -> None:
--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -12,7 +12,7 @@
 from mallowpond.coordination.health import EngineWatch, confirms_member
 from mallowpond.coordination.keys import GROUPS, HOSTS
 from mallowpond.coordination.leases import NamedLease
-from mallowpond.coordination.orders import OrderDesk
+from mallowpond.coordination.orders import OrderTracker
 from mallowpond.coordination.ports import (
     Clock,
     Engines,
@@ -76,7 +76,7 @@
         self._clock = clock
         self._lease = lease
         self._watch = watch
-        self._desk = OrderDesk(engines=engines, watch=watch, holder=holder)
+        self._desk = OrderTracker(engines=engines, watch=watch, holder=holder)
         self._rows = GroupRows(
             table=table,
             shared=shared,
--- a/mallowpond/coordination/orders.py
+++ b/mallowpond/coordination/orders.py
@@ -24,7 +24,7 @@
 from mallowpond.state.rows import Holder, HostRow, OpenOrder, OrderOutcome
 
 
-class OrderDesk:
+class OrderTracker:
     """Keep track of the orders that this process writes and sends."""
 
     def __init__(
