--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -278,7 +278,7 @@
             return
         if self._keeps_epoch():
             await self.membership.advance_epoch()
-        await self.configuration.drive()
+        await self.configuration.advance_proposal()
 
     def _keeps_epoch(self) -> bool:
         if self.membership.cell is None:
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -186,7 +186,7 @@
                 detail = "the table's answer was lost; see the history before retrying"
                 return ProposalRefused(reason="outcome_unknown", detail=detail)
 
-    async def drive(self) -> None:
+    async def advance_proposal(self) -> None:
         """Accept or abort the open proposal, whoever proposed it.
 
         A proposer may die at any step, so every controller drives; the head's
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -186,7 +186,7 @@
         self.configuration.after_read(asked_at)
         await self.renew()
         await self.membership.advance_epoch()
-        await self.configuration.drive()
+        await self.configuration.advance_proposal()
 
     async def renew(self) -> None:
         """Renew the member row."""
