--- a/bench/membership.py
+++ b/bench/membership.py
@@ -14,7 +14,7 @@
     Unavailable,
 )
 from mallowpond.coordination.store import TableView
-from mallowpond.coordination.tests.fakes import FakeClock, document, make_node
+from mallowpond.coordination.tests.fakes import FakeClock, document, make_controller
 from mallowpond.protocol.peer import Routes, encode
 from mallowpond.standins.platform import MemoryTable
 from mallowpond.state.codec import to_json, to_plain
@@ -63,7 +63,7 @@
 async def cell_of(count: int) -> tuple[CountingTable, list, FakeClock]:
     """Return a settled cell of this many controllers."""
     table, clock = CountingTable(), FakeClock()
-    nodes = [make_node(f"n{i:03}", table, clock) for i in range(count)]
+    nodes = [make_controller(f"n{i:03}", table, clock) for i in range(count)]
     for _ in range(count + 20):
         for node in nodes:
             await node.step()
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -223,7 +223,7 @@
         )
 
 
-def make_node(
+def make_controller(
     name: str,
     table: MemoryTable,
     clock: FakeClock,
--- a/mallowpond/coordination/tests/test_configuration.py
+++ b/mallowpond/coordination/tests/test_configuration.py
@@ -13,7 +13,7 @@
     ASSURANCE,
     FakeClock,
     document,
-    make_node,
+    make_controller,
     settle,
 )
 from mallowpond.standins.platform import MemoryTable
@@ -24,7 +24,7 @@
 
 async def three_nodes():
     table, clock = MemoryTable(), FakeClock()
-    nodes = [make_node(name, table, clock) for name in "abc"]
+    nodes = [make_controller(name, table, clock) for name in "abc"]
     await settle(*nodes)
     assert nodes[0].membership.cell.value.members == ("a", "b", "c")
     return table, clock, nodes
@@ -140,7 +140,7 @@
     Cause: the others stayed an epoch behind and agreed with nobody.
     """
     table, clock, nodes = await three_nodes()
-    fourth = make_node("d", table, clock)
+    fourth = make_controller("d", table, clock)
     while nodes[0].membership.epoch < 4:
         await settle(fourth, nodes[0], seconds=0.5)
     assert nodes[1].membership.epoch < 4
@@ -199,7 +199,7 @@
 
 async def test_restarted_member_vouches_for_nothing_before_it_has_read():
     table, clock, nodes = await three_nodes()
-    reborn = make_node("b", table, clock, incarnation="2")
+    reborn = make_controller("b", table, clock, incarnation="2")
     nodes[0].line.cut = nodes[2].line.cut = True
     clock.time += ASSURANCE + 1
     nodes[0].configuration.record_peer_answer(reborn.vouch(clock.now()))
@@ -231,7 +231,7 @@
     def __init__(self):
         super().__init__()
         self.table, self.clock = MemoryTable(), FakeClock()
-        self.nodes = {n: make_node(n, self.table, self.clock) for n in "abc"}
+        self.nodes = {n: make_controller(n, self.table, self.clock) for n in "abc"}
         self.incarnations = dict.fromkeys("abcd", 1)
         self.accepted = []
         self.expect = 0
@@ -289,7 +289,7 @@
         self.incarnations[name] += 1
         incarnation = str(self.incarnations[name])
         cut = self.nodes[name].line.cut
-        self.nodes[name] = make_node(
+        self.nodes[name] = make_controller(
             name, self.table, self.clock, incarnation=incarnation
         )
         self.nodes[name].line.cut = cut
--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -13,7 +13,7 @@
     FakeEngines,
     RecordingTable,
     listed,
-    make_node,
+    make_controller,
     settle,
 )
 from mallowpond.state.declarations import Declaration, Deployment
@@ -41,7 +41,8 @@
         engines = {h: FakeEngine(host=h, checks_fencing=checks_fencing) for h in HOSTS}
         self.engines = FakeEngines(engines=engines)
         self.nodes = [
-            make_node(n, self.table, self.clock, self.engines) for n in controllers
+            make_controller(n, self.table, self.clock, self.engines)
+            for n in controllers
         ]
         self.declaration = declaration(replicas, size, checks_fencing)
         self.hosts = listed(*HOSTS) + listed("entry-a", "entry-b", domain="")
