--- a/bench/membership.py
+++ b/bench/membership.py
@@ -14,7 +14,11 @@
     Unavailable,
 )
 from mallowpond.coordination.store import TableView
-from mallowpond.coordination.tests.fakes import FakeClock, document, make_controller
+from mallowpond.coordination.tests.fakes import (
+    FakeClock,
+    configuration_text,
+    make_controller,
+)
 from mallowpond.protocol.peer import Routes, encode
 from mallowpond.standins.platform import MemoryTable
 from mallowpond.state.codec import to_json, to_plain
@@ -93,7 +97,7 @@
     """Count heartbeats from the proposal until every node applied it."""
     node = nodes[0].configuration
     await node.propose(
-        text=document(), expect_version=node.applied.version, author="bench"
+        text=configuration_text(), expect_version=node.applied.version, author="bench"
     )
     for step in range(1, 100):
         for one in nodes:
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -282,7 +282,7 @@
         nodes[0].clock.time += 0.5
 
 
-def document(*deployments: Deployment) -> str:
+def configuration_text(*deployments: Deployment) -> str:
     """Return a configuration text that declares these deployments."""
     lines = []
     for one in deployments:
--- a/mallowpond/coordination/tests/test_configuration.py
+++ b/mallowpond/coordination/tests/test_configuration.py
@@ -12,14 +12,14 @@
     ABORT,
     ASSURANCE,
     FakeClock,
-    document,
+    configuration_text,
     make_controller,
     settle,
 )
 from mallowpond.standins.platform import MemoryTable
 from mallowpond.state.assurance import Assured, NotAssured, Source
 
-TEXT = document()
+TEXT = configuration_text()
 
 
 async def three_nodes():
