--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, replace
 
 from mallowpond.coordination.group_rows import Changes, GroupRows
-from mallowpond.coordination.health import EngineWatch, is_in_place
+from mallowpond.coordination.health import EngineWatch, confirms_member
 from mallowpond.coordination.keys import GROUPS, HOSTS
 from mallowpond.coordination.leases import NamedLease
-from mallowpond.coordination.orders import OrderDesk
+from mallowpond.coordination.orders import OrderTracker
 from mallowpond.coordination.ports import (
     Clock,
     Engines,
@@ -76,7 +76,7 @@
         self._clock = clock
         self._lease = lease
         self._watch = watch
-        self._desk = OrderDesk(engines=engines, watch=watch, holder=holder)
+        self._desk = OrderTracker(engines=engines, watch=watch, holder=holder)
         self._rows = GroupRows(
             table=table,
             shared=shared,
@@ -163,7 +163,7 @@
             group = row.value
             if group.state not in (GroupState.LOADING, GroupState.BROKEN):
                 continue
-            if self._watch.whole_age(group) is None:
+            if self._watch.confirmed_age(group) is None:
                 continue
             if not self._excluded.isdisjoint(group.hosts):
                 continue
@@ -199,7 +199,7 @@
         # idle before then may still be sent a request that its stop would cut off.
         if age < self._timings.drain_settle:
             return False
-        status = self._watch.recent(group.head.host)
+        status = self._watch.recent_status(group.head.host)
         return status is None or status.in_flight == 0
 
     # -- planning ------------------------------------------------------------
@@ -237,7 +237,7 @@
         is_usable = (
             host.name not in self._excluded
             and host.name not in self._tainted
-            and self._watch.recent(host.name) is not None
+            and self._watch.recent_status(host.name) is not None
         )
         return PlanHost(
             name=host.name,
@@ -264,17 +264,17 @@
 
     def _has_lost(self, member: GroupMember, group: GroupRow) -> bool:
         """Tell whether a member came back as another, or never took its place."""
-        status = self._watch.recent(member.host)
+        status = self._watch.recent_status(member.host)
         if status is None:
             return True
         if status.incarnation != member.incarnation:
             return True
         if group.state is not GroupState.LOADING:
-            return not is_in_place(status, member, group)
+            return not confirms_member(status, member, group)
         return self._age(group) >= self._timings.forming_limit
 
     def _is_carried_out(self, row: HostRow) -> bool:
-        status = self._watch.recent(row.host)
+        status = self._watch.recent_status(row.host)
         return status is not None and status.order == row.order
 
     async def _carry_out(
@@ -308,7 +308,7 @@
         group = row.value
         if group.state not in (GroupState.READY, GroupState.BROKEN):
             return False
-        if self._watch.whole_age(group) is None:
+        if self._watch.confirmed_age(group) is None:
             return False
         draining = replace(group, state=GroupState.DRAINING)
         await self._rows.commit({GROUPS + name: (draining, row.version)})
@@ -324,7 +324,7 @@
         listed = {host.name: host for host in hosts}
         members = []
         for rank, name in enumerate(chosen):
-            status = self._watch.recent(name)
+            status = self._watch.recent_status(name)
             if status is None:
                 return ()
             member = GroupMember(
@@ -347,7 +347,7 @@
         open_rows = [await self._adopt(n, r) for n, r in self._unfinished(addresses)]
         # The lease is looked at after every commit and right before the sends, since
         # an engine that ignores fencing obeys a holder whose lease has lapsed.
-        lease = self._lease.held
+        lease = self._lease.current
         if lease is None:
             return
         orders = [
@@ -363,7 +363,7 @@
         """Return the rows of reachable hosts whose engines hold something else."""
         found = []
         for name, row in self._rows.hosts().items():
-            status = self._watch.recent(name)
+            status = self._watch.recent_status(name)
             if status is None or name not in addresses or name in self._tainted:
                 continue
             if not self._needs_nothing(row.value, status):
@@ -380,7 +380,7 @@
 
     async def _adopt(self, name: str, row: Versioned[HostRow]) -> HostRow | None:
         """Write an older holder's order down as our own before sending it again."""
-        lease = self._lease.held
+        lease = self._lease.current
         if lease is None:
             return None
         if row.value.fence == lease.fence:
--- a/mallowpond/coordination/health.py
+++ b/mallowpond/coordination/health.py
@@ -39,22 +39,22 @@
         listed = {host.name for host in hosts}
         self._seen = {n: s for n, s in self._seen.items() if n in listed}
 
-    def recent(self, host: str) -> EngineStatus | None:
+    def recent_status(self, host: str) -> EngineStatus | None:
         """Return the report of a host that is not silent."""
         seen = self._seen.get(host)
         if seen is None or self._clock.now() - seen.asked_at > self._silent_seconds:
             return None
         return seen.status
 
-    def whole_age(self, group: GroupRow) -> float | None:
+    def confirmed_age(self, group: GroupRow) -> float | None:
         """Return the age of the oldest report that confirms a member's place.
 
         None when a member contradicts it, or is silent.
         """
         ages = []
         for member in group.members:
-            status = self.recent(member.host)
-            if status is None or not is_in_place(status, member, group):
+            status = self.recent_status(member.host)
+            if status is None or not confirms_member(status, member, group):
                 return None
             ages.append(self._clock.now() - self._seen[member.host].asked_at)
         return max(ages, default=None)
@@ -67,7 +67,7 @@
         self._seen[host.name] = Seen(status=status, asked_at=asked_at)
 
 
-def is_in_place(status: EngineStatus, member: GroupMember, group: GroupRow) -> bool:
+def confirms_member(status: EngineStatus, member: GroupMember, group: GroupRow) -> bool:
     """Tell whether a member confirms its incarnation, generation and weights."""
     place = (status.incarnation, status.group, status.generation)
     expected = (member.incarnation, group.group, group.generation)
--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -39,7 +39,7 @@
         self._draw_id = draw_id
 
     @property
-    def held(self) -> HeldLease | None:
+    def current(self) -> HeldLease | None:
         """Return the lease while this process may act under it."""
         row = self._row
         if row is None or not self._is_mine(row.value):
@@ -65,13 +65,13 @@
     async def keep(self) -> HeldLease | None:
         """Take the lease when it is ours to take, give it back when it is not."""
         me = self._membership.identity
-        owner = owner_of(self._name, self._membership.takers())
+        owner = owner_of(self._name, self._membership.eligible_owners())
         row = self._row
         if row is not None and self._is_mine(row.value):
             if owner not in (None, me.name):
                 await self.release()
                 return None
-            return self.held
+            return self.current
         if owner == me.name and self._is_free(row):
             fence = row.value.fence + 1 if row else 1
             taken = LeaseRow(holder=me.name, incarnation=me.incarnation, fence=fence)
@@ -95,7 +95,9 @@
     def _is_free(self, row: Versioned[LeaseRow] | None) -> bool:
         if row is None or not row.value.holder:
             return True
-        return self._membership.is_gone(row.value.holder, row.value.incarnation)
+        return self._membership.is_lease_expired(
+            row.value.holder, row.value.incarnation
+        )
 
     async def _put(self, lease: LeaseRow, row: Versioned[LeaseRow] | None) -> None:
         expect = row.version if row else 0
