--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -122,7 +122,7 @@
             clock=clock,
             metrics=self.metrics,
             budget=self._budget,
-            hosts=lambda: self.peers.hosts,
+            hosts=lambda: self.peers.host_count,
             rng=self._rng,
             quarantine=quarantine,
             availability=availability,
