--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -392,7 +392,7 @@
         """Tell a newer version at once; in a large fleet only the readers do."""
         if not self.peers.is_large_fleet:
             self.peers.broadcast(self._describe())
-        elif self.readers.reads:
+        elif self.readers.is_reader:
             self.readers.step()
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
