--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -1,4 +1,4 @@
-"""Follow the configuration, and know how old its last confirmation is."""
+"""Follow the configuration, and track how old its last confirmation is."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,34 +14,40 @@
 
 log = structlog.get_logger()
 
-# Longest time that one question waits at the store for a change, in seconds, and the
-# part of the bound for keys that it may take. An answer confirms the version as of its
-# leaving the store, so a reader's age stays about below the wait; it is time that is
-# missing when the store is lost. Shorter waits make more calls; with ones that the
-# bound does not bear, hosts that ask a reader refuse keys while the store answers.
+# Longest time that a call waits at the store for a change, in seconds, and the largest
+# share of the bound for revoked keys that it may take. An answer confirms the version
+# as of the time when it left the store, so the age of a reader's confirmation stays
+# roughly below the wait; when the store is lost, the bound is shorter by that age.
+# Shorter waits make more calls. If the wait is too long for the bound, hosts that ask a
+# reader reject keys although the store answers.
 LONG_POLL_SECONDS = 1.5
 LONG_POLL_SHARE = 0.3
-# Pause after a question that failed, in seconds: a store that is down gets few calls,
-# and a node is back well within the bound for a change.
+# Pause after a failed call to the store, in seconds: a store that is down gets few
+# calls, and a node recovers well within the bound for a change.
 RETRY_SECONDS = 0.2
-# The same for a host that is not among the first to try, in seconds: while the store is
-# away for all, a whole fleet that asks often only adds calls to it, and the first that
-# is answered tells the others.
+# The same for a host that need not retry often, in seconds. If no host reaches the
+# store, frequent retries of a whole fleet only add load, and the first host that gets
+# an answer informs the others.
 SLOW_RETRY_SECONDS = 1.5
-# Pause between two questions to the hosts that read the store, in seconds, and the
-# questions in a row without an answer after which this host reads for itself.
+# Interval between version questions to the readers, in seconds, and the number of
+# consecutive unanswered ones after which this host asks the store itself.
 QUESTION_INTERVAL_SECONDS = 0.5
 MAX_UNANSWERED_QUESTIONS = 3
-# Time for which a host that hears of a newer version waits for the hosts that read the
-# store to pass it on, in seconds: a few datagrams, in a small part of the bound for a
-# change. Without it each host reads each version from the store.
+# Time for which a host that learns of a newer version waits for the readers to send it,
+# in seconds: long enough for a few datagrams, and a small part of the bound for a
+# change. Without it, each host would read each version from the store.
 DOCUMENT_WAIT_SECONDS = 0.3
-# Revision from which everything is read.
+# Revision that reads the newest configuration at once.
 FROM_START = 0
 
 
 class ConfigurationFollower:
-    """Hold the newest configuration that this process has seen; it never goes back."""
+    """Newest configuration that this process has seen; its version never decreases.
+
+    A reader polls the store. A follower asks a reader at intervals whether its version
+    is still the newest, takes newer ones from the readers, and polls the store itself
+    when they do not answer.
+    """
 
     def __init__(
         self, *, source: SiteSource, clock: Clock, revoke_seconds: float
@@ -55,7 +61,7 @@
         self._confirmation: Confirmation | None = None
         self.store_clock = StoreClock()
         self._is_superseded = False
-        self._question = 0
+        self._question_number = 0
         self._asked_at = float("-inf")
         self._unanswered = 0
         self._is_behind = asyncio.Event()
@@ -77,22 +83,22 @@
 
     @property
     def document(self) -> bytes:
-        """Return the configuration as it stands in the store, empty if not known."""
+        """Return the configuration as stored, empty if not known."""
         return self._document
 
     @property
     def confirmation(self) -> Confirmation | None:
-        """Return how sure this process is of its version."""
+        """Return when the version in force was last confirmed; None if never."""
         return self._confirmation
 
     @property
     def is_store_reachable(self) -> bool:
-        """Tell whether the last question was answered."""
+        """Return whether the last call to the store was answered."""
         return self._failures == 0
 
     @property
     def is_confirmed(self) -> bool:
-        """Tell whether requests that depend on a key may be admitted."""
+        """Return whether the last confirmation is recent enough to admit keys."""
         return may_admit(
             self._confirmation,
             now=self._clock.now(),
@@ -100,7 +106,10 @@
         )
 
     async def wait_for_first_version(self, seconds: float) -> None:
-        """Wait until the first version is confirmed, or is known not to come soon."""
+        """Wait until a first version is confirmed or the store fails to answer.
+
+        Returns after `seconds` in any case.
+        """
         if self._is_first_settled.is_set():
             return
         try:
@@ -128,7 +137,7 @@
                 await self._pause(seconds, self._is_store_back)
 
     def _may_ask_readers(self) -> bool:
-        """Tell whether the hosts that read the store can be relied on now."""
+        """Return whether to ask the readers instead of the store now."""
         if self._configuration is None or self._is_behind.is_set():
             return False
         if self._is_store_back.is_set():
@@ -136,40 +145,40 @@
         return not self.is_reader() and self._unanswered < MAX_UNANSWERED_QUESTIONS
 
     def _expects_document(self) -> bool:
-        """Tell whether the hosts that read the store are about to pass a version on."""
+        """Return whether the readers are about to send a newer version."""
         has_one = self._configuration is not None
         return has_one and self._is_behind.is_set() and not self.is_reader()
 
     def _ask(self) -> None:
-        self._question += 1
+        self._question_number += 1
         self._unanswered += 1
         if self._unanswered == MAX_UNANSWERED_QUESTIONS:
             log.warning("configuration: readers silent", questions=self._unanswered)
         self._asked_at = self._clock.now()
-        self.ask_readers(self._question)
+        self.ask_readers(self._question_number)
 
-    async def _pause(self, seconds: float, news: asyncio.Event) -> None:
-        """Wait for the next question, or until there is news to ask about."""
-        await sleep_until_event(self._clock, seconds, news)
+    async def _pause(self, seconds: float, event: asyncio.Event) -> None:
+        """Sleep until the next question is due or the event is set."""
+        await sleep_until_event(self._clock, seconds, event)
 
     def handle_store_reachable(self) -> None:
-        """Note that another host reaches the store, which was away for all."""
+        """End the pause before a retry: another host reaches the store again."""
         if self._failures:
             self._is_store_back.set()
 
     def handle_version(self, version: int) -> None:
-        """Note that a peer has this version; a newer one is read at once."""
+        """Start to fetch a version that a peer has, if it is newer."""
         known = self._configuration
         if known is not None and version > known.version and not self.is_reader():
             self._is_behind.set()
 
     def handle_answer(self, number: int, version: int, age: float) -> None:
-        """Take a reader's answer to a question.
+        """Apply a reader's answer to the version question `number`.
 
-        The age counts from before the question was sent: an answer that waited unread
-        while this host stood still confirms nothing after that.
+        The age counts from the time when the question was sent: this host may have
+        been paused before it read the answer, which confirms nothing for that time.
         """
-        if number != self._question:
+        if number != self._question_number:
             return
         if self._unanswered >= MAX_UNANSWERED_QUESTIONS:
             log.info("configuration: readers answer")
@@ -178,16 +187,16 @@
         self.handle_version(version)
 
     async def step(self) -> bool:
-        """Ask the store once; return False when it did not answer."""
+        """Poll the store once; return whether it answered and a version is known."""
         asked_at = self._clock.now()
         self._is_store_back.clear()
         if self._is_behind.is_set():
-            # A follower's revision is mostly older than the store's history.
+            # A follower's revision is usually older than the store's history.
             self._is_behind.clear()
             self._revision = FROM_START
         wait = min(LONG_POLL_SECONDS, LONG_POLL_SHARE * self._revoke_seconds)
         if self._failures:
-            # What matters then is that the version still holds, not news.
+            # After a failure, confirming the version comes before waiting for changes.
             wait = 0.0
         answer = await self._source.configuration(self._revision, wait)
         match answer:
@@ -207,10 +216,11 @@
         return answer.configuration is not None or self._configuration is not None
 
     def handle_document(self, version: int, document: bytes) -> None:
-        """Take a newer configuration that a peer read from the store.
+        """Adopt a newer configuration that a peer read from the store.
 
-        It was accepted after the one that is known here, so it was not replaced either
-        when that one was last confirmed; with none before it, a question confirms it.
+        It was accepted after the known version, so it had not been replaced either when
+        that one was last confirmed, and takes over its confirmation time. If no version
+        was known, a question to a reader confirms the new one.
         """
         configuration = self._source.parse_configuration(document)
         known = self._configuration
@@ -220,14 +230,16 @@
             return
         self._is_behind.clear()
         self._document = document
-        before = self._confirmation
-        self._install(configuration, before.confirmed_at if before else float("-inf"))
+        previous = self._confirmation
+        self._install(
+            configuration, previous.confirmed_at if previous else float("-inf")
+        )
         self._document_received.set()
-        if before is None:
+        if previous is None:
             self._ask()
 
     def confirm(self, version: int, confirmed_at: float) -> None:
-        """Take a peer's confirmation of the version that is held here."""
+        """Record that `version` was the newest at a time, if it is the one in force."""
         if self._configuration and self._configuration.version == version:
             self._confirmation = merge_confirmation(
                 self._confirmation, version=version, confirmed_at=confirmed_at
@@ -239,11 +251,11 @@
             self._is_first_settled.set()
 
     def _answered_at(self, answer: ConfigurationRead, asked_at: float) -> float:
-        """Return when the answer left the store, or a little before."""
-        told = answer.answered_at
-        self.store_clock.record(asked_at=asked_at, answered_at=told)
+        """Return the time when the answer left the store, or slightly earlier."""
+        store_time = answer.answered_at
+        self.store_clock.record(asked_at=asked_at, answered_at=store_time)
         return self.store_clock.answered_at(
-            asked_at=asked_at, answered_at=told, received_at=self._clock.now()
+            asked_at=asked_at, answered_at=store_time, received_at=self._clock.now()
         )
 
     def _record_failure(self, reason: str) -> None:
@@ -256,10 +268,10 @@
             log.warning("configuration: store lost", reason=reason)
 
     def _apply_answer(self, answer: ConfigurationRead, answered_at: float) -> None:
-        """Take what an answer says; nothing confirms a version that was replaced.
+        """Apply a store's answer, without confirming a version that was replaced.
 
-        A configuration that cannot be read may have taken keys away: as long as it is
-        the newest one, an answer that nothing changed since confirms that one.
+        A configuration that cannot be decoded may have revoked keys. As long as it is
+        the newest, an answer without changes confirms that one, not the one in force.
         """
         if answer.configuration is not None:
             self._is_superseded = False
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -1,9 +1,9 @@
-"""Let a few hosts read the store, and tell the others.
+"""Elect a few hosts that read the store and broadcast what they find.
 
-The load pattern: each host reads the configuration and the list of targets several
-times a second, so that a fleet of 70 made 212 calls a second to the store, most of
-them for the same news. Two hosts read; the others follow what they tell, and read for
-themselves as soon as they hear nothing or miss a change.
+If every host reads the configuration and the list of targets several times a second, a
+fleet of 70 makes 212 calls a second to the store, most of them for the same changes.
+Instead, two readers poll the store. The other hosts follow their broadcasts, and read
+the store themselves as soon as these stop or a change is missed.
 """
 
 from collections.abc import Callable
@@ -32,30 +32,39 @@
 
 log = structlog.get_logger()
 
-# Hosts that read for all: with one, its death leaves the others to themselves until
-# its heartbeats are missed. The first of them is also the next to plan.
+# Number of readers. With a single one, its failure would leave the other hosts on their
+# own until its missing heartbeats are noticed. The first reader is also the next to
+# plan.
 READER_COUNT = 2
 READERS_KEY = "planner"
-# Hosts that may read or plan next: their death has to be noticed soon.
+# Number of candidates, the hosts that may be the next to read or plan: their failure
+# must be detected soon.
 CANDIDATE_COUNT = 4
-# Pause between two digests, and between two tellings of work to the readers, in
-# seconds: a few passes of a group, in a small part of a host's link.
+# Interval between digests, and between reports of a host's load to the readers, in
+# seconds: a few passes of a group, at a small share of a host's link.
 DIGEST_SECONDS = 0.2
-# Turns in which a reader that stands by tells a large fleet once: well within the
-# silence after which a host reads for itself.
+# The standby reader of a large fleet sends a digest every this many intervals: well
+# within the silence after which a host reads the store itself.
 STANDBY_TURNS = 2
-# Turns in which a host tells work that has not changed once: within the silence after
-# which it is not asked to tell others on. Most of 195 hosts have no work at most turns.
+# A host sends an unchanged load every this many intervals: within the silence after
+# which it is not chosen as relay. In a fleet of 195, most hosts have no work in most
+# intervals.
 UNCHANGED_WORK_TURNS = 3
-# Targets of a change of the list in one datagram: about 7 KB.
+# Targets in one datagram of a list change: about 7 KB.
 MAX_TARGETS_PER_PART = 60
-# Time for which the ranking of the hosts is kept unless one of them changes, in
-# seconds: it is asked for at each message.
+# Time for which the ranking of the hosts is cached unless the state of one changes, in
+# seconds: it is needed for each message.
 RANKING_SECONDS = 0.3
 
 
 class Readers:
-    """Choose the hosts that read, tell as one of them, or listen to them."""
+    """Election of the readers, and this host's part as a reader or follower.
+
+    All hosts rank the live peers in the same way, so they agree on the readers without
+    messages: the first `READER_COUNT` hosts that reach the store. A reader broadcasts
+    digests and changes of the list; a follower applies them to its configuration and
+    directory, and in a large fleet sends its load to the readers.
+    """
 
     def __init__(
         self,
@@ -89,7 +98,8 @@
         self._work_turn = 0
         self._last_sent_work: LoadsByGroup = {}
         self._was_store_reached = True
-        # The last place that this host was given, which its work holds.
+        # Returns the number of the last place granted to this host whose stream its
+        # load includes.
         self.grant_number: Callable[[], int] = lambda: 0
         self.after_digest: list[Callable[[], None]] = []
         configuration.is_reader = lambda: self.is_reader
@@ -108,11 +118,11 @@
 
     @property
     def names(self) -> list[str]:
-        """Return the hosts that read now."""
+        """Return the names of the current readers, the first one first."""
         return self._ranked()[:READER_COUNT]
 
     def _ranked(self) -> list[str]:
-        """Return the hosts that can read, the first to do so first."""
+        """Return the hosts that reach the store, in the order of preference."""
         now = self._clock.now()
         own = (self._configuration.is_store_reachable, self._is_stopping())
         if own != self._ranked_for or now - self._ranked_at > RANKING_SECONDS:
@@ -121,26 +131,26 @@
         return self._ranking
 
     def _rank(self, is_store_reachable: bool, is_stopping: bool) -> list[str]:
-        able = [p.heartbeat for p in self._peers.live]
-        cores = {h.node: h.cores for h in able if h.store and not h.stopping}
+        heartbeats = [p.heartbeat for p in self._peers.live]
+        cores = {h.node: h.cores for h in heartbeats if h.store and not h.stopping}
         if is_store_reachable and not is_stopping:
             cores[self._name] = self._cores
         return ranked_by_capacity(READERS_KEY, cores)
 
     @property
     def is_reader(self) -> bool:
-        """Tell whether this host is to read the store."""
+        """Return whether this host should read the store."""
         names = self.names
         return not names or self._name in names
 
     @property
     def is_standby(self) -> bool:
-        """Tell whether this host reads beside another one that does so more often."""
+        """Return whether this host is a reader, but not the first one."""
         return self._name in self.names[1:]
 
     @property
     def top_ranked_peers(self) -> list[str]:
-        """Return the other hosts that would read if all could."""
+        """Return the other hosts that would be readers if all reached the store."""
         ranked = self._rank_all()
         return [name for name in ranked if name != self._name][:READER_COUNT]
 
@@ -148,38 +158,38 @@
     def dispatcher(self) -> str:
         """Return the host that counts the places of all groups.
 
-        The first that reads the store, as it hears of all work; while none reaches the
-        store, the one that would.
+        This is the first reader, as it gets the load of all hosts. While no host
+        reaches the store, it is the one that would be the first reader.
         """
         names = self.names or self._rank_all()
         return names[0]
 
     @property
     def should_retry_often(self) -> bool:
-        """Tell whether this host is to try the store often.
+        """Return whether this host should retry the store often after a failure.
 
-        While none reaches it, two hosts try for all, as the calls of a whole fleet
-        would all be refused. One that the store turns away while it serves others has
-        to try for itself.
+        While no host reaches it, only two hosts do, as the calls of a whole fleet would
+        all be refused. A host that the store rejects while it serves others must retry
+        for itself.
         """
         if self._ranked():
             return True
         return self._name in self._rank_all()[:READER_COUNT]
 
     def _rank_all(self) -> list[str]:
-        """Return all hosts, whether they reach the store or not."""
+        """Rank all live hosts, whether they reach the store or not."""
         cores = {p.heartbeat.node: p.heartbeat.cores for p in self._peers.live}
         cores[self._name] = self._cores
         return ranked_by_capacity(READERS_KEY, cores)
 
     async def run(self) -> None:
-        """Tell what is newest, or this host's work, until cancelled."""
+        """Send digests as a reader, or loads as a follower, until cancelled."""
         while True:
             self.step()
             await self._clock.sleep(DIGEST_SECONDS)
 
     def step(self) -> None:
-        """Tell once."""
+        """Update this host's role, and send its digest or load once if due."""
         candidates = self._ranked()[:CANDIDATE_COUNT]
         self._peers.is_candidate = self._name in candidates or self._is_planning()
         self._peers.candidates = frozenset(candidates) - {self._name}
@@ -200,7 +210,7 @@
             and self._turn % STANDBY_TURNS
         ):
             return
-        # One sum is enough: that of the second reader took as many bytes again.
+        # Only the first reader sends the loads; from both, they would take twice the bytes.
         is_first = self.names[:1] == [self._name]
         loads = (
             self._directory.loads.all_loads(self._directory.groups)
@@ -226,7 +236,7 @@
         self._send_work(loads, {*self.names, self.dispatcher})
 
     def send_work_to_dispatcher(self) -> None:
-        """Tell this host's work at once to the one that counts places for all."""
+        """Send this host's load to the dispatcher at once."""
         host = self.dispatcher
         if host == self._name:
             return
@@ -251,7 +261,7 @@
             self._fanout.broadcast(change)
 
     def _split(self, read: TargetsRead, previous: int) -> list[ListChange]:
-        """Return a change in datagrams, none if it is too large for them."""
+        """Return a list change in parts; none if it needs too many of them."""
         size = max(map(len, (read.targets, read.removed, read.unreadable)))
         parts = max(1, ceil(size / MAX_TARGETS_PER_PART))
         if parts > MAX_PARTS:
@@ -265,13 +275,13 @@
                 node=self._name,
                 previous=previous,
                 revision=read.revision,
-                targets=read.targets[some],
-                removed=read.removed[some],
-                unreadable=read.unreadable[some],
+                targets=read.targets[indices],
+                removed=read.removed[indices],
+                unreadable=read.unreadable[indices],
                 part=number,
                 parts=parts,
             )
-            for number, some in enumerate(slices)
+            for number, indices in enumerate(slices)
         ]
 
     def _on_list_change(self, change: ListChange) -> None:
@@ -305,22 +315,22 @@
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._configuration.handle_version(heartbeat.version)
-        standing = (heartbeat.store, heartbeat.stopping)
-        if self._peer_states.get(heartbeat.node) != standing:
-            self._peer_states[heartbeat.node] = standing
+        state = (heartbeat.store, heartbeat.stopping)
+        if self._peer_states.get(heartbeat.node) != state:
+            self._peer_states[heartbeat.node] = state
             self._ranked_at = float("-inf")
-        is_reached = bool(self._ranked())
-        if is_reached and not self._was_store_reached:
+        is_store_reached = bool(self._ranked())
+        if is_store_reached and not self._was_store_reached:
             self._configuration.handle_store_reachable()
-        self._was_store_reached = is_reached
+        self._was_store_reached = is_store_reached
 
     def _ask_reader(self, number: int) -> None:
         question = VersionQuestion(node=self._name, number=number)
-        # In turn: one that does not answer costs every second question, not each host
-        # twice as many datagrams.
+        # Readers are asked in turn. If one does not answer, every second question is
+        # lost; asking both would double the datagrams of each host.
         names = self.names
-        asked = [names[number % len(names)]] if names else []
-        self._peers.send_to(question, asked)
+        receivers = [names[number % len(names)]] if names else []
+        self._peers.send_to(question, receivers)
 
     def _on_version_question(self, question: VersionQuestion) -> None:
         confirmation = self._configuration.confirmation
