--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -1,8 +1,8 @@
-"""Engines that take orders as the platform's do, and restart at any moment.
+"""A model of the platform's engines, which can restart at any moment.
 
-An order is carried out by whatever process runs under the id when it arrives: only the
-count of orders, epochs and fences stand between a late order and a process that it was
-not meant for.
+An order is executed by whatever process runs under the id when it arrives. Only the
+count of orders, epochs and fences keep a late order from another process than the one
+it was sent for.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 SERVING = (GroupPhase.OPEN, GroupPhase.CLOSING)
 
 
-# Time that an order's answer is waited for, in seconds, as the engines' client does.
+# Timeout of an order's answer, in seconds, as in the client of the engines.
 ANSWER_SECONDS = 0.5
 
 
 class Delivery(Enum):
-    """Say what becomes of an order and of the engine that it is sent to."""
+    """How an order is delivered, and whether its engine restarts meanwhile."""
 
     TAKEN = "taken"
     NOT_SENT = "not sent"
@@ -45,7 +45,7 @@
 
 @dataclass(kw_only=True)
 class Engine:
-    """Hold the state of the process that runs now under one id."""
+    """The process that runs now under one id; `count` counts the orders it began."""
 
     id: str
     born: int
@@ -61,16 +61,16 @@
 
     @property
     def process(self):
-        """Return which process this is."""
+        """Return the identity of the process."""
         return Process(id=self.id, born=self.born)
 
     @property
     def formation(self):
-        """Return the formation in which the engine stands."""
+        """Return the group, epoch and members that the engine belongs to, or None."""
         return (self.group, self.epoch, self.members) if self.phase else None
 
     def target(self):
-        """Write what the engine says of itself."""
+        """Return the target entry that the engine publishes."""
         membership = None
         if self.phase is not None:
             membership = Membership(
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LateOrder:
-    """Hold an order that is still on its way."""
+    """An order that is still in flight."""
 
     step: object
     fence: int
@@ -105,7 +105,10 @@
 
 @dataclass(kw_only=True)
 class Fleet:
-    """Run the engines, and the list in which they write."""
+    """The engines and the target list in which they publish their entries.
+
+    `violations` collects broken safety rules; `deliveries` are those of the next orders.
+    """
 
     enforces_fences: bool
     engines: dict = field(default_factory=dict)
@@ -125,7 +128,7 @@
         self.publish(name)
 
     def restart(self, name):
-        """Start an engine again under its id, on a clock that may be set back."""
+        """Restart an engine under its id; its clock may have been set back."""
         self._starts += 1
         steps = -1 if self._starts % 2 else 1
         old = self.engines[name]
@@ -133,17 +136,17 @@
         self.engines[name] = Engine(id=name, born=born, staged=old.staged)
 
     def publish(self, name):
-        """Let the list show an engine as it is."""
+        """Publish the present state of an engine in the list."""
         self.revision += 1
         self.listed[name] = self.engines[name].target()
 
     def expire(self, name):
-        """Let the list lose an engine's entry."""
+        """Remove an engine's entry from the list."""
         if self.listed.pop(name, None) is not None:
             self.revision += 1
 
     def advance(self):
-        """End what takes a moment: joining, closing, and the stall of broken groups."""
+        """Complete joins and closes, after which the engines are ready."""
         for engine in self.engines.values():
             if engine.phase in (GroupPhase.JOINING, GroupPhase.CLOSING):
                 engine.phase = GroupPhase.READY
@@ -151,7 +154,7 @@
                 self.ever_ready[engine.formation].add(engine.process)
 
     def stall(self):
-        """Break the groups whose head waits for a member that stands there no more."""
+        """Break the groups whose head waits for a member that left the formation."""
         for engine in self.engines.values():
             if engine.phase in SERVING:
                 others = [self.engines[m] for m in engine.members]
@@ -159,18 +162,18 @@
                     engine.phase = GroupPhase.BROKEN
 
     def receive(self, step, *, fence, expected):
-        """Carry out an order at whatever process runs under the id."""
+        """Execute an order on whatever process runs under the id."""
         engine = self.engines[step.target.id]
         if expected != engine.count:
             return OrderUnfit()
         if self.enforces_fences and fence < engine.fence:
             return OrderFenced()
-        end = self._carry_out(engine, step)
-        if not isinstance(end, OrderFenced | OrderUnfit):
+        outcome = self._carry_out(engine, step)
+        if not isinstance(outcome, OrderFenced | OrderUnfit):
             engine.fence = max(engine.fence, fence)
-        if end == OrderTaken(began=True):
+        if outcome == OrderTaken(began=True):
             engine.count += 1
-        return end
+        return outcome
 
     def _carry_out(self, engine, step):
         match step:
@@ -222,13 +225,13 @@
 
 
 class ModelSource:
-    """Read the fleet's list; cut off, it answers nothing."""
+    """Reads the fleet's list; while cut off it is unavailable."""
 
     def __init__(self, fleet):
         self.fleet, self.is_cut_off = fleet, False
 
     async def targets(self, since):
-        """Return all that is listed."""
+        """Return the whole list."""
         if self.is_cut_off:
             return Unavailable(reason="cut off")
         return TargetsRead(
@@ -239,91 +242,93 @@
 
 
 class ModelTargets:
-    """Carry one planner's orders and questions to the fleet."""
+    """Delivers one planner's orders and queries to the fleet."""
 
     def __init__(self, fleet, clock):
         self.fleet, self.clock = fleet, clock
         self.reported_counts = defaultdict(set)
         self.counts_since_listing = defaultdict(set)
-        self.lagging = {}
-        self.asked = 0
-        self.answered = {}
+        self.earlier_reports = {}
+        self.queries = 0
+        self.newest_answers = {}
         self.listed = lambda name: None
         self.on_order = []
         self.left_formations = set()
 
     async def order(self, step, *, fence, expected):
-        """Send an order, to which what was drawn for it happens."""
+        """Send an order with the delivery that was drawn for it."""
         for check in self.on_order:
             check(step, expected)
-        fate = self.fleet.deliveries.pop(0) if self.fleet.deliveries else Delivery.TAKEN
-        fleet, name, end = self.fleet, step.target.id, None
-        if fate is Delivery.NOT_SENT:
+        delivery = (
+            self.fleet.deliveries.pop(0) if self.fleet.deliveries else Delivery.TAKEN
+        )
+        fleet, name, outcome = self.fleet, step.target.id, None
+        if delivery is Delivery.NOT_SENT:
             return OrderLost(reason="refused")
-        if fate is Delivery.LATE:
+        if delivery is Delivery.LATE:
             fleet.late_orders.append(
                 LateOrder(step=step, fence=fence, expected=expected)
             )
             return OrderLost(reason="timeout")
-        if fate in (Delivery.RESTART_BEFORE, Delivery.RESTART_TWICE):
+        if delivery in (Delivery.RESTART_BEFORE, Delivery.RESTART_TWICE):
             fleet.restart(name)
-        end = fleet.receive(step, fence=fence, expected=expected)
-        if fate in (Delivery.RESTART_AFTER, Delivery.RESTART_TWICE):
+        outcome = fleet.receive(step, fence=fence, expected=expected)
+        if delivery in (Delivery.RESTART_AFTER, Delivery.RESTART_TWICE):
             fleet.restart(name)
-        if fate is Delivery.ANSWER_LOST:
+        if delivery is Delivery.ANSWER_LOST:
             return OrderLost(reason="timeout")
-        if fate is Delivery.ANSWER_LATE:
+        if delivery is Delivery.ANSWER_LATE:
             sent_at = self.clock.now()
             await self._wait()
             if self.clock.now() - sent_at > ANSWER_SECONDS:
                 return OrderLost(reason="timeout")
-        if end == OrderTaken(began=True):
-            self._note_count(step.target.process, expected + 1)
+        if outcome == OrderTaken(began=True):
+            self._record_count(step.target.process, expected + 1)
             if isinstance(step, Leave):
                 self.left_formations.add(
                     (step.target.process, (step.group, step.epoch))
                 )
-        return end
+        return outcome
 
     async def report(self, target):
-        """Tell what an engine holds, as of some moments ago in the same process."""
+        """Return an engine's state, which may lag if the process is the same."""
         engine = self.fleet.engines[target.id]
         now = EngineReport(orders=engine.count, target=engine.target())
-        asked_at, before = self.lagging.get(target.id, (self.clock.now(), now))
-        self.lagging[target.id] = (self.clock.now(), now)
+        asked_at, before = self.earlier_reports.get(target.id, (self.clock.now(), now))
+        self.earlier_reports[target.id] = (self.clock.now(), now)
         is_recent = self.clock.now() - asked_at < REPORT_LAG_SECONDS
         if not is_recent or before.target.process != now.target.process:
             before = now
-        self.asked += 1
-        asked = self.asked
+        self.queries += 1
+        query = self.queries
         if self.fleet.slow_reports:
             self.fleet.slow_reports -= 1
             await self._wait()
-        self._note_count(before.target.process, before.orders)
-        self._note_answer(asked, target.process, before.target.process)
+        self._record_count(before.target.process, before.orders)
+        self._record_answer(query, target.process, before.target.process)
         return replace(before)
 
-    def _note_count(self, process, count):
+    def _record_count(self, process, count):
         self.reported_counts[process].add(count)
         self.counts_since_listing[process].add(count)
 
-    def _note_answer(self, asked, meant, answered):
-        """Note which process the answer to the newest question ends."""
-        newest, _, _ = self.answered.get(meant.id, (0, meant, meant))
-        if asked > newest and self.listed(meant.id) == meant:
-            self.answered[meant.id] = (asked, meant, answered)
+    def _record_answer(self, query, addressed, answering):
+        """Record which process answered the newest query for the addressed one."""
+        newest, _, _ = self.newest_answers.get(addressed.id, (0, addressed, addressed))
+        if query > newest and self.listed(addressed.id) == addressed:
+            self.newest_answers[addressed.id] = (query, addressed, answering)
 
     def ended(self, process):
-        """Tell whether an answer ended a process that the list still shows."""
-        _, meant, answered = self.answered.get(process.id, (0, None, None))
+        """Return whether another process answered for one that is still listed."""
+        _, addressed, answering = self.newest_answers.get(process.id, (0, None, None))
         is_listed = self.listed(process.id) == process
-        return is_listed and meant == process and answered != process
+        return is_listed and addressed == process and answering != process
 
     async def _wait(self):
-        waiting = asyncio.get_running_loop().create_future()
-        self.fleet.pending_answers.append(waiting)
-        await waiting
+        future = asyncio.get_running_loop().create_future()
+        self.fleet.pending_answers.append(future)
+        await future
 
     async def is_healthy(self, target, path):
-        """Tell whether an engine serves."""
+        """Return whether an engine is not draining."""
         return not self.fleet.engines[target.id].draining
