--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -339,7 +339,7 @@
         )
         for name in (f"{group}0", f"{group}1")
     ]
-    revision = rig.directory.changed + 1
+    revision = rig.directory.last_change + 1
     rig.directory.apply_change(
         TargetsRead(revision=revision, targets=tuple(restarted)), previous=revision - 1
     )
