--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -13,7 +13,7 @@
     FakeEngines,
     RecordingTable,
     listed,
-    make_node,
+    make_controller,
     settle,
 )
 from mallowpond.state.declarations import Declaration, Deployment
@@ -41,7 +41,8 @@
         engines = {h: FakeEngine(host=h, checks_fencing=checks_fencing) for h in HOSTS}
         self.engines = FakeEngines(engines=engines)
         self.nodes = [
-            make_node(n, self.table, self.clock, self.engines) for n in controllers
+            make_controller(n, self.table, self.clock, self.engines)
+            for n in controllers
         ]
         self.declaration = declaration(replicas, size, checks_fencing)
         self.hosts = listed(*HOSTS) + listed("entry-a", "entry-b", domain="")
@@ -64,7 +65,7 @@
 
     @property
     def owner(self):
-        return next(n for n in self.nodes if n.lease.held)
+        return next(n for n in self.nodes if n.lease.current)
 
     @property
     def groups(self):
@@ -129,7 +130,7 @@
     assert (site.states() == [GroupState.READY]) == (phase == "ready")
     await fault(lost)
     await site.tick(times=1)
-    age = site.nodes[0].watch.whole_age(site.groups[0])
+    age = site.nodes[0].watch.confirmed_age(site.groups[0])
     assert age is None or age >= 0.5
     lost.loads = True
     await site.tick(times=12)
@@ -149,7 +150,7 @@
     (group,) = site.groups
     await loses_its_place(site.engines.engines[group.hosts[2]])
     await site.owner.watch.poll(site.hosts[:5])
-    assert site.owner.watch.whole_age(group) is None
+    assert site.owner.watch.confirmed_age(group) is None
     await site.tick(times=8)
     assert site.states() == [GroupState.READY]
     assert site.groups[0].generation == group.generation + 1
@@ -160,7 +161,7 @@
     (group,) = site.groups
     site.engines.engines["h1"].restart(keeps_place=True)
     await site.owner.watch.poll(site.hosts)
-    assert site.owner.watch.whole_age(group) is None
+    assert site.owner.watch.confirmed_age(group) is None
 
 
 async def test_group_that_waits_for_its_lost_member_is_not_ready():
@@ -228,7 +229,7 @@
     frozen = site.owner
     (other,) = [n for n in site.nodes if n is not frozen]
     await site.tick(other, times=20)
-    assert other.lease.held
+    assert other.lease.current
     groups = list(other.groups.groups().values())
     assert [g.state for g in groups] == [GroupState.READY]
 
@@ -294,7 +295,7 @@
     Cause: nothing in its transaction depends on the lease.
     """
     site = await Site(controllers="ab", size=2).start()
-    while not any(n.lease.held for n in site.nodes):
+    while not any(n.lease.current for n in site.nodes):
         await site.tick()
     frozen = site.owner
     (other,) = [n for n in site.nodes if n is not frozen]
@@ -516,11 +517,11 @@
         """What a planner takes for whole has every member where it says."""
         for node in self.site.nodes:
             for group in node.groups.groups().values():
-                age = node.watch.whole_age(group)
+                age = node.watch.confirmed_age(group)
                 if age is None or age > 0.0:
                     continue
                 for member in group.members:
-                    seen = node.watch.recent(member.host)
+                    seen = node.watch.recent_status(member.host)
                     assert seen.generation == group.generation
 
 
