--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -240,13 +240,13 @@
         It counts from the stream's last event: counted from its start, a stream that
         had run for 1.2 s was cut off at once when its group died and no slot was free.
         """
-        whole = max(
+        patience = max(
             PATIENCE_SECONDS,
             PATIENCE_OBJECTIVES * work.route.objective_seconds,
             PATIENCE_GAPS * work.route.gap_objective_seconds,
         )
         last_at = work.last_event_at or work.started_at
-        return max(0.0, WAIT_SHARE * whole - (self._clock.now() - last_at))
+        return max(0.0, WAIT_SHARE * patience - (self._clock.now() - last_at))
 
     def _objective_deadline(self, work: StreamWork) -> float:
         """Return the latest time to send a stream so that it meets its objective.
--- a/mallowpond/node/stream_work.py
+++ b/mallowpond/node/stream_work.py
@@ -66,7 +66,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class ActiveStream:
-    """One send of a stream to a group that is in progress."""
+    """A send of a stream to a group while it is in progress."""
 
     work: StreamWork
     group: Group
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -199,7 +199,7 @@
         now = self._clock.now()
         own = self._directory.loads.work(group.key)
         load = self._directory.loads.load_of(group, work.profile)
-        usual_delay = self.placement.delay(work.service, work.model.name).typical
+        typical_delay = self.placement.delay(work.service, work.model.name).typical
         stream = ActiveStream(
             work=work,
             group=group,
@@ -226,7 +226,7 @@
             reading=round(load.prefill_tokens),
             slowness=round(load.slowness, 2),
             predicted=round(stream.predicted, 3),
-            delay=round(scaled_delay(load, usual_delay), 3),
+            delay=round(scaled_delay(load, typical_delay), 3),
             left=round(work.deadline - now, 3),
             resume=work.last_event_id,
         )
@@ -310,7 +310,7 @@
     def _record_notice(
         self, stream: ActiveStream, response: HttpResponse
     ) -> TargetNotice:
-        """Record what a head's answer says of its load and rate limit."""
+        """Record what a head's answer says of its availability."""
         notice = self._targets.notice(response)
         if stream.group.head is not None:
             self._availability.record_notice(stream.group.head, notice, stream.sent_at)
@@ -320,14 +320,14 @@
         self, stream: ActiveStream, headers: tuple[tuple[str, str], ...], data: bytes
     ) -> None:
         work = stream.work
-        whole = work.progress.take(data)
-        if not whole:
+        complete = work.progress.take(data)
+        if not complete:
             return
         self._record_event(stream)
-        work.last_event_id = _last_event_id(whole) or work.last_event_id
+        work.last_event_id = _last_event_id(complete) or work.last_event_id
         if not work.exchange.started:
             await work.exchange.start(200, headers)
-        await work.exchange.send(whole)
+        await work.exchange.send(complete)
 
     def _record_event(self, stream: ActiveStream) -> None:
         now = self._clock.now()
@@ -361,7 +361,7 @@
         own.backoff_seconds = 0.0
 
     def _record_broken(self, work: StreamWork, group: Group, reason: Reason) -> None:
-        """Record the end of a group's head; back off if it was known to have ended."""
+        """Record that a group's head ended; back off if that preceded the send."""
         assert group.head is not None
         process = group.head.process
         if not self._quarantine.record_ending(work.fingerprint, process, work.sent_at):
--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -107,7 +107,8 @@
 class Fleet:
     """The engines and the target list in which they publish their entries.
 
-    `violations` collects broken safety rules; `deliveries` are those of the next orders.
+    `violations` collects broken safety rules; `deliveries` holds those of the next
+    orders.
     """
 
     enforces_fences: bool
@@ -318,7 +319,7 @@
         if query > newest and self.listed(addressed.id) == addressed:
             self.newest_answers[addressed.id] = (query, addressed, answering)
 
-    def is_superseded(self, process):
+    def ended(self, process):
         """Return whether another process answered for one that is still listed."""
         _, addressed, answering = self.newest_answers.get(process.id, (0, None, None))
         is_listed = self.listed(process.id) == process
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -30,8 +30,8 @@
 # Interval between two checks, in seconds: a small part of the shortest gap objectives.
 MIN_CHECK_INTERVAL_SECONDS = 0.02
 # Longest interval between two checks, in seconds, while no group can have been silent
-# long enough, which holds for most of 195 hosts most of the time. A stream that begins
-# meanwhile cannot become suspicious within it.
+# long enough, which holds for most of 195 hosts most of the time. The silence of a
+# stream that begins meanwhile becomes due later than that.
 MAX_CHECK_INTERVAL_SECONDS = 0.06
 # Events of a stream from a group after which the group's pace counts as known.
 MIN_PACE_EVENTS = 2
