--- a/mallowpond/coordination/claims.py
+++ b/mallowpond/coordination/claims.py
@@ -1,4 +1,4 @@
-"""Commit claims and charges in groups, one transaction for all that wait."""
+"""Commit claims and quota charges in batches, one transaction for each."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,27 +30,27 @@
 from mallowpond.state.codec import from_plain, to_plain
 from mallowpond.state.rows import ClaimRow, LedgerRow
 
-MAX_GROUP = 200
+MAX_BATCH_SIZE = 200
 MAX_ATTEMPTS = 4
 
 
 @dataclass(frozen=True, kw_only=True)
 class StoreUnavailable:
-    """Nothing was claimed, and nothing can be claimed now."""
+    """Nothing was claimed, since the table service cannot be used now."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimUnknown:
-    """The claim may have been kept; it must be voided and must not run."""
+    """The claim may have been stored: its attempt must not run and must be voided."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class SettledAnswer:
-    """The attempt stands as asked, by this change or an earlier one."""
+    """The attempt needs no further change: it was marked now or earlier."""
 
 
 ClaimResult = (
@@ -67,51 +67,54 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Claim:
-    """Ask to run an attempt."""
+    """Request to run an attempt."""
 
     row: ClaimRow
 
 
 @dataclass(frozen=True, kw_only=True)
 class Finish:
-    """Ask to mark an attempt as done or unknown, as its row's state says."""
+    """Request to mark an attempt as done or unknown, as its row's state says."""
 
     row: ClaimRow
 
 
 @dataclass(frozen=True, kw_only=True)
 class Void:
-    """Ask to withdraw an attempt of which nothing was sent."""
+    """Request to withdraw an attempt of which nothing was sent."""
 
     row: ClaimRow
 
 
-ClaimWork = Claim | Finish | Void
+ClaimOperation = Claim | Finish | Void
 
 
 @dataclass(kw_only=True)
-class _Waiting:
-    work: ClaimWork
+class _PendingOperation:
+    operation: ClaimOperation
     answer: asyncio.Future[ClaimResult]
     attempts: int = 0
 
     @property
     def key(self) -> str:
-        return claim_key(self.work.row.workspace, self.work.row.key)
+        return claim_key(self.operation.row.workspace, self.operation.row.key)
 
 
 @dataclass(kw_only=True)
-class _Group:
-    """Gather the changes of one transaction."""
+class _Batch:
+    """Changes of one transaction, and the results to return if it commits.
+
+    `units` maps each workspace to the units to charge to it.
+    """
 
     checks: dict[str, int] = field(default_factory=dict)
     rows: dict[str, ClaimRow] = field(default_factory=dict)
     units: dict[str, int] = field(default_factory=dict)
-    pending: list[tuple[_Waiting, ClaimResult]] = field(default_factory=list)
+    decided: list[tuple[_PendingOperation, ClaimResult]] = field(default_factory=list)
 
 
 class ClaimCommitter:
-    """Decide claims against the table and commit those that wait together."""
+    """Decide claim operations against the stored rows and commit them in batches."""
 
     def __init__(
         self,
@@ -126,69 +129,73 @@
         self._member = member
         self._draw_id = draw_id
         self._live_gateways = live_gateways
-        self._queue: list[_Waiting] = []
+        self._queue: list[_PendingOperation] = []
         self._unanswered = 0
         self._wake = asyncio.Event()
         self._on_transaction = on_transaction
 
     @property
     def waiting(self) -> int:
-        """Return how much work has no answer yet.
+        """Return the number of operations without an answer.
 
-        Counted by what was queued, a transaction under way was cancelled by a stop.
+        The length of the queue would not do: it leaves out the operations whose
+        transaction is under way, which a stop would then cancel.
         """
         return self._unanswered
 
-    async def submit(self, work: ClaimWork) -> ClaimResult:
-        """Queue one piece of work and return what became of it."""
+    async def submit(self, operation: ClaimOperation) -> ClaimResult:
+        """Queue an operation and return its result once it is known."""
         loop = asyncio.get_running_loop()
-        waiting = _Waiting(work=work, answer=loop.create_future())
-        self._queue.append(waiting)
+        pending = _PendingOperation(operation=operation, answer=loop.create_future())
+        self._queue.append(pending)
         self._wake.set()
         self._unanswered += 1
         try:
-            return await waiting.answer
+            return await pending.answer
         finally:
             self._unanswered -= 1
 
     async def run(self) -> None:
-        """Commit whatever waits, group after group."""
+        """Commit the queued operations, batch after batch, until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
             while self._queue:
-                await self._commit_group(self._take_group())
-
-    def _take_group(self) -> list[_Waiting]:
-        """Take work on distinct keys; a second one on a key waits its turn."""
-        taken: dict[str, _Waiting] = {}
-        left: list[_Waiting] = []
-        for waiting in self._queue:
-            if len(taken) < MAX_GROUP and waiting.key not in taken:
-                taken[waiting.key] = waiting
+                await self._commit_batch(self._take_batch())
+
+    def _take_batch(self) -> list[_PendingOperation]:
+        """Dequeue operations on distinct keys; a second one on a key stays queued."""
+        taken: dict[str, _PendingOperation] = {}
+        deferred: list[_PendingOperation] = []
+        for pending in self._queue:
+            if len(taken) < MAX_BATCH_SIZE and pending.key not in taken:
+                taken[pending.key] = pending
             else:
-                left.append(waiting)
-        self._queue = left
+                deferred.append(pending)
+        self._queue = deferred
         return list(taken.values())
 
-    async def _commit_group(self, waiting: list[_Waiting]) -> None:
-        group = _Group()
-        stored = await asyncio.gather(*(self._table.read(w.key) for w in waiting))
-        for one, row in zip(waiting, stored, strict=True):
+    async def _commit_batch(self, pending: list[_PendingOperation]) -> None:
+        batch = _Batch()
+        stored = await asyncio.gather(*(self._table.read(p.key) for p in pending))
+        for entry, row in zip(pending, stored, strict=True):
             if isinstance(row, Unavailable):
-                _answer(one, StoreUnavailable(reason=row.reason))
+                _answer(entry, StoreUnavailable(reason=row.reason))
             else:
-                self._decide(one, row, group)
-        if not group.rows:
+                self._decide(entry, row, batch)
+        if not batch.rows:
             return
-        if not await self._add_ledgers(group):
-            self._answer_all(group, StoreUnavailable(reason="ledger unreadable"))
+        if not await self._add_charges(batch):
+            self._answer_all(batch, StoreUnavailable(reason="ledger unreadable"))
             return
-        await self._commit(group)
+        await self._commit(batch)
 
-    def _decide(self, waiting: _Waiting, row: Row | None, group: _Group) -> None:
+    def _decide(
+        self, pending: _PendingOperation, row: Row | None, batch: _Batch
+    ) -> None:
+        """Answer an operation at once, or add its change to the batch."""
         stored = from_plain(row.value, ClaimRow) if row else None
-        match waiting.work:
+        match pending.operation:
             case Claim(row=requested):
                 decision = decide_claim(
                     stored=stored,
@@ -196,7 +203,7 @@
                     live_gateways=self._live_gateways(),
                 )
                 if not isinstance(decision, Granted) or decision.row is stored:
-                    _answer(waiting, decision)
+                    _answer(pending, decision)
                     return
                 change = Settled(row=requested, units=requested.units)
                 result: ClaimResult = decision
@@ -207,16 +214,17 @@
                 change = settle_void(stored=stored, requested=requested)
                 result = SettledAnswer()
         if change is None:
-            _answer(waiting, result)
+            _answer(pending, result)
             return
-        group.checks[waiting.key] = row.version if row else 0
-        group.rows[waiting.key] = change.row
+        batch.checks[pending.key] = row.version if row else 0
+        batch.rows[pending.key] = change.row
         workspace = change.row.workspace
-        group.units[workspace] = group.units.get(workspace, 0) + change.units
-        group.pending.append((waiting, result))
+        batch.units[workspace] = batch.units.get(workspace, 0) + change.units
+        batch.decided.append((pending, result))
 
-    async def _add_ledgers(self, group: _Group) -> bool:
-        for workspace, units in group.units.items():
+    async def _add_charges(self, batch: _Batch) -> bool:
+        """Add the ledger rows to charge; return whether they could be read."""
+        for workspace, units in batch.units.items():
             if units == 0:
                 continue
             key = ledger_key(workspace, self._member)
@@ -226,42 +234,42 @@
             ledger = LedgerRow(workspace=workspace, member=self._member, units=0)
             if row is not None:
                 ledger = from_plain(row.value, LedgerRow)
-            group.checks[key] = row.version if row else 0
-            group.rows[key] = replace(ledger, units=ledger.units + units)
+            batch.checks[key] = row.version if row else 0
+            batch.rows[key] = replace(ledger, units=ledger.units + units)
         return True
 
-    async def _commit(self, group: _Group) -> None:
+    async def _commit(self, batch: _Batch) -> None:
         change = Transaction(
             transaction=self._draw_id(),
-            checks=tuple(Check(key=k, version=v) for k, v in group.checks.items()),
-            puts=tuple(Put(key=k, value=to_plain(r)) for k, r in group.rows.items()),
+            checks=tuple(Check(key=k, version=v) for k, v in batch.checks.items()),
+            puts=tuple(Put(key=k, value=to_plain(r)) for k, r in batch.rows.items()),
         )
         self._on_transaction()
         match await commit_and_resolve(self._table, change):
             case Committed():
-                for waiting, result in group.pending:
-                    _answer(waiting, result)
+                for pending, result in batch.decided:
+                    _answer(pending, result)
             case Conflict():
-                self._try_again(group)
+                self._retry(batch)
             case Unavailable(reason=reason):
-                self._answer_all(group, StoreUnavailable(reason=reason))
+                self._answer_all(batch, StoreUnavailable(reason=reason))
             case unknown:
-                self._answer_all(group, ClaimUnknown(reason=unknown.reason))
+                self._answer_all(batch, ClaimUnknown(reason=unknown.reason))
 
-    def _try_again(self, group: _Group) -> None:
-        for waiting, _ in group.pending:
-            waiting.attempts += 1
-            if waiting.attempts >= MAX_ATTEMPTS:
-                _answer(waiting, StoreUnavailable(reason="too many conflicts"))
+    def _retry(self, batch: _Batch) -> None:
+        for pending, _ in batch.decided:
+            pending.attempts += 1
+            if pending.attempts >= MAX_ATTEMPTS:
+                _answer(pending, StoreUnavailable(reason="too many conflicts"))
             else:
-                self._queue.append(waiting)
+                self._queue.append(pending)
         self._wake.set()
 
-    def _answer_all(self, group: _Group, result: ClaimResult) -> None:
-        for waiting, _ in group.pending:
-            _answer(waiting, result)
+    def _answer_all(self, batch: _Batch, result: ClaimResult) -> None:
+        for pending, _ in batch.decided:
+            _answer(pending, result)
 
 
-def _answer(waiting: _Waiting, result: ClaimResult) -> None:
-    if not waiting.answer.done():
-        waiting.answer.set_result(result)
+def _answer(pending: _PendingOperation, result: ClaimResult) -> None:
+    if not pending.answer.done():
+        pending.answer.set_result(result)
--- a/mallowpond/coordination/tests/test_claims.py
+++ b/mallowpond/coordination/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""What a controller's claims count as under way."""
+"""Which claim operations a controller counts as unfinished."""
 
 import asyncio
 
@@ -8,10 +8,10 @@
 
 
 async def test_work_counts_as_waiting_until_its_transaction_has_ended():
-    """A claim's caller got no verdict when its controller was stopped as planned.
+    """A planned stop of a controller must not leave a claim without a verdict.
 
-    The stop waits until no claim waits. A claim whose transaction was under way had
-    left the queue and was not counted, so the stop went on and cancelled it.
+    The stop waits until no claim is unfinished. A claim whose transaction was under
+    way had left the queue and was not counted, so the stop cancelled its transaction.
     """
     reading, read = asyncio.Event(), asyncio.Event()
 
