--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -132,7 +132,7 @@
         limit = self._clock.now() + DETACH_SECONDS
         while self._clock.now() < limit:
             # Cut off, an operator could not know whether a change is in force.
-            asked = self._claims.waiting or self._api_server.is_busy
+            asked = self._claims.unanswered or self._api_server.is_busy
             if not self._links.gateways and not asked:
                 return
             await self._clock.sleep(DETACH_CHECK_SECONDS)
--- a/mallowpond/coordination/claims.py
+++ b/mallowpond/coordination/claims.py
@@ -135,7 +135,7 @@
         self._on_transaction = on_transaction
 
     @property
-    def waiting(self) -> int:
+    def unanswered(self) -> int:
         """Return the number of operations without an answer.
 
         The length of the queue would not do: it leaves out the operations whose
--- a/mallowpond/coordination/tests/test_claims.py
+++ b/mallowpond/coordination/tests/test_claims.py
@@ -38,8 +38,8 @@
     running = asyncio.create_task(committer.run())
     settling = asyncio.create_task(committer.submit(Void(row=row)))
     await reading.wait()
-    assert committer.waiting == 1
+    assert committer.unanswered == 1
     read.set()
     assert await settling == SettledAnswer()
-    assert committer.waiting == 0
+    assert committer.unanswered == 0
     running.cancel()
