--- a/mallowpond/node/tests/engine_model.py
+++ b/mallowpond/node/tests/engine_model.py
@@ -319,7 +319,7 @@
         if query > newest and self.listed(addressed.id) == addressed:
             self.newest_answers[addressed.id] = (query, addressed, answering)
 
-    def ended(self, process):
+    def is_superseded(self, process):
         """Return whether another process answered for one that is still listed."""
         _, addressed, answering = self.newest_answers.get(process.id, (0, None, None))
         is_listed = self.listed(process.id) == process
