--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -101,7 +101,7 @@
                 # Placed, it would crash one more group and every stream there; its
                 # caller may retry at any host.
                 return quarantined
-            refusal = self._refuse_closed(work)
+            refusal = self._refuse_unavailable(work)
             if refusal is not None:
                 return refusal
             match await self._request_slot(work):
@@ -112,7 +112,7 @@
                 case Placed(group=group) if self._availability.unavailable_groups(
                     [group]
                 ):
-                    # Its head closed admission while the stream waited.
+                    # Its head became unavailable while the stream waited.
                     self._release_grant()
                     continue
                 case Placed(group=group):
@@ -145,7 +145,7 @@
     def _avoided(self, work: StreamWork) -> frozenset[str]:
         """Return the names of the groups that a stream must not be sent to now.
 
-        It was sent there already, or the group's head admits no requests now.
+        It was sent there already, or its head is unavailable now.
         """
         if not work.sent_to and not self._availability.has_restrictions:
             return frozenset()
@@ -153,8 +153,8 @@
         used = {g.name for g in groups if g.head and g.head.process in work.sent_to}
         return self._availability.unavailable_groups(groups).union(used)
 
-    def _refuse_closed(self, work: StreamWork) -> Refusal | None:
-        """Refuse a stream if no group of its model admits requests within its patience.
+    def _refuse_unavailable(self, work: StreamWork) -> Refusal | None:
+        """Refuse a stream if no group of its model is available within its patience.
 
         A stream that has begun is not refused: it would be cut off although a group may
         form in time.
@@ -315,11 +315,11 @@
 
         def has_capacity() -> bool:
             groups = self._directory.serving_groups(service, model)
-            closed = self._availability.unavailable_groups(groups)
+            unavailable = self._availability.unavailable_groups(groups)
             loads = [
                 Candidate(key=g.name, load=self._directory.loads.load_of(g, profile))
                 for g in groups
-                if g.name not in closed
+                if g.name not in unavailable
             ]
             chosen = choose_group(
                 profile,
--- a/mallowpond/node/tests/test_streams.py
+++ b/mallowpond/node/tests/test_streams.py
@@ -213,10 +213,10 @@
     """
     rig = await make_rig("a")
     work = rig.work(FakeExchange())
-    sound = rig.service.placement.longest_seconds(work)
+    declared = rig.service.placement.longest_seconds(work)
     group_work = rig.directory.loads.work(("a", 1))
     group_work.slowness, group_work.last_event_at = 5.0, rig.clock.now()
-    passes = sound - work.route.objective_seconds
+    passes = declared - work.route.objective_seconds
     slow = rig.service.placement.longest_seconds(work)
     assert slow >= work.route.objective_seconds + 4.9 * passes
 
