--- a/mallowpond/node/peer_work.py
+++ b/mallowpond/node/peer_work.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PeerLoad:
+class PeerReport:
     """One peer's reported loads by group."""
 
     received_at: float
@@ -41,7 +41,7 @@
     """Sums of the peers' reported loads and of grants not yet in those reports."""
 
     def __init__(self) -> None:
-        self._peers: dict[str, PeerLoad] = {}
+        self._peers: dict[str, PeerReport] = {}
         self._running: Counter[GroupKey] = Counter()
         self._prefill: Counter[GroupKey] = Counter()
         self._grants: dict[str, deque[Grant]] = defaultdict(deque)
@@ -60,7 +60,7 @@
         """Record a peer's loads, which include its grants up to `grant_number`."""
         self._remove(name)
         # Kept in order of the latest report, oldest first, for expiry.
-        self._peers[name] = PeerLoad(received_at=now, loads=loads)
+        self._peers[name] = PeerReport(received_at=now, loads=loads)
         for key, (running, prefill) in loads.items():
             self._add(key, running, prefill)
         self.settle(name, grant_number, now)
