--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -6,7 +6,7 @@
 from math import exp
 
 from mallowpond.coordination.ports import Clock
-from mallowpond.node.peer_work import Grant, LoadsByGroup, PeerWork
+from mallowpond.node.peer_work import Grant, LoadsByGroup, PeerLoads
 from mallowpond.state.fleet import EngineProfile, Group, GroupKey
 from mallowpond.state.placement import GroupLoad
 
@@ -54,7 +54,7 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._work: dict[GroupKey, GroupWork] = defaultdict(GroupWork)
-        self._peers = PeerWork()
+        self._peers = PeerLoads()
         self._totals: LoadsByGroup = {}
         self._totals_at = float("-inf")
         self._published: LoadsByGroup = {}
--- a/mallowpond/node/peer_work.py
+++ b/mallowpond/node/peer_work.py
@@ -37,7 +37,7 @@
     at: float
 
 
-class PeerWork:
+class PeerLoads:
     """Sums of the peers' reported loads and of grants not yet in those reports."""
 
     def __init__(self) -> None:
