--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -8,7 +8,7 @@
 
 from mallowpond.coordination.ports import Clock, Unavailable
 from mallowpond.node.group_loads import GroupLoads
-from mallowpond.node.peer_work import LoadsByGroup
+from mallowpond.node.peer_loads import LoadsByGroup
 from mallowpond.node.ports import HistoryLost, SiteSource, TargetsRead
 from mallowpond.state.broken_groups import BrokenGroups
 from mallowpond.state.ended_processes import EndedProcesses
--- a/mallowpond/node/group_loads.py
+++ b/mallowpond/node/group_loads.py
@@ -6,7 +6,7 @@
 from math import exp
 
 from mallowpond.coordination.ports import Clock
-from mallowpond.node.peer_work import Grant, LoadsByGroup, PeerLoads
+from mallowpond.node.peer_loads import Grant, LoadsByGroup, PeerLoads
 from mallowpond.state.fleet import EngineProfile, Group, GroupKey
 from mallowpond.state.placement import GroupLoad
 
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -25,7 +25,7 @@
     decode_loads,
     encode_loads,
 )
-from mallowpond.node.peer_work import LoadsByGroup
+from mallowpond.node.peer_loads import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import TargetsRead
 from mallowpond.state.ownership import ranked_by_capacity
--- a/mallowpond/node/tests/test_dispatcher.py
+++ b/mallowpond/node/tests/test_dispatcher.py
@@ -17,7 +17,7 @@
     encode_loads,
 )
 from mallowpond.node.outcomes import Answered, Reason
-from mallowpond.node.peer_work import GRANT_TTL_SECONDS, PEER_LOAD_TTL_SECONDS
+from mallowpond.node.peer_loads import GRANT_TTL_SECONDS, PEER_LOAD_TTL_SECONDS
 from mallowpond.node.tests.fakes import (
     MODEL,
     PROFILE,
