--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -210,7 +210,7 @@
             and self._turn % STANDBY_TURNS
         ):
             return
-        # Only the first reader sends the loads; from both, they would take twice the bytes.
+        # Only the first reader sends the loads; both would send twice the bytes.
         is_first = self.names[:1] == [self._name]
         loads = (
             self._directory.loads.all_loads(self._directory.groups)
--- a/mallowpond/node/tests/test_configuration.py
+++ b/mallowpond/node/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""What a node knows of the configuration when the store fails it."""
+"""Tests of the configuration follower, mainly while the store is unavailable."""
 
 import asyncio
 from collections import deque
@@ -13,16 +13,16 @@
 from mallowpond.state.site_configuration import SiteConfiguration
 
 
-def version(number):
-    """Write a configuration."""
-    return SiteConfiguration(version=number, routes=(), services={})
+def configuration_of(version):
+    """Build a configuration with this version."""
+    return SiteConfiguration(version=version, routes=(), services={})
 
 
-def follower_of(*numbers):
-    """Build a follower of a source that holds these versions."""
+def follower_of(*versions):
+    """Build a follower of a source that returns these versions in turn."""
     clock = FakeClock()
     source = FakeSource()
-    source.configurations.extend(map(version, numbers))
+    source.configurations.extend(map(configuration_of, versions))
     follower = ConfigurationFollower(source=source, clock=clock, revoke_seconds=5.0)
     return follower, source, clock
 
@@ -64,11 +64,11 @@
 
 
 async def test_a_configuration_that_cannot_be_read_ends_the_certainty_of_the_old_one():
-    """Symptom: a key that was taken away is admitted for as long as a node runs.
+    """Guard against admitting a revoked key for as long as a node runs.
 
-    Sequence: a configuration of a shape that this program does not know replaces the
-    one in force; the store answers each later question that nothing changed since.
-    Cause: an answer without a configuration confirmed the one that was held.
+    A configuration that this program cannot decode replaces the one in force, and the
+    store answers each later question that nothing has changed since. Such an answer
+    without a configuration used to confirm the one in force.
     """
     follower, source, clock = follower_of(3)
     await follower.step()
@@ -79,7 +79,7 @@
         assert await follower.step()
     assert follower.configuration.version == 3
     assert not follower.is_confirmed
-    source.configurations.append(version(4))
+    source.configurations.append(configuration_of(4))
     await follower.step()
     assert follower.configuration.version == 4
     assert follower.is_confirmed
@@ -95,19 +95,19 @@
     assert not await follower.step()
     assert follower.configuration is None
     assert not follower.is_confirmed
-    source.configurations.append(version(4))
+    source.configurations.append(configuration_of(4))
     assert await follower.step()
     assert follower.is_confirmed
 
 
 async def test_no_question_waits_longer_than_the_bound_for_keys_bears():
-    """Symptom: where keys must go within two seconds, nearly all requests are refused.
+    """Guard against refusing nearly all requests if keys must expire within 2 s.
 
-    Sequence: a reader's question waits at the store; another host asks the reader.
-    Cause: the wait was the same whatever the bound, and longer than what it left.
+    A reader's call waits at the store while another host asks the reader. The wait was
+    the same for every bound, and longer than a short bound permits.
     """
     for bound in (1.0, 2.0, 5.0, 60.0):
-        source = FakeSource(configurations=deque([version(3)]))
+        source = FakeSource(configurations=deque([configuration_of(3)]))
         follower = ConfigurationFollower(
             source=source, clock=FakeClock(), revoke_seconds=bound
         )
@@ -118,7 +118,7 @@
 
 
 async def test_the_first_confirmed_version_ends_the_wait_for_it():
-    """Guard against refusing callers while the first read is on its way."""
+    """Guard against refusing callers while the first read is in flight."""
     follower, _, _ = follower_of(3)
     waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
     await asyncio.sleep(0)
@@ -130,7 +130,7 @@
 
 
 async def test_a_store_that_does_not_answer_ends_the_wait_for_the_first_version():
-    """Guard against holding callers who cannot be served soon."""
+    """Guard against keeping callers waiting who cannot be served soon."""
     follower, source, _ = follower_of(3)
     source.cut = True
     waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
@@ -154,7 +154,7 @@
 
 
 async def test_the_wait_for_the_first_version_is_bounded():
-    """Guard against holding callers for as long as a read hangs."""
+    """Guard against keeping callers waiting for as long as a read hangs."""
     follower, _, _ = follower_of(3)
     async with asyncio.timeout(1.0):
         await follower.wait_for_first_version(0.01)
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -49,7 +49,7 @@
     member,
     open_group,
 )
-from mallowpond.node.tests.test_configuration import version
+from mallowpond.node.tests.test_configuration import configuration_of
 from mallowpond.standins.platform import MemoryTable
 from mallowpond.state.ownership import ranked_owners
 
@@ -120,7 +120,7 @@
     """Build a host that follows others and has read the list and version 1."""
     names = (f"n{number}" for number in range(50))
     host = Host()
-    host.source.configurations.append(version(1))
+    host.source.configurations.append(configuration_of(1))
     await host.configuration.step()
     host.source.listed.append(listing(*targets, revision=10))
     await host.directory.refresh()
@@ -328,7 +328,7 @@
 async def reader_of(*reads):
     """Build a host that reads, and have it make these reads of the list."""
     host = Host()
-    host.source.configurations.append(version(1))
+    host.source.configurations.append(configuration_of(1))
     await host.configuration.step()
     host.readers.step()
     host.source.listed = deque(reads)
@@ -479,7 +479,7 @@
 
 async def test_a_reader_passes_on_what_changed_after_the_last_change():
     host = Host()
-    host.source.configurations.append(version(1))
+    host.source.configurations.append(configuration_of(1))
     await host.configuration.step()
     host.readers.step()
     host.source.listed = deque(
@@ -528,7 +528,7 @@
     assert host.configuration._may_ask_readers()
     host.hear(digest(last_change=10, number=2))
     assert not host.configuration._may_ask_readers()
-    host.source.configurations.append(version(2))
+    host.source.configurations.append(configuration_of(2))
     await host.configuration.step()
     assert host.configuration.configuration.version == 2
     assert host.configuration._may_ask_readers()
@@ -546,7 +546,7 @@
 
 async def test_a_reader_answers_with_the_age_of_its_own_certainty():
     host = Host()
-    host.source.configurations.append(version(3))
+    host.source.configurations.append(configuration_of(3))
     await host.configuration.step()
     host.clock.time += 0.7
     host.hear(VersionQuestion(node="b", number=5))
@@ -599,7 +599,7 @@
 
 async def test_all_hosts_try_again_as_soon_as_one_reaches_the_store():
     host = Host("n5")
-    host.source.configurations.append(version(1))
+    host.source.configurations.append(configuration_of(1))
     await host.configuration.step()
     names = [f"n{number}" for number in range(9) if number != 5]
     host.hear(*(beat(other, store=False) for other in names))
@@ -641,7 +641,10 @@
     """Build a host that reads, and has read this version."""
     host = Host("n0")
     read = ConfigurationRead(
-        revision=5, configuration=version(number), changed=True, document=document
+        revision=5,
+        configuration=configuration_of(number),
+        changed=True,
+        document=document,
     )
     host.source.reads.append(read)
     await host.configuration.step()
@@ -691,7 +694,7 @@
 
 async def test_a_configuration_that_got_lost_on_its_way_is_read_from_the_store():
     host = await follower()
-    host.source.configurations.append(version(2))
+    host.source.configurations.append(configuration_of(2))
     following = asyncio.create_task(host.configuration.run())
     began = host.clock.time
     host.hear(digest(last_change=10, number=2))
