--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""What a node believes of its targets when the list lies or is silent."""
+"""Tests of the directory, mainly while the list is stale or unavailable."""
 
 from collections import deque
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 async def directory_of(*answers):
-    """Build a directory that read the first answer."""
+    """Build a directory that has read the first of these answers."""
     clock = FakeClock()
     source = FakeSource(listed=deque(answers))
     directory = Directory(source=source, clock=clock)
@@ -33,16 +33,16 @@
 
 
 def serving(directory):
-    """Return the names of the groups that get streams."""
+    """Return the names of the groups that may get streams."""
     return {g.name for g in directory.serving_groups("engines", "m")}
 
 
 async def test_entries_that_lapsed_during_an_outage_are_kept_for_a_while():
-    """Symptom: nothing is served for two seconds after the store's return.
+    """Guard against serving nothing for two seconds after an outage of the store.
 
-    Sequence: the store is down longer than entries live; at its return the list is
-    empty, until every engine has written its entry again.
-    Cause: a missing entry was taken for a target that is gone.
+    The store is down for longer than entries live, so the list is empty until every
+    engine has written its entry again. A missing entry was taken for a target that has
+    left.
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
@@ -60,10 +60,10 @@
 
 
 async def test_a_head_that_fell_out_of_the_list_gets_streams_only_while_vouched_for():
-    """Symptom: a target that leaves gets new requests seconds after it said so.
+    """Guard against new requests to a target seconds after it announced its leaving.
 
-    Sequence: its entry is removed without a word, as that of one that is cut off.
-    Cause: the list does not tell the two apart, and both were used on.
+    Its entry disappears, like that of a target that is cut off. The list does not tell
+    the two apart, and both were still used.
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
@@ -99,10 +99,10 @@
 
 
 async def test_a_group_that_was_slow_is_tried_again():
-    """Symptom: a group that has recovered gets no streams for the rest of the day.
+    """Guard against sending no streams to a recovered group for the rest of the day.
 
-    Sequence: it was slow, so all streams went elsewhere, and nothing came from it.
-    Cause: only its own events could show that it is fast again.
+    It was slow, so all streams went elsewhere and it produced no events; but only its
+    own events could show that it is fast again.
     """
     directory, _, clock = await directory_of(listing(*open_group("g")))
     work = directory.loads.work(("g", 1))
@@ -125,11 +125,11 @@
 async def test_a_target_whose_entry_cannot_be_read_is_dropped_for_good(
     whole, lapsed_before
 ):
-    """Symptom: streams go on to an engine by what an older entry said of it.
+    """Guard against sending streams to an engine on the strength of an older entry.
 
-    Sequence: the entry of an open group's head is replaced by one that cannot be
-    read; a probe finds that something healthy answers at the old address.
-    Cause: the target counted as fallen silent, which a probe makes up for.
+    The entry of an open group's head is replaced by one that cannot be decoded, and a
+    probe finds something healthy at the old address. The target counted as silent, so
+    the probe brought it back into use.
     """
     head, other = open_group("g")
     directory, source, clock = await directory_of(listing(head, other))
@@ -137,8 +137,8 @@
         source.listed.append(listing(revision=2, removed=("g0",), whole=False))
         await directory.refresh()
     clock.time += 20.0 if whole else 0.0
-    bad = replace(listing(other, revision=9, whole=whole), unreadable=("g0",))
-    source.listed.append(bad)
+    unreadable = replace(listing(other, revision=9, whole=whole), unreadable=("g0",))
+    source.listed.append(unreadable)
     await directory.refresh()
     directory.record_healthy("g0")
     assert serving(directory) == set()
@@ -151,8 +151,8 @@
     source.cut = True
     await directory.refresh()
     source.cut = False
-    bad = replace(listing(revision=9, whole=False), unreadable=("g0",))
-    source.listed.append(bad)
+    unreadable = replace(listing(revision=9, whole=False), unreadable=("g0",))
+    source.listed.append(unreadable)
     await directory.refresh()
     assert set(directory.targets) == {"g1"}
 
@@ -160,43 +160,43 @@
 async def test_readers_pass_on_which_entries_cannot_be_read():
     head, other = open_group("g")
     directory, source, _ = await directory_of(listing(head, other))
-    passed_on = []
-    directory.on_change_read.append(lambda read, previous: passed_on.append(read))
-    bad = replace(listing(revision=9, whole=False), unreadable=("g0",))
-    source.listed.append(bad)
+    published = []
+    directory.on_change_read.append(lambda read, previous: published.append(read))
+    unreadable = replace(listing(revision=9, whole=False), unreadable=("g0",))
+    source.listed.append(unreadable)
     await directory.refresh()
-    assert passed_on == [bad]
+    assert published == [unreadable]
     follower, _, _ = await directory_of(listing(head, other))
-    follower.apply_change(bad, previous=1)
+    follower.apply_change(unreadable, previous=1)
     assert set(follower.targets) == {"g1"}
 
 
 async def test_an_entry_that_lacks_the_start_that_others_tell_names_no_target():
-    """Symptom: work is sent to an address where no target is, or to one that another
-    writer has named.
+    """Guard against sending work to an address that is not a target's.
 
-    Sequence: targets tell their starts; an entry that tells none comes under a new id,
-    then under the id of a listed target.
-    Cause: a start that is missing was taken for a platform where none is told.
+    Targets report their start times. An entry of another writer without one appears
+    under a new id, then under the id of a listed target. Its missing start time was
+    taken to mean that the platform reports none.
     """
-    told = [replace(t, born=5) for name in "gh" for t in open_group(name)]
-    directory, source, _ = await directory_of(listing(*told))
-    foreign = replace(told[0], id="x", membership=None, born=None)
+    targets = [replace(t, born=5) for name in "gh" for t in open_group(name)]
+    directory, source, _ = await directory_of(listing(*targets))
+    foreign = replace(targets[0], id="x", membership=None, born=None)
     source.listed.append(listing(foreign, revision=2, whole=False))
     await directory.refresh()
     assert "x" not in directory.targets
-    source.listed.append(listing(replace(told[0], born=None), revision=3, whole=False))
+    source.listed.append(
+        listing(replace(targets[0], born=None), revision=3, whole=False)
+    )
     await directory.refresh()
     assert set(directory.targets) == {"g1", "h0", "h1"}
     assert serving(directory) == {"h"}
 
 
 async def test_targets_of_a_platform_that_tells_no_starts_are_used():
-    """Symptom: nothing is served although every target is listed and well.
+    """Guard against serving nothing although every target is listed and healthy.
 
-    Sequence: targets write entries without a start; another writer puts one with a
-    start beside them.
-    Cause: the start was taken for a field that no entry may lack.
+    Targets write entries without a start time, and another writer adds one that has it.
+    The start time was treated as a field that no entry may lack.
     """
     group, other = (
         [replace(target, born=None) for target in open_group(name)] for name in "gh"
@@ -210,10 +210,10 @@
 
 
 async def test_a_broken_group_is_used_again_only_when_it_is_listed_anew():
-    """Symptom: a head that refused all streams draws them again every few seconds.
+    """Guard against a head that refuses streams but attracts them every few seconds.
 
-    Sequence: the list is read whole again; it still holds the entry of before.
-    Cause: an entry that was known when the head refused counted as news of it.
+    A full read of the list still contains the old entry. An entry that was known when
+    the head refused counted as newer information about it.
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
@@ -233,11 +233,10 @@
 
 
 async def test_a_broken_group_is_used_again_when_a_late_whole_read_still_shows_it():
-    """Symptom: a group that is sound gets no streams for the rest of the day.
+    """Guard against sending no streams to a sound group for the rest of the day.
 
-    Sequence: its head refuses a stream, closes and opens again between two reads, and
-    the feed says nothing of it.
-    Cause: only a change of its entry could bring it back.
+    Its head refuses a stream, then closes and opens again between two reads, and the
+    feed reports no change. Only a change of its entry could readmit it.
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
@@ -253,8 +252,8 @@
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
     directory.mark_broken(directory.groups["g", 1], BreakCause.REFUSED)
-    place = replace(group[0].membership, phase=GroupPhase.CLOSING)
-    closing = replace(group[0], membership=place)
+    membership = replace(group[0].membership, phase=GroupPhase.CLOSING)
+    closing = replace(group[0], membership=membership)
     directory.apply_change(TargetsRead(revision=3, targets=(closing,)), previous=1)
     assert directory.is_broken(("g", 1))
     directory.apply_change(TargetsRead(revision=4, targets=(group[0],)), previous=3)
@@ -262,32 +261,32 @@
 
 
 def restarted(target, **more):
-    """Write the entry of a process that started under the id of another."""
+    """Build the entry of a later process that started under the same id."""
     return replace(target, **{"born": target.born + 1, "membership": None, **more})
 
 
 def change(revision, *targets):
-    """Write a change of the list."""
+    """Build a change of the list."""
     return TargetsRead(revision=revision, targets=targets)
 
 
 async def test_a_group_is_broken_when_any_member_started_again():
-    """Symptom: streams hang at a group until it is declared dead, seconds later.
+    """Guard against streams that hang at a group until it is declared dead.
 
-    Sequence: a member that is not the head starts again under its id; the list shows
-    its new process without a group. The head is listed open all the while, also anew.
-    Cause: the entry was taken for a change of the same process, and the group for
-    whole without it.
+    A member other than the head restarts under its id, and the list shows its new
+    process without a group, while the head remains listed as open and its entry even
+    changes. The member's entry was taken for a change of the same process, and the
+    group for complete without it.
     """
     for rank in (0, 1):
         group = open_group("g")
         directory, _, _ = await directory_of(listing(*group))
         broken = []
-        directory.on_broken.append(lambda *told, seen=broken: seen.append(told))
+        directory.on_broken.append(lambda *args, seen=broken: seen.append(args))
         directory.apply_change(change(2, restarted(group[rank])), previous=1)
         assert serving(directory) == set()
-        ((of, cause, is_known_to_peers),) = broken
-        assert (of.key, cause, is_known_to_peers) == (
+        ((broken_group, cause, is_known_to_peers),) = broken
+        assert (broken_group.key, cause, is_known_to_peers) == (
             ("g", 1),
             BreakCause.RESTARTED,
             True,
@@ -300,23 +299,25 @@
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
     directory.apply_change(change(2, *map(restarted, group)), previous=1)
-    places = [replace(t.membership, epoch=2) for t in group]
-    anew = [restarted(t, membership=p) for t, p in zip(group, places, strict=True)]
-    directory.apply_change(change(3, *anew), previous=2)
+    memberships = [replace(t.membership, epoch=2) for t in group]
+    reformed = [
+        restarted(t, membership=m) for t, m in zip(group, memberships, strict=True)
+    ]
+    directory.apply_change(change(3, *reformed), previous=2)
     assert [g.key for g in directory.serving_groups("engines", "m")] == [("g", 2)]
 
 
 async def test_what_a_restarted_target_says_counts_before_the_list_shows_it():
-    """Symptom: streams go to a group for seconds after a member said it holds nothing.
+    """Guard against streams to a group for seconds after a member reported a restart.
 
-    Sequence: a member starts again; the list still holds the entry of before, and
-    holds it with some change once more, written before the restart.
-    Cause: what a target says of itself was used only while the list was lost.
+    The list still contains the member's old entry, and then a changed one that was
+    written before the restart. What a target reports about itself was used only while
+    the list could not be read.
     """
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
     broken = []
-    directory.on_broken.append(lambda *told: broken.append(told[1:]))
+    directory.on_broken.append(lambda *args: broken.append(args[1:]))
     directory.apply_report(restarted(group[1]))
     assert serving(directory) == set()
     assert broken == [(BreakCause.RESTARTED, False)]
@@ -326,17 +327,19 @@
 
 
 async def test_a_late_report_of_the_earlier_process_changes_nothing():
-    """Symptom: a group that is sound gets no streams.
+    """Guard against sending no streams to a sound group.
 
-    Sequence: a target starts again and its group is formed anew; a report that the
-    earlier process had given arrives, while the list is lost too.
-    Cause: reports were taken without looking whose they were.
+    A target restarts and its group is formed again. Then a report of the earlier
+    process arrives, also while the list cannot be read. Reports were applied without a
+    check of the process they came from.
     """
     group = open_group("g")
     directory, source, _ = await directory_of(listing(*group))
-    places = [replace(t.membership, epoch=2) for t in group]
-    anew = [restarted(t, membership=p) for t, p in zip(group, places, strict=True)]
-    directory.apply_change(change(2, *anew), previous=1)
+    memberships = [replace(t.membership, epoch=2) for t in group]
+    reformed = [
+        restarted(t, membership=m) for t, m in zip(group, memberships, strict=True)
+    ]
+    directory.apply_change(change(2, *reformed), previous=1)
     before = dict(directory.targets)
     for is_lost in (False, True):
         source.cut = is_lost
@@ -347,11 +350,11 @@
 
 
 async def test_a_process_that_the_list_still_shows_later_is_believed_again():
-    """Symptom: a target is never used again, though it lives.
+    """Guard against never using a live target again.
 
-    Sequence: an answer of an earlier process is taken for that of a later one; no
-    other entry follows, since the listed process is the present one.
-    Cause: what was said of a process once stood for ever.
+    An answer of an earlier process is taken for that of a later one. No other entry
+    follows, as the listed process is the current one. A process once recorded as ended
+    remained so for ever.
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
@@ -364,11 +367,11 @@
 
 
 async def test_who_vouched_for_a_process_did_not_vouch_for_the_next():
-    """Symptom: a head that just started again gets streams although it is unlisted.
+    """Guard against streams to an unlisted head that has just restarted.
 
-    Sequence: an unlisted head is found healthy; it starts again, is listed open in a
-    new group, and falls out of the list a moment later.
-    Cause: what was known of the process was kept under the id.
+    A probe finds an unlisted head healthy. The head restarts, is listed as open in a
+    new group, and disappears from the list a moment later. The result of the probe was
+    stored by id, not by process.
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
@@ -376,8 +379,8 @@
     directory.apply_change(gone, previous=1)
     directory.record_healthy("g0")
     assert serving(directory) == {"g"}
-    anew = [restarted(t, membership=replace(t.membership, epoch=2)) for t in group]
-    directory.apply_change(change(3, *anew), previous=2)
+    reformed = [restarted(t, membership=replace(t.membership, epoch=2)) for t in group]
+    directory.apply_change(change(3, *reformed), previous=2)
     directory.apply_change(replace(gone, revision=4), previous=3)
     assert directory.targets["g0"].lapsed
     assert serving(directory) == set()
@@ -405,17 +408,17 @@
 
 
 async def test_the_list_decides_which_process_is_present():
-    """Symptom: a target that the list shows is not used.
+    """Guard against not using a target that the list shows.
 
-    Sequence: the clock of its host is set back while it starts again twice, so the
-    third process has the time of the first.
-    Cause: what was noted of the first one stood against a later entry of the list.
+    The clock of its host is set back while it restarts twice, so the third process has
+    the start time of the first. The record that the first one had ended outweighed a
+    later entry of the list.
     """
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
     directory.apply_change(change(2, *map(restarted, group)), previous=1)
-    places = [replace(t.membership, epoch=3) for t in group]
-    third = [replace(t, membership=p) for t, p in zip(group, places, strict=True)]
+    memberships = [replace(t.membership, epoch=3) for t in group]
+    third = [replace(t, membership=m) for t, m in zip(group, memberships, strict=True)]
     directory.apply_change(change(3, *third), previous=2)
     assert [g.key for g in directory.serving_groups("engines", "m")] == [("g", 3)]
     assert directory.count_present([t.process for t in third]) == 2
@@ -423,11 +426,11 @@
 
 @pytest.mark.parametrize("name", ["a", "z"])
 async def test_an_entry_of_another_service_takes_no_place_in_a_group(name):
-    """Symptom: an open group gets no streams, though all its engines are well.
+    """Guard against sending no streams to an open group whose engines are all healthy.
 
-    Sequence: another writer's entry, whole but of a service that nobody knows, names
-    the group, and its head's rank.
-    Cause: whoever named a group was taken for a member, and might become its head.
+    An entry of another writer, complete but of an unknown service, names the group and
+    the rank of its head. Every entry that named a group was taken for a member, and
+    could become its head.
     """
     group = open_group("g")
     foreign = replace(group[0], id=name, service="nowhere")
@@ -440,11 +443,10 @@
 
 
 async def test_a_group_listed_late_with_a_member_that_is_gone_gets_no_streams():
-    """Symptom: streams hang at a group that has just been listed.
+    """Guard against streams that hang at a group that has just been listed.
 
-    Sequence: a member says itself that it started again; then the list shows a group
-    that its earlier process had joined before.
-    Cause: only the group of which the node had known was taken out of use.
+    A member reports its own restart; then the list shows a group that its earlier
+    process had joined. Only the group that the node already knew was taken out of use.
     """
     group = open_group("g")
     directory, _, _ = await directory_of(listing(*group))
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Messages between nodes, whole, doubled, or broken."""
+"""Tests of the messages between nodes, valid and malformed, and of their exchange."""
 
 import zlib
 from dataclasses import dataclass, fields, replace
@@ -65,17 +65,17 @@
 
 @dataclass(kw_only=True)
 class FakeTransport:
-    """Remember where datagrams went."""
+    """Transport that records the addresses of datagrams."""
 
     sent: list
 
     def sendto(self, data, address):
-        """Note one datagram."""
+        """Record the address of one datagram."""
         self.sent.append(address)
 
 
-def beat(node="b", **more):
-    """Write a heartbeat."""
+def heartbeat_of(node="b", **changes):
+    """Build a heartbeat."""
     return Heartbeat(
         node=node,
         incarnation="1",
@@ -86,17 +86,17 @@
         stopping=False,
         planning=0,
         loads=encode_loads(LOADS),
-        **more,
+        **changes,
     )
 
 
 def encode(message):
-    """Return a message as it goes over the wire."""
+    """Encode a message as an uncompressed datagram."""
     return cbor2.dumps([type(message).__name__, to_compact(message)])
 
 
 def network(table=None):
-    """Build a node's network that is not bound to a port."""
+    """Build a peer network that is not bound to a port."""
     clock = FakeClock()
     peers = PeerNetwork(
         name="a",
@@ -104,36 +104,36 @@
         address="127.0.0.1:8",
         table=table or MemoryTable(),
         clock=clock,
-        make_heartbeat=lambda: beat("a"),
+        make_heartbeat=lambda: heartbeat_of("a"),
     )
     return peers, clock
 
 
 def test_each_kind_of_message_arrives():
     peers, _ = network()
-    heard, suspected, vouched = [], [], []
-    peers.on_heartbeat.append(heard.append)
-    peers.on_suspicion.append(suspected.append)
-    peers.on_target_healthy.append(vouched.append)
+    heartbeats, suspicions, healthy = [], [], []
+    peers.on_heartbeat.append(heartbeats.append)
+    peers.on_suspicion.append(suspicions.append)
+    peers.on_target_healthy.append(healthy.append)
     suspicion = Suspicion(node="b", group="g", epoch=3, closing=True)
-    for message in (beat(), suspicion, Vouch(node="b", targets=("t",))):
+    for message in (heartbeat_of(), suspicion, Vouch(node="b", targets=("t",))):
         peers.datagram_received(encode(message), SENDER)
-    assert decode_loads(heard[0]) == LOADS
-    assert suspected == [suspicion]
-    assert vouched == ["t"]
+    assert decode_loads(heartbeats[0]) == LOADS
+    assert suspicions == [suspicion]
+    assert healthy == ["t"]
     assert peers.host_count == 2
 
 
 def test_a_silent_peer_counts_no_more():
     peers, clock = network()
-    peers.datagram_received(encode(beat()), SENDER)
+    peers.datagram_received(encode(heartbeat_of()), SENDER)
     clock.time += GONE_SECONDS + 0.1
     assert peers.host_count == 1
 
 
 def test_a_nodes_own_message_is_no_peer():
     peers, _ = network()
-    peers.datagram_received(encode(beat("a")), SENDER)
+    peers.datagram_received(encode(heartbeat_of("a")), SENDER)
     assert peers.host_count == 1
 
 
@@ -155,41 +155,41 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        make_heartbeat=beat,
+        make_heartbeat=heartbeat_of,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
 
 
 def test_in_a_large_fleet_each_peer_hears_less_often():
-    """Symptom: nodes spend most of their network on heartbeats.
+    """Guard against nodes that spend most of their bandwidth on heartbeats.
 
-    Sequence: the fleet grows to hundreds of nodes, each telling each other.
-    Cause: the pause between heartbeats did not follow from their number.
+    The fleet grows to hundreds of nodes, and each sends heartbeats to each other one.
+    The interval between heartbeats did not depend on the number of nodes.
     """
     peers, _ = network()
-    few = peers.interval
+    small_fleet_interval = peers.interval
     peers.is_candidate = False
     for number in range(380):
         peers._addresses[str(number)] = "127.0.0.1:1"
     assert peers.interval > 5.0
-    assert few <= 0.1
+    assert small_fleet_interval <= 0.1
 
 
 def test_a_host_of_a_large_fleet_hears_no_more_than_it_did_at_one_pace():
-    """Symptom: the few hosts that tell often cost the others what the many save.
+    """Guard against few hosts whose heartbeats cost the others what the many save.
 
-    Sequence: four hosts of 380 tell how they are at a faster pace.
-    Cause: their pace was chosen without counting what each host then hears.
+    Four hosts of 380 send heartbeats at a higher rate. That rate did not take into
+    account how many heartbeats each host then receives.
     """
     peers, _ = network()
     for number in range(380):
         peers._addresses[str(number)] = "127.0.0.1:1"
-    seldom = 1 / CANDIDATE_HEARTBEATS_PER_SECOND
-    assert peers.interval == 380 * seldom
-    often = 4 / peers.interval
+    seconds_per_peer = 1 / CANDIDATE_HEARTBEATS_PER_SECOND
+    assert peers.interval == 380 * seconds_per_peer
+    candidate_rate = 4 / peers.interval
     peers.is_candidate = False
-    assert often + 376 / peers.interval < MAX_HEARTBEATS_PER_SECOND / 2
+    assert candidate_rate + 376 / peers.interval < MAX_HEARTBEATS_PER_SECOND / 2
 
 
 TARGET = Target(
@@ -209,7 +209,7 @@
     age=2.0,
 )
 MESSAGES_OF_EACH_KIND = (
-    beat(),
+    heartbeat_of(),
     Suspicion(node="b", group="g", epoch=3),
     GroupBroken(
         node="b",
@@ -276,8 +276,8 @@
         ),
     ),
 )
-# What is no value of any field, by its type.
-WRONG = {
+# Invalid values of fields, by the type of the field.
+INVALID_VALUES = {
     str: (7, None, True, [], {}, b"x", "a\nb", "x" * 2000),
     bool: (7, None, "x", []),
     int: ("4", None, True, 1.5, -1, 2**60, []),
@@ -291,26 +291,26 @@
 }
 
 
-def spoilt_messages():
-    """Yield each message with one field that is no value of its type."""
+def invalid_messages():
+    """Yield each message with one field whose value is invalid for its type."""
     for message in MESSAGES_OF_EACH_KIND:
         name, plain = type(message).__name__, to_compact(message)
-        for place, field in enumerate(fields(message)):
+        for index, field in enumerate(fields(message)):
             value = getattr(message, field.name)
-            for wrong in WRONG[type(value)]:
-                changed = [*plain[:place], wrong, *plain[place + 1 :]]
-                case = f"{name}-{field.name}-{wrong!r:.20}"
+            for invalid in INVALID_VALUES[type(value)]:
+                changed = [*plain[:index], invalid, *plain[index + 1 :]]
+                case = f"{name}-{field.name}-{invalid!r:.20}"
                 yield pytest.param(name, changed, id=case)
 
 
-def listening():
-    """Build a network that remembers all that it takes."""
+def recording_network():
+    """Build a network that records all messages that it accepts."""
     peers, _ = network()
-    taken = []
+    accepted = []
     for name, listeners in vars(peers).items():
         if name.startswith("on_"):
-            listeners.append(taken.append)
-    return peers, taken
+            listeners.append(accepted.append)
+    return peers, accepted
 
 
 def test_all_kinds_of_messages_are_tried():
@@ -322,17 +322,17 @@
     assert read_message(encode(message)) == message
 
 
-@pytest.mark.parametrize(("name", "plain"), list(spoilt_messages()))
+@pytest.mark.parametrize(("name", "plain"), list(invalid_messages()))
 def test_a_message_with_one_wrong_field_is_not_taken(name, plain):
-    """Symptom: a node takes peers for dead, or its planner for overruled, at random.
+    """Guard against nodes that take peers for dead or lose the lead at random.
 
-    Sequence: a datagram of another program, or of another version of this one, has a
-    field of another type or out of range.
-    Cause: fields were converted to their type, or compared as they came.
+    A datagram of another program, or of another version of this one, has a field of
+    another type or out of range. Fields were converted to their type, or compared
+    without a check.
     """
-    peers, taken = listening()
+    peers, accepted = recording_network()
     peers.datagram_received(cbor2.dumps([name, plain]), SENDER)
-    assert taken == []
+    assert accepted == []
     assert peers.host_count == 1
 
 
@@ -340,38 +340,39 @@
     "address", ["", "x", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:65536"]
 )
 def test_a_peers_bad_address_does_not_stop_the_messages_to_the_others(address):
-    """Symptom: a node falls silent towards all others, and they take it for dead.
+    """Guard against a node that stops sending and is taken for dead by all others.
 
-    Sequence: a heartbeat or a row names an address without a port.
-    Cause: the address was split when a message was sent, in the task that sends
-    heartbeats, which ended by it.
+    A heartbeat or a row contains an address without a port. The address was split when
+    a message was sent, and the exception ended the task that sends heartbeats.
     """
     peers, _ = network()
     sent = []
     peers._transport = FakeTransport(sent=sent)
-    peers.datagram_received(encode(replace(beat("c"), address=address)), SENDER)
-    peers.datagram_received(encode(beat("b")), SENDER)
+    peers.datagram_received(encode(replace(heartbeat_of("c"), address=address)), SENDER)
+    peers.datagram_received(encode(heartbeat_of("b")), SENDER)
     peers.broadcast(Advance(node="a", group="g", epoch=1))
     assert sent == [("127.0.0.1", 9)]
 
 
 def test_a_peers_name_as_address_is_never_looked_up():
     peers, _ = network()
-    peers.datagram_received(encode(replace(beat(), address="peer.example:9")), SENDER)
+    peers.datagram_received(
+        encode(replace(heartbeat_of(), address="peer.example:9")), SENDER
+    )
     assert peers.host_count == 1
 
 
 @pytest.mark.parametrize("interval", [0.0, 1e6])
 def test_a_peer_cannot_be_silent_for_ever_and_count_as_alive(interval):
     peers, _ = network()
-    peers.datagram_received(encode(beat(interval=interval)), SENDER)
+    peers.datagram_received(encode(heartbeat_of(interval=interval)), SENDER)
     assert peers.host_count == 1
 
 
 def test_a_listener_that_fails_does_not_end_the_listening():
     peers, _ = network()
     peers.on_heartbeat.append(lambda heartbeat: 1 / 0)
-    peers.datagram_received(encode(beat()), SENDER)
+    peers.datagram_received(encode(heartbeat_of()), SENDER)
     assert peers.host_count == 2
 
 
@@ -386,10 +387,10 @@
 
 @pytest.mark.parametrize("value", BAD_NODE_ROWS)
 async def test_a_row_that_cannot_be_read_leaves_the_other_nodes(value):
-    """Symptom: nodes that start do not find one another.
+    """Guard against starting nodes that do not discover each other.
 
-    Sequence: another writer puts a row among the nodes' rows.
-    Cause: its decoding raised, and the task that reads the rows ended.
+    Another writer puts a row among the nodes' rows. Decoding it raised an exception,
+    which ended the task that reads the rows.
     """
     table = MemoryTable()
     table.apply(Transaction(transaction="x", puts=(Put(key="nodes/0", value=value),)))
@@ -401,7 +402,7 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        make_heartbeat=beat,
+        make_heartbeat=heartbeat_of,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
@@ -425,17 +426,17 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=100) | VALUES.map(cbor2.dumps))
 def test_no_bytes_and_no_value_are_taken_for_a_message(data):
-    peers, taken = listening()
+    peers, accepted = recording_network()
     peers.datagram_received(data, SENDER)
-    assert taken == []
+    assert accepted == []
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(st.sampled_from(MESSAGES_OF_EACH_KIND), st.data())
 def test_a_message_with_one_changed_field_is_whole_or_left_out(message, data):
     plain = list(to_compact(message))
-    place = data.draw(st.integers(0, len(plain) - 1))
-    plain[place] = data.draw(VALUES)
+    index = data.draw(st.integers(0, len(plain) - 1))
+    plain[index] = data.draw(VALUES)
     found = read_message(cbor2.dumps([type(message).__name__, plain]))
     if isinstance(found, Unreadable):
         return
@@ -460,9 +461,9 @@
     ],
 )
 def test_a_datagram_made_to_cost_much_is_left_out(data):
-    peers, taken = listening()
+    peers, accepted = recording_network()
     peers.datagram_received(data, SENDER)
-    assert taken == []
+    assert accepted == []
 
 
 def test_a_sum_of_work_just_below_nothing_leaves_the_message_readable():
@@ -473,8 +474,8 @@
 
 def test_the_word_of_a_broken_group_names_the_process_of_its_head():
     peers, _ = network()
-    heard = []
-    peers.on_group_broken.append(heard.append)
+    messages = []
+    peers.on_group_broken.append(messages.append)
     message = GroupBroken(
         node="b",
         group="g",
@@ -483,17 +484,17 @@
         cause=BreakCause.REFUSED,
     )
     peers.datagram_received(encode(message), SENDER)
-    assert heard == [message]
+    assert messages == [message]
 
 
 def test_a_large_message_is_compressed_and_read_as_it_was_sent():
-    """Symptom: hosts miss changes of the list, and each reads it from the store.
+    """Guard against hosts that miss changes of the list and read it from the store.
 
-    Sequence: 500 targets change at once; nine datagrams of 7 KB go to 43 hosts.
-    Cause: entries that are mostly alike were sent in full, and filled the link.
+    500 targets change at once, and nine datagrams of 7 KB go to 43 hosts.
+    Entries that are mostly alike were sent uncompressed, and filled the link.
     """
-    many = tuple(replace(TARGET, id=f"t{number}") for number in range(60))
-    change = ListChange(node="b", previous=3, revision=4, targets=many, removed=())
+    targets = tuple(replace(TARGET, id=f"t{number}") for number in range(60))
+    change = ListChange(node="b", previous=3, revision=4, targets=targets, removed=())
     data = write_message(change)
     assert len(data) < 0.35 * len(encode(change))
     assert read_message(data) == change
@@ -503,28 +504,28 @@
     "data",
     [
         zlib.compress(b"0" * 10_000_000),
-        zlib.compress(encode(beat()))[:-4],
+        zlib.compress(encode(heartbeat_of()))[:-4],
         b"\x78junk",
     ],
 )
 def test_what_cannot_be_unpacked_is_left_out(data):
-    peers, taken = listening()
+    peers, accepted = recording_network()
     peers.datagram_received(data, SENDER)
-    assert taken == []
+    assert accepted == []
 
 
 def test_a_node_that_was_never_heard_is_not_known_to_be_gone():
     peers, clock = network()
     assert not peers.has_stopped_planning("b", "1")
-    peers.datagram_received(encode(beat()), SENDER)
-    assert not peers.has_stopped_planning("b", beat().incarnation)
+    peers.datagram_received(encode(heartbeat_of()), SENDER)
+    assert not peers.has_stopped_planning("b", heartbeat_of().incarnation)
     assert peers.has_stopped_planning("b", "another")
     clock.time += GONE_SECONDS + 0.1
-    assert peers.has_stopped_planning("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", heartbeat_of().incarnation)
 
 
-@pytest.mark.parametrize("said", [{"store": False}, {"stopping": True}])
-def test_a_node_that_cannot_plan_is_gone_for_the_lease(said):
+@pytest.mark.parametrize("change", [{"store": False}, {"stopping": True}])
+def test_a_node_that_cannot_plan_is_gone_for_the_lease(change):
     peers, _ = network()
-    peers.datagram_received(encode(replace(beat(), **said)), SENDER)
-    assert peers.has_stopped_planning("b", beat().incarnation)
+    peers.datagram_received(encode(replace(heartbeat_of(), **change)), SENDER)
+    assert peers.has_stopped_planning("b", heartbeat_of().incarnation)
