--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -16,7 +16,7 @@
 )
 from mallowpond.coordination.store import (
     TypedPut,
-    commit_settled,
+    commit_and_resolve,
     new_id,
     transaction,
 )
@@ -221,7 +221,7 @@
         lease = LeaseRow(holder=self._name, incarnation=self._incarnation, fence=fence)
         put = TypedPut(key=LEASE_KEY, value=lease, expect=expect)
         change = transaction(new_id(self._rng), put)
-        outcome = await commit_settled(self._table, change)
+        outcome = await commit_and_resolve(self._table, change)
         match outcome:
             case Committed(version=version):
                 self._version = version
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -122,7 +122,7 @@
             clock=clock,
             metrics=self.metrics,
             budget=self._budget,
-            hosts=lambda: self.peers.hosts,
+            hosts=lambda: self.peers.host_count,
             rng=self._rng,
             quarantine=quarantine,
             availability=availability,
@@ -392,7 +392,7 @@
         """Tell a newer version at once; in a large fleet only the readers do."""
         if not self.peers.is_large_fleet:
             self.peers.broadcast(self._describe())
-        elif self.readers.reads:
+        elif self.readers.is_reader:
             self.readers.step()
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -127,7 +127,7 @@
         """An order is for the process that is known to be the present one."""
         process = step.target.process
         is_present = self._listed(process.id) == process
-        is_present = is_present and not self.targets.ended(process)
+        is_present = is_present and not self.targets.is_superseded(process)
         self._check(is_present, step, "another process")
 
     def _check_members(self, step, expected):
@@ -143,7 +143,7 @@
             meant = self.meant.get(key, {p.id: p for p in self.seen[key]})
         for name, process in meant.items():
             is_same = self._listed(name) in (process, None)
-            is_same = is_same and not self.targets.ended(process)
+            is_same = is_same and not self.targets.is_superseded(process)
             self._check(is_same, step, f"{name} has started again")
 
     def _check_free(self, step, expected):
@@ -157,7 +157,7 @@
             if (head.process, key) in self.targets.left_formations:
                 continue
             earlier = {p for p in self.seen[key] if p.id == process.id and p != process}
-            is_over = self.targets.ended(head.process) or not earlier
+            is_over = self.targets.is_superseded(head.process) or not earlier
             self._check(is_over, step, f"earlier in {key}")
 
     def _check_whole(self, step, expected):
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -395,13 +395,13 @@
     await node.directory.refresh()
     targets.script("g0", answer(1))
     full = encode_loads({("g", 1): (PROFILE.slots + 1, 0.0)})
-    node.peers._take(Work(node="b", loads=full))
+    node.peers._handle_message(Work(node="b", loads=full))
     rig = rig_over(node, clock, targets, source)
     serving = asyncio.create_task(node.streams.serve(rig.work(FakeExchange())))
     for _ in range(10):
         await asyncio.sleep(0)
     assert targets.sends == []
-    node.peers._take(Work(node="b", loads=encode_loads({})))
+    node.peers._handle_message(Work(node="b", loads=encode_loads({})))
     async with asyncio.timeout(0.2):
         assert await serving == Answered(status=200, target="g0")
 
