--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -5,7 +5,7 @@
 
 from mallowpond.coordination.keys import GROUPS, HOSTS, SHARED
 from mallowpond.coordination.leases import NamedLease
-from mallowpond.coordination.orders import OrderDesk
+from mallowpond.coordination.orders import OrderTracker
 from mallowpond.coordination.ports import (
     Check,
     Committed,
@@ -13,7 +13,7 @@
     TableService,
     Transaction,
 )
-from mallowpond.coordination.store import TableView, Versioned, commit_settled
+from mallowpond.coordination.store import TableView, Versioned, commit_and_resolve
 from mallowpond.state.codec import to_plain
 from mallowpond.state.rows import (
     GroupMember,
@@ -36,7 +36,7 @@
         table: TableService,
         shared: TableView,
         lease: NamedLease,
-        desk: OrderDesk,
+        desk: OrderTracker,
         holder: Callable[[], Holder],
         draw_id: Callable[[], str],
     ) -> None:
@@ -49,11 +49,11 @@
 
     def groups(self) -> dict[str, Versioned[GroupRow]]:
         """Return the groups as last read."""
-        return self._shared.below(GROUPS, GroupRow)
+        return self._shared.with_prefix(GROUPS, GroupRow)
 
     def hosts(self) -> dict[str, Versioned[HostRow]]:
         """Return the rows of hosts as last read."""
-        return self._shared.below(HOSTS, HostRow)
+        return self._shared.with_prefix(HOSTS, HostRow)
 
     async def start_group(
         self,
@@ -137,7 +137,7 @@
 
     def next_order(self, row: HostRow) -> HostRow:
         """Return the row with a new open order under the lease."""
-        lease = self._lease.held
+        lease = self._lease.current
         return self._desk.next_order(row, lease.fence if lease else row.fence)
 
     async def commit(
@@ -153,7 +153,7 @@
         row's version as last read would let a holder that woke after a takeover write
         under the new holder's lease.
         """
-        lease = self._lease.held
+        lease = self._lease.current
         if lease is None:
             return False
         fenced = (*checks, Check(key=self._lease.key, version=lease.version))
@@ -174,6 +174,6 @@
             puts=tuple(Put(key=key, value=to_plain(row)) for key, row in rows),
             deletes=deletes,
         )
-        outcome = await commit_settled(self._table, change)
+        outcome = await commit_and_resolve(self._table, change)
         await self._shared.refresh()
         return isinstance(outcome, Committed)
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -22,7 +22,7 @@
     TableView,
     TypedPut,
     Versioned,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
 from mallowpond.state.lease import ExpiryWatch
@@ -32,7 +32,7 @@
 GONE_AFTER_LEASES = 3.0
 
 
-class Heartbeat(str, Enum):
+class RenewalResult(str, Enum):
     """Say how a renewal of the member row ended."""
 
     RENEWED = "renewed"
@@ -114,10 +114,10 @@
 
     def members(self) -> dict[str, MemberRow]:
         """Return every member row of the cell as last read."""
-        rows = self._cell_view.below(MEMBERS, MemberRow)
+        rows = self._cell_view.with_prefix(MEMBERS, MemberRow)
         return {name: row.value for name, row in rows.items()}
 
-    def live(self) -> dict[str, MemberRow]:
+    def live_members(self) -> dict[str, MemberRow]:
         """Return the members whose heartbeat moves, this one included."""
         now = self._clock.now()
         rows = self.members()
@@ -127,7 +127,7 @@
             if not self._watch.is_expired((name, member.incarnation), now)
         }
 
-    def is_gone(self, member: str, incarnation: str) -> bool:
+    def is_lease_expired(self, member: str, incarnation: str) -> bool:
         """Tell whether a lease that this incarnation holds has lapsed.
 
         An incarnation that was never seen is watched from now on, so that a holder
@@ -139,15 +139,17 @@
             self._watch.observe(key, "holder", now)
         return self._watch.is_expired(key, now)
 
-    def takers(self) -> list[str]:
+    def eligible_owners(self) -> list[str]:
         """Return the members that may take ownership."""
-        return [n for n, m in self.live().items() if m.state is MemberState.LIVE]
+        return [
+            n for n, m in self.live_members().items() if m.state is MemberState.LIVE
+        ]
 
     def live_gateways(self) -> frozenset[str]:
         """Return the incarnations of gateways attached to a live member."""
-        return frozenset(g for m in self.live().values() for g in m.gateways)
+        return frozenset(g for m in self.live_members().values() for g in m.gateways)
 
-    def note_cell(self, cell: CellRow) -> None:
+    def adopt_cell(self, cell: CellRow) -> None:
         """Take over a later epoch that a peer has read.
 
         A table that goes dark while a member is being counted leaves some members an
@@ -168,7 +170,7 @@
                 self._watch.postpone(dark)
                 self._gone_watch.postpone(dark)
         self._last_read_at = now
-        beats = self._cell_view.below(BEATS, HeartbeatRow)
+        beats = self._cell_view.with_prefix(BEATS, HeartbeatRow)
         for name, member in self.members().items():
             key = (name, member.incarnation)
             beat = beats[name].value.n if name in beats else 0
@@ -178,26 +180,26 @@
 
     async def renew(
         self, *, applied: int, prepared: str, gateways: tuple[str, ...]
-    ) -> Heartbeat:
+    ) -> RenewalResult:
         """Write the own row; `prepared` is the proposal that is held."""
         asked_at = self._clock.now()
         self._advance_state(asked_at)
         held = self._cell_view.get(MEMBERS + self._identity.name, MemberRow)
         if self._is_replaced(held):
-            return Heartbeat.REPLACED
+            return RenewalResult.REPLACED
         row = self._row(applied, prepared, gateways)
         change = self._renewal(row, held)
-        outcome = await commit_settled(self._table, change)
+        outcome = await commit_and_resolve(self._table, change)
         match outcome:
             case Committed():
                 self._renewed_at = asked_at
                 self._joined_at = self._joined_at or asked_at
-                return Heartbeat.RENEWED
+                return RenewalResult.RENEWED
             case Conflict():
                 await self._cell_view.refresh()
-                return Heartbeat.FAILED
+                return RenewalResult.FAILED
             case _:
-                return Heartbeat.FAILED
+                return RenewalResult.FAILED
 
     async def leave(self, *, applied: int, prepared: str) -> None:
         """Mark the own row as leaving, so that others take over at once."""
@@ -205,7 +207,7 @@
         await self._cell_view.refresh()
         await self.renew(applied=applied, prepared=prepared, gateways=())
 
-    async def move_epoch(self) -> None:
+    async def advance_epoch(self) -> None:
         """Create the cell's row, or count one member more or less."""
         cell = self.cell
         key = SHARED + CELLS + self._identity.cell
@@ -219,7 +221,7 @@
         step = next_epoch(
             cell=cell.value,
             acknowledged=self._noted(cell.value),
-            joining=tuple(self.takers()),
+            joining=tuple(self.eligible_owners()),
             gone=self._gone(cell.value),
         )
         if step is not None:
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -25,7 +25,7 @@
     decode_loads,
     encode_loads,
 )
-from mallowpond.node.peer_work import LoadsByGroup
+from mallowpond.node.peer_loads import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import TargetsRead
 from mallowpond.state.ownership import ranked_by_capacity
@@ -84,7 +84,7 @@
         self._directory = directory
         self._clock = clock
         self._is_stopping = is_stopping
-        self._reads = False
+        self._acts_as_reader = False
         self._turn = 0
         self._work_turn = 0
         self._last_sent_work: LoadsByGroup = {}
@@ -92,9 +92,9 @@
         # The last place that this host was given, which its work holds.
         self.grant_number: Callable[[], int] = lambda: 0
         self.after_digest: list[Callable[[], None]] = []
-        configuration.is_reader = lambda: self.reads
+        configuration.is_reader = lambda: self.is_reader
         configuration.ask_readers = self._ask_reader
-        directory.is_reader = lambda: self.reads
+        directory.is_reader = lambda: self.is_reader
         configuration.should_retry_often = lambda: self.should_retry_often
         directory.should_retry_often = lambda: self.should_retry_often
         directory.is_standby = lambda: self.is_standby
@@ -128,7 +128,7 @@
         return ranked_by_capacity(READERS_KEY, cores)
 
     @property
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Tell whether this host is to read the store."""
         names = self.names
         return not names or self._name in names
@@ -183,10 +183,10 @@
         candidates = self._ranked()[:CANDIDATE_COUNT]
         self._peers.is_candidate = self._name in candidates or self._is_planning()
         self._peers.candidates = frozenset(candidates) - {self._name}
-        if self.reads != self._reads:
-            self._reads = not self._reads
-            log.info("readers: changed", reads=self._reads, readers=self.names)
-        if not self._reads:
+        if self.is_reader != self._acts_as_reader:
+            self._acts_as_reader = not self._acts_as_reader
+            log.info("readers: changed", reads=self._acts_as_reader, readers=self.names)
+        if not self._acts_as_reader:
             if self._peers.is_large_fleet:
                 self._publish_work()
             return
@@ -211,7 +211,7 @@
             Digest(
                 node=self._name,
                 version=known.version,
-                changed=self._directory.changed,
+                last_change=self._directory.last_change,
                 loads=encode_loads(loads),
             )
         )
@@ -245,7 +245,7 @@
     # -- the list of targets -------------------------------------------------
 
     def _broadcast_change(self, read: TargetsRead, previous: int) -> None:
-        if not self._reads:
+        if not self._acts_as_reader:
             return
         for change in self._split(read, previous):
             self._fanout.broadcast(change)
@@ -291,7 +291,7 @@
 
     def _on_digest(self, digest: Digest) -> None:
         self._fanout.relay(digest)
-        self._directory.apply_digest(digest.changed, decode_loads(digest))
+        self._directory.apply_digest(digest.last_change, decode_loads(digest))
         self._configuration.handle_version(digest.version)
         for notify in self.after_digest:
             notify()
