--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -1,4 +1,4 @@
-"""Carry out the planner's steps: orders, probes, and what they tell."""
+"""Plan the groups of all model services, send the orders and handle their results."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -55,36 +55,42 @@
 
 log = structlog.get_logger()
 
-# Pause between two plans, in seconds.
+# Interval between two plans, in seconds.
 PLAN_SECONDS = 0.1
-# Pause between two looks whether this node plans now, in seconds: a small part of the
-# second after which a dead planner is replaced.
-FOLLOW_SECONDS = 0.2
-# Pause between two plans while nothing has changed or is under way, in seconds: most of
-# them find nothing to do.
+# Interval between two checks of whether this node has become the planner, in seconds: a
+# small part of the second after which a dead planner is replaced.
+FOLLOWER_CHECK_SECONDS = 0.2
+# Interval between two plans while nothing has changed or is in progress, in seconds:
+# most of these plans have no steps.
 IDLE_PLAN_SECONDS = 0.5
-# Pause between two log lines on the state of all groups, in seconds.
+# Interval between two log lines on the state of all groups, in seconds.
 SUMMARY_SECONDS = 2.0
-# Pause between two questions to the targets of orders while the list is lost, in
-# seconds: reports lag by some hundred milliseconds.
+# Interval between two probes of the targets with pending orders while the list cannot
+# be read, in seconds: reports lag by some hundred milliseconds.
 PENDING_POLL_SECONDS = 0.3
-# Time between two plans from which this process counts as having stood still, in
-# seconds: another node takes over after a second of silence, and a number that it has
-# not given to every member of a group does not guard the others.
+# Time between two plans above which this process counts as having paused, in seconds.
+# Another node takes over after a second of silence, and its fencing number protects
+# only those members of a group to which it has already sent an order.
 PAUSE_SECONDS = 0.5
-# Age of the lease from which a refusal for a higher number makes it be renewed, in
-# seconds: many orders may be refused for the same reason at once.
+# Minimum age of the last renewal before a refused fencing number triggers another one,
+# in seconds: many orders may be refused for the same reason at once.
 LEASE_CHECK_SECONDS = 0.3
-# Epochs that one fencing number has for its groups.
+# Number of epochs reserved for the groups of one fencing number.
 EPOCHS_PER_FENCE = 1_000_000
-# Suspicions of one group within a time in seconds, each cleared by probes, after
-# which it is formed anew: its members answer, yet cannot reach one another.
+# Suspicions of one group that probes cleared, and the time in seconds within which so
+# many cause the group to be formed again: its members answer but cannot reach one
+# another.
 CLEARED_SUSPICIONS = 4
 CLEARED_SECONDS = 2.0
 
 
 class GroupPlanner:
-    """Plan the groups of every model service while this node holds the lease."""
+    """Plans the groups of every model service while this node holds the lease.
+
+    Each step compares the target list with the declared models and starts the orders
+    that are due. Each order runs in a task of its own and carries the fencing number
+    under which it was planned.
+    """
 
     def __init__(
         self,
@@ -113,8 +119,8 @@
         self._traffic_seen = traffic_seen
         self._tasks: set[asyncio.Task[None]] = set()
         self._book = OrderBook()
-        # Both are kept beyond a planner's term: one that knew only what the list shows
-        # at its start would take a group for whole whose member has started again.
+        # Both are kept while other nodes plan: a planner that knew only the list as of
+        # its start would consider a group complete although a member has restarted.
         self._seen_processes: dict[GroupKey, set[Process]] = {}
         self._recorded_groups: dict[GroupKey, Group] = {}
         self._processes = CurrentProcesses()
@@ -141,8 +147,8 @@
         self._probes.reset()
         self._book.reset()
         self._has_fresh_list = False
-        self._stepped_at = self._clock.now()
-        self._lease_checked_at = float("-inf")
+        self._last_step_at = self._clock.now()
+        self._last_lease_check_at = float("-inf")
         self._next_epoch = self._leadership.fence * EPOCHS_PER_FENCE + 1
         self._closed: set[GroupKey] = set()
         self._restarted_groups: set[GroupKey] = set()
@@ -151,26 +157,26 @@
         self._first_seen: dict[GroupKey, float] = {}
         self._cleared_at: dict[GroupKey, list[float]] = {}
         self._loads_begun: list[float] = []
-        self._polled_at = float("-inf")
-        self._planned_at = float("-inf")
+        self._last_poll_at = float("-inf")
+        self._last_plan_at = float("-inf")
         self._has_changes = True
-        self._summarized_at = float("-inf")
+        self._last_summary_at = float("-inf")
 
     async def run(self) -> None:
         """Plan until cancelled."""
         while True:
             await self.step()
             plans = self._leadership.fence
-            await self._clock.sleep(PLAN_SECONDS if plans else FOLLOW_SECONDS)
+            await self._clock.sleep(PLAN_SECONDS if plans else FOLLOWER_CHECK_SECONDS)
 
     async def close(self) -> None:
-        """End the orders that are under way."""
+        """Cancel the orders and probes in progress."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def step(self) -> None:
-        """Plan once, if this node is the planner."""
+        """Plan once if this node holds the lease and a plan is due."""
         if not self._leadership.fence:
             self._directory.poll_seconds = POLL_SECONDS
             return
@@ -179,57 +185,58 @@
         )
         if not await self._is_lease_confirmed():
             return
-        self._stepped_at = self._clock.now()
+        self._last_step_at = self._clock.now()
         if not self._has_fresh_list:
-            # A plan on an old list would take apart what the last planner formed.
+            # A plan on an outdated list would dissolve groups that the previous planner
+            # has just formed.
             self._has_fresh_list = await self._directory.refresh()
             return
         configuration = self._configuration.configuration
         if configuration is None or not self._is_due():
             return
-        self._planned_at, self._has_changes = self._stepped_at, False
-        self._settle()
+        self._last_plan_at, self._has_changes = self._last_step_at, False
+        self._discard_outdated()
         for service in configuration.services.values():
             if service.profile is not None and service.profile.models:
                 self._plan_service(service.name, service.profile)
 
     def _is_due(self) -> bool:
-        """Tell whether a plan may find something to do."""
+        """Return whether a plan may have steps to take."""
         if self._has_changes or self._has_pending_effects:
             return True
-        return self._clock.now() - self._planned_at >= IDLE_PLAN_SECONDS
+        return self._clock.now() - self._last_plan_at >= IDLE_PLAN_SECONDS
 
     @property
     def _has_pending_effects(self) -> bool:
-        """Tell whether the list is about to show what was ordered."""
+        """Return whether the list does not show the effects of all orders yet."""
         if self._book.busy:
             return True
         forming = (GroupPhase.JOINING, GroupPhase.READY, GroupPhase.CLOSING)
         return any(g.phase in forming for g in self._directory.groups.values())
 
     async def _is_lease_confirmed(self) -> bool:
-        """Tell whether the lease is held, asked for anew after this process paused."""
+        """Return whether the lease is held, and renew it first after a pause."""
         if not self._has_paused:
             return True
         now = self._clock.now()
-        if now - self._lease_checked_at < LEASE_CHECK_SECONDS:
+        if now - self._last_lease_check_at < LEASE_CHECK_SECONDS:
             return False
-        self._lease_checked_at = now
-        log.info("planner: paused", seconds=round(now - self._stepped_at, 3))
+        self._last_lease_check_at = now
+        log.info("planner: paused", seconds=round(now - self._last_step_at, 3))
         return await self._leadership.confirm()
 
     @property
     def _has_paused(self) -> bool:
-        """Tell whether this process stood still: another may have taken over."""
-        return self._clock.now() - self._stepped_at > PAUSE_SECONDS
+        """Return whether this process paused so long that another may have taken over."""
+        return self._clock.now() - self._last_step_at > PAUSE_SECONDS
 
     # -- planning ------------------------------------------------------------
 
     def _plan_service(self, service: str, profile: EngineProfile) -> None:
         view = self._view(service, profile)
         steps = plan_steps(view)
-        if view.now - self._summarized_at > SUMMARY_SECONDS:
-            self._summarized_at = view.now
+        if view.now - self._last_summary_at > SUMMARY_SECONDS:
+            self._last_summary_at = view.now
             log_summary(self._directory, view)
         for step in steps:
             if isinstance(step, Join):
@@ -269,14 +276,14 @@
         )
 
     def _with_latest_state(self, target: Target) -> Target:
-        """Return a target as answers and orders show it before the list does."""
+        """Return a listed target, updated by its own answers and accepted orders."""
         if self._probes.is_leaving(target):
             return replace(target, draining=True)
         return self._book.without_left_group(self._processes.current(target))
 
     @property
-    def _present(self) -> dict[str, Target]:
-        """Return every listed target, as the process that it runs now."""
+    def _current_targets(self) -> dict[str, Target]:
+        """Return every listed target by id, each with its current process."""
         targets = self._directory.targets
         return {t: self._processes.current(listed) for t, listed in targets.items()}
 
@@ -297,13 +304,13 @@
                 members=step.members,
                 ordered_at=self._clock.now(),
             )
-            current = self._present
+            current = self._current_targets
             self._seen_processes[key] = {
                 current[member].process for member in step.members
             }
 
     def _record_members(self) -> None:
-        """Note the processes that the list shows in each group."""
+        """Record the processes that are listed as members of each group."""
         self._has_changes = True
         self._processes.reconcile(self._directory.targets, now=self._clock.now())
         groups = self._directory.groups
@@ -317,12 +324,12 @@
                 self._seen_processes.setdefault(key, set()).update(members)
         self._recorded_groups = dict(groups)
 
-    def _settle(self) -> None:
-        """Drop what the list shows to be done, and what is out of date."""
+    def _discard_outdated(self) -> None:
+        """Drop orders whose effects are listed and records of groups that are gone."""
         now = self._clock.now()
         targets, groups = self._directory.targets, self._directory.groups
-        current = self._present
-        # While the list is away it shows nothing of what was ordered since.
+        current = self._current_targets
+        # A list that cannot be read does not show the effects of later orders.
         self._book.reconcile(current, now=now, shows_orders=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
@@ -347,7 +354,7 @@
             self._poll_pending(now)
 
     def _log_restarted(self, current: dict[str, Target]) -> None:
-        """Log each group that ends by the restart of a member, once."""
+        """Log each group that a member's restart has ended, once per group."""
         groups = self._directory.groups
         ended = {
             k
@@ -373,34 +380,35 @@
         self._spawn(self._send_order(step, self._leadership.fence))
 
     async def _send_order(self, step: Step, fence: int) -> None:
-        """Give an order under the fencing number with which it was planned."""
+        """Send an order under the fencing number that was held when it was planned."""
         target = step.target
         if isinstance(step, Join) and self._has_joined_elsewhere(step):
-            self._release_target(step)
+            self._release_later(step)
             return
         expected = await self._order_count(target)
         if expected is None:
-            self._release_target(step)
+            self._release_later(step)
             return
-        # Planned before this node lost the lease and took it anew, an order rests on
-        # what was since forgotten.
+        # An order from an earlier term is dropped, also when this node has acquired the
+        # lease again: the records that it was planned on were discarded in between.
         async with self._gate.admit():
-            is_held = fence and fence == self._leadership.fence
-            if not is_held or self._has_paused or self._is_outdated(step):
-                self._release_target(step)
+            holds_lease = fence and fence == self._leadership.fence
+            if not holds_lease or self._has_paused or self._is_outdated(step):
+                self._release_later(step)
                 return
-            end = await self._targets.order(step, fence=fence, expected=expected)
-        self._gate.record_result(answered=not isinstance(end, OrderLost))
-        self._handle_result(step, end, expected=expected)
+            result = await self._targets.order(step, fence=fence, expected=expected)
+        self._gate.record_result(answered=not isinstance(result, OrderLost))
+        self._handle_result(step, result, expected=expected)
 
     def _is_outdated(self, step: Step) -> bool:
-        """Tell whether an order's target, or a member it counts on, is another process.
+        """Return whether an order has become invalid since it was planned.
 
-        Nor may a member join a formation that is over by now. The plan is as old as
-        the question for the count; opened on it, a group would begin work with a
-        member that holds nothing.
+        That is the case if its target or a member of its group has restarted, or if it
+        would join a formation that has ended. The order may have waited for the
+        target's report meanwhile; a group opened on the old plan would begin work with
+        a member that has no weights loaded.
         """
-        if not self._is_present(step.target):
+        if not self._is_current(step.target):
             return True
         if not isinstance(step, Join | Open):
             return False
@@ -414,9 +422,9 @@
         return has_restarted(seen, current)
 
     def _has_joined_elsewhere(self, step: Join) -> bool:
-        """Tell whether a target has joined another group here and not left it.
+        """Return whether a target accepted an earlier join of another group.
 
-        The list may show the join late; what was ordered counts before what is shown.
+        The list may show that join late, so accepted orders take precedence over it.
         """
         key = self._book.joined(step.target)
         if key is None or key == (step.group, step.epoch):
@@ -424,7 +432,9 @@
         group = self._directory.groups.get(key)
         if group is not None and group.phase is GroupPhase.BROKEN:
             return False
-        log.warning("planner: join withheld", target=step.target.id, stands_in=key[0])
+        log.warning(
+            "planner: join withheld", target=step.target.id, joined_group=key[0]
+        )
         return True
 
     async def _order_count(self, target: Target) -> int | None:
@@ -436,9 +446,9 @@
             self._probes.start_probe(target)
             return None
         if report.target.group_key != target.group_key:
-            # Another planner's order came after the list was read: a count that
-            # includes it would let an order through that was planned without it,
-            # and the target would stand in two groups.
+            # Another planner's order arrived after the list was read. With a count that
+            # includes it, the target would accept an order planned without it and
+            # become a member of two groups.
             log.info("planner: target changed since the list", target=target.id)
             return None
         now = self._clock.now()
@@ -446,74 +456,74 @@
             return None
         return report.orders
 
-    def _is_present(self, target: Target) -> bool:
-        """Tell whether a target is still the process that an order was meant for."""
+    def _is_current(self, target: Target) -> bool:
+        """Return whether a target's process is still the current one."""
         listed = self._directory.targets.get(target.id)
         if listed is None:
             return False
         return self._processes.current(listed).process == target.process
 
-    def _handle_result(self, step: Step, end: OrderResult, *, expected: int) -> None:
+    def _handle_result(self, step: Step, result: OrderResult, *, expected: int) -> None:
         target = step.target
-        is_late = not self._is_present(target)
+        is_late = not self._is_current(target)
         kind = type(step).__name__.lower()
-        self._metrics.orders.labels(kind, type(end).__name__).inc()
+        self._metrics.orders.labels(kind, type(result).__name__).inc()
         log.info(
             "planner: order",
             kind=kind,
             target=target.id,
             group=getattr(step, "group", None),
-            end=type(end).__name__,
+            end=type(result).__name__,
             fence=self._leadership.fence,
             late=is_late,
         )
         if is_late:
-            # Nothing of what the earlier process answered holds for the present one.
+            # The answer of an earlier process says nothing about the current one.
             return
-        match end:
+        match result:
             case OrderTaken(began=began):
                 if began or isinstance(step, Leave):
                     self._book.record_begun(step, expected=expected, is_certain=began)
                 self._record_accepted(step)
             case OrderFenced():
                 self._book.invalidate_count(target)
-                self._release_target(step)
+                self._release_later(step)
                 self._spawn(self._check_lease())
             case OrderUnfit() if isinstance(step, Stage):
-                # It loads already, by an order of an earlier planner.
+                # It is already loading weights, on an order of an earlier planner.
                 self._book.invalidate_count(target)
                 self._book.end(target)
             case OrderUnfit():
                 self._book.invalidate_count(target)
-                self._release_target(step)
+                self._release_later(step)
             case OrderMisdirected():
                 self._book.invalidate_count(target)
-                self._release_target(step)
+                self._release_later(step)
                 self._probes.mark_replaced(target)
             case OrderLost():
                 self._book.invalidate_count(target)
-                self._release_target(step)
+                self._release_later(step)
                 self._probes.start_probe(target)
 
     def _record_accepted(self, step: Step) -> None:
         self._book.record_taken(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
-                # The formation is over: kept, it had its members join again, and they
-                # stood for seconds in a group that could not be whole.
+                # The formation has ended. While it was kept, its members were ordered
+                # to join again and spent seconds in a group that could not complete.
                 self._formations.pop((group, epoch), None)
                 self._closed.add((group, epoch))
             case Close(group=group, epoch=epoch):
                 self._closed.add((group, epoch))
 
     def _is_report_current(self, target: Target) -> bool:
-        """Tell whether a report is the present process's and shows its last order."""
-        is_current = self._book.shows_last_order(target, self._clock.now())
-        return is_current and self._is_present(target)
+        """Return whether a report is of the current process and shows its last order."""
+        shows_last_order = self._book.shows_last_order(target, self._clock.now())
+        return shows_last_order and self._is_current(target)
 
-    def _release_target(self, step: Step) -> None:
-        """Free the target for another order after a moment."""
-        if self._is_present(step.target):
+    def _release_later(self, step: Step) -> None:
+        """Free the target for another order after a short delay."""
+        if self._is_current(step.target):
             self._book.release_later(step, self._clock.now())
 
     async def _check_lease(self) -> None:
@@ -546,10 +556,10 @@
         self._peers.broadcast_suspicion(group.key, cleared=True)
 
     def _poll_pending(self, now: float) -> None:
-        """Ask the targets of orders what came of them while the list is lost."""
-        if now - self._polled_at < PENDING_POLL_SECONDS:
+        """Probe the targets with pending orders while the list cannot be read."""
+        if now - self._last_poll_at < PENDING_POLL_SECONDS:
             return
-        self._polled_at = now
+        self._last_poll_at = now
         for identifier in sorted(self._book.busy):
             target = self._directory.targets.get(identifier)
             if target is not None and identifier not in self._probes.lost:
