--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -227,7 +227,7 @@
 
     @property
     def _has_paused(self) -> bool:
-        """Return whether this process paused so long that another may have taken over."""
+        """Return whether this process paused; another may have taken over since."""
         return self._clock.now() - self._last_step_at > PAUSE_SECONDS
 
     # -- planning ------------------------------------------------------------
@@ -517,7 +517,7 @@
                 self._closed.add((group, epoch))
 
     def _is_report_current(self, target: Target) -> bool:
-        """Return whether a report is of the current process and shows its last order."""
+        """Return whether a report is current: of this process, with its last order."""
         shows_last_order = self._book.shows_last_order(target, self._clock.now())
         return shows_last_order and self._is_current(target)
 
