--- a/mallowpond/controller/peers.py
+++ b/mallowpond/controller/peers.py
@@ -7,7 +7,7 @@
 
 from mallowpond.coordination.ports import Clock
 from mallowpond.protocol.peer import Message, PeerAsk, PeerView
-from mallowpond.state.assurance import Vouch
+from mallowpond.state.assurance import PeerAnswer
 from mallowpond.state.rows import CellRow
 from mallowpond.transport.peer_link import LinkClosed, PeerLink, open_link
 
@@ -22,7 +22,7 @@
         *,
         me: str,
         clock: Clock,
-        on_vouch: Callable[[Vouch], None],
+        on_vouch: Callable[[PeerAnswer], None],
         on_cell: Callable[[CellRow], None],
     ) -> None:
         self._me = me
@@ -75,7 +75,7 @@
     def _take(self, view: PeerView, asked_at: float) -> None:
         if view.cell is not None:
             self._on_cell(view.cell)
-        vouch = Vouch(
+        vouch = PeerAnswer(
             member=view.member,
             asked_at=asked_at,
             epoch=view.cell.epoch if view.cell else 0,
--- a/mallowpond/controller/quarantine.py
+++ b/mallowpond/controller/quarantine.py
@@ -15,7 +15,7 @@
 from mallowpond.coordination.ports import Clock, Committed, TableService
 from mallowpond.coordination.store import TableView, TypedPut, Versioned, transaction
 from mallowpond.state.crash_ledger import (
-    HOLD_SECONDS,
+    QUARANTINE_SECONDS,
     CrashLedger,
     CrashRecord,
     Ending,
@@ -86,7 +86,7 @@
 
     async def step(self) -> None:
         """Take the rows that changed, write what is reported, drop what is over."""
-        rows = self._shared.below(QUARANTINE, QuarantineRow)
+        rows = self._shared.with_prefix(QUARANTINE, QuarantineRow)
         for request, row in rows.items():
             if self._versions.get(request) != row.version:
                 self._versions[request] = row.version
@@ -102,7 +102,7 @@
     def _merge(self, record: CrashRecord) -> bool:
         now = self._clock.now()
         is_new = self._ledger.merge(record, now)
-        held = self._ledger.held(now)
+        held = self._ledger.quarantined(now)
         for request in sorted(held - self._held):
             log.warning("controller: request held back", fingerprint=request)
         if held != self._held or (is_new and record.request in self._told):
@@ -144,7 +144,9 @@
 
     async def _drop(self, rows: dict[str, Versioned[QuarantineRow]]) -> None:
         now = self._wall_time()
-        kept = {r: HOLD_SECONDS if r in self._held else KEPT_SECONDS for r in rows}
+        kept = {
+            r: QUARANTINE_SECONDS if r in self._held else KEPT_SECONDS for r in rows
+        }
         old = [r for r, row in rows.items() if now - row.value.ended_at > kept[r]]
         if not old:
             return
--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -25,9 +25,9 @@
 from mallowpond.coordination.keys import SHARED
 from mallowpond.coordination.leases import NamedLease
 from mallowpond.coordination.membership import (
-    Heartbeat,
     MemberIdentity,
     Membership,
+    RenewalResult,
 )
 from mallowpond.coordination.ports import Host, Ports, Unavailable
 from mallowpond.coordination.quotas import QuotaLeaser
@@ -132,7 +132,7 @@
         limit = self._clock.now() + DETACH_SECONDS
         while self._clock.now() < limit:
             # Cut off, an operator could not know whether a change is in force.
-            asked = self._claims.waiting or self._api_server.is_busy
+            asked = self._claims.unanswered or self._api_server.is_busy
             if not self._links.gateways and not asked:
                 return
             await self._clock.sleep(DETACH_CHECK_SECONDS)
@@ -194,8 +194,8 @@
         self._peers = PeerPoller(
             me=settings.name,
             clock=ports.clock,
-            on_vouch=self.configuration.note_vouch,
-            on_cell=self.membership.note_cell,
+            on_vouch=self.configuration.record_peer_answer,
+            on_cell=self.membership.adopt_cell,
         )
         self.tables = Tables(
             configuration=self.configuration,
@@ -248,7 +248,7 @@
     @property
     def owns_planner(self) -> bool:
         """Tell whether this controller plans groups now."""
-        return self._lease.held is not None
+        return self._lease.current is not None
 
     @property
     def shared(self) -> TableView:
@@ -272,18 +272,18 @@
             gateways=self._links.gateways,
         )
         self.metrics.heartbeats.labels(result=result.value).inc()
-        if result is Heartbeat.REPLACED:
+        if result is RenewalResult.REPLACED:
             log.error("controller: another process took this name, stopping")
             self.replaced.set()
             return
         if self._keeps_epoch():
-            await self.membership.move_epoch()
-        await self.configuration.drive()
+            await self.membership.advance_epoch()
+        await self.configuration.advance_proposal()
 
     def _keeps_epoch(self) -> bool:
         if self.membership.cell is None:
             return True
-        owner = owner_of("epoch", self.membership.takers())
+        owner = owner_of("epoch", self.membership.eligible_owners())
         return owner == self._settings.name
 
     async def _read_hosts(self) -> None:
@@ -381,7 +381,7 @@
         recent = self._settings.timings.watch * RECENT_WATCHES
         seen_age, exceptions = 0.0, []
         for group in self._routed:
-            age = self.watch.whole_age(group)
+            age = self.watch.confirmed_age(group)
             if age is not None and age <= recent:
                 seen_age = max(seen_age, age)
                 continue
--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -91,7 +91,7 @@
     def _group_rows(self) -> list[Cells]:
         rows = []
         for group in self._groups.groups().values():
-            age = self._watch.whole_age(group)
+            age = self._watch.confirmed_age(group)
             row = (
                 group.group,
                 group.deployment,
@@ -104,7 +104,7 @@
         return rows
 
     def _host_rows(self) -> list[Cells]:
-        bound = self._shared.below(HOSTS, HostRow)
+        bound = self._shared.with_prefix(HOSTS, HostRow)
         tainted = self._groups.tainted
         drained = self._configuration.applied.declaration.drained_hosts
         rows = []
@@ -130,7 +130,7 @@
         return [(k.name, k.repeatable) for k in kinds]
 
     def _member_rows(self) -> list[Cells]:
-        live = self._membership.live()
+        live = self._membership.live_members()
         rows = []
         for name, member in self._membership.members().items():
             cells = (
@@ -147,7 +147,7 @@
 
     def _order_rows(self) -> list[Cells]:
         rows = []
-        for name, row in self._shared.below(HOSTS, HostRow).items():
+        for name, row in self._shared.with_prefix(HOSTS, HostRow).items():
             one = row.value
             cells = (
                 name,
--- a/mallowpond/controller/tests/test_quarantine.py
+++ b/mallowpond/controller/tests/test_quarantine.py
@@ -12,7 +12,7 @@
 from mallowpond.coordination.store import TableView, new_id
 from mallowpond.node.tests.fakes import FakeClock
 from mallowpond.standins.platform import MemoryTable
-from mallowpond.state.crash_ledger import HOLD_SECONDS, CrashRecord, Ending
+from mallowpond.state.crash_ledger import QUARANTINE_SECONDS, CrashRecord, Ending
 from mallowpond.state.fleet import Process
 
 
@@ -85,7 +85,7 @@
     clock.time += KEPT_SECONDS + 1.0
     await keeper.step()
     assert [key.rpartition("/")[2] for key in table._rows] == ["bad"]
-    clock.time += HOLD_SECONDS
+    clock.time += QUARANTINE_SECONDS
     await keeper.step()
     await keeper.step()
     assert table._rows == {}
--- a/mallowpond/gateway/dispatch.py
+++ b/mallowpond/gateway/dispatch.py
@@ -63,7 +63,7 @@
 ) -> AttemptOutcome:
     """Send an attempt to a group's leader and read the head of the answer."""
     echo = dispatch_headers(attempt.request, group.group, group.generation)
-    answer = await _send(http, group.leader.address, attempt, echo, first_byte_seconds)
+    answer = await _send(http, group.head.address, attempt, echo, first_byte_seconds)
     if not isinstance(answer, HttpResponse):
         return answer
     if _says_not_started(answer):
--- a/mallowpond/gateway/gate.py
+++ b/mallowpond/gateway/gate.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 
 from mallowpond.coordination.ports import Clock
-from mallowpond.state.balancer import Balancer
-from mallowpond.state.limits import (
+from mallowpond.state.admission import (
     FairQueue,
     Refused,
     ServiceTime,
     Ticket,
-    judge_wait,
+    refuse_if_late,
 )
+from mallowpond.state.balancer import Balancer
 from mallowpond.state.rows import GroupRow
 
 NO_GROUP_RETRY_SECONDS = 5.0
@@ -71,10 +71,10 @@
             group = self._choose(prefix, avoid)
             if group is not None:
                 return self._take(group)
-        refused = judge_wait(
+        refused = refuse_if_late(
             ahead=self._queue.ahead_of(workspace, share),
-            places=len(self._serving()) * self._limit,
-            service_seconds=self._service.cautious,
+            slots=len(self._serving()) * self._limit,
+            service_seconds=self._service.upper_bound,
             remaining=deadline - now,
         )
         if refused is not None:
@@ -85,7 +85,7 @@
         """Give a place back; `latency` is seconds a token, None if it did not end."""
         self._balancer.finish(group, now=self._clock.now(), latency=latency)
         if latency is not None:
-            self._service.note(held_seconds)
+            self._service.record(held_seconds)
         self.serve_waiting()
 
     def serve_waiting(self) -> None:
@@ -110,7 +110,7 @@
         self._waiting[ticket.number] = _Waiting(ticket=ticket, turn=turn, prefix=prefix)
         # Waiting ends while there is still time to be served, so that a refusal goes
         # out at once and not at the deadline.
-        latest = deadline - self._service.cautious
+        latest = deadline - self._service.upper_bound
         try:
             async with asyncio.timeout(max(0.0, latest - self._clock.now())):
                 return await asyncio.shield(turn)
--- a/mallowpond/gateway/pools.py
+++ b/mallowpond/gateway/pools.py
@@ -17,9 +17,9 @@
 from mallowpond.gateway.link import ControllerLink
 from mallowpond.gateway.routes import RouteTable
 from mallowpond.gateway.serving import Place
+from mallowpond.state.admission import Refused
 from mallowpond.state.balancer import Balancer
 from mallowpond.state.declarations import Deployment, PlainService, Workspace
-from mallowpond.state.limits import Refused
 from mallowpond.transport.http_client import HttpClient
 
 SUSPECT_REASONS = ("connect_failed", "engine_refused", "cut_before_head", "cut_body")
@@ -90,7 +90,7 @@
     def note_load(self, place: Place, in_flight: int) -> None:
         """Note the load that rode on a response."""
         now = self.clock.now()
-        self.balancer.report(place.target, in_flight=in_flight, now=now)
+        self.balancer.record_reported_load(place.target, in_flight=in_flight, now=now)
 
     async def note_failure(self, place: Place, reason: str) -> None:
         """Stop using a group whose failure may mean that it broke, and report it."""
--- a/mallowpond/gateway/quarantine.py
+++ b/mallowpond/gateway/quarantine.py
@@ -22,7 +22,7 @@
 
     def problem(self, request: str) -> Problem | None:
         """Return how a request is refused before it is sent, None if it may be sent."""
-        seconds = self._ledger.seconds_held(request, self._clock.now())
+        seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
         if seconds <= 0.0:
             return None
         return Problem(
@@ -36,11 +36,11 @@
         """Tell whether a request is held back now."""
         return self.problem(request) is not None
 
-    def note_ending(self, request: str, target: str, sent_at: float) -> None:
+    def record_ending(self, request: str, target: str, sent_at: float) -> None:
         """Note that a target broke off while it ran a request."""
         now = self._clock.now()
         ending = Ending(process=Process(id=target, born=None), ran=now - sent_at)
-        record = self._ledger.note_ending(request, ending, now)
+        record = self._ledger.record_ending(request, ending, now)
         if record is None:
             return
         log.info(
@@ -51,10 +51,10 @@
         )
         self._report(record)
 
-    def note_answer(self, request: str, target: str) -> None:
+    def record_answer(self, request: str, target: str) -> None:
         """Note that a target answered a request whole."""
-        self._ledger.note_life(Process(id=target, born=None))
-        record = self._ledger.note_answer(request, self._clock.now())
+        self._ledger.record_alive(Process(id=target, born=None))
+        record = self._ledger.record_answer(request, self._clock.now())
         if record is not None:
             self._report(record)
 
--- a/mallowpond/gateway/routes.py
+++ b/mallowpond/gateway/routes.py
@@ -51,7 +51,7 @@
         self._permit_until.pop(key, None)
         self._revoked_at[key] = now
 
-    def is_sure(self, now: float) -> bool:
+    def is_certain(self, now: float) -> bool:
         """Tell whether the version held is known to be the one in force."""
         return now < self._config_until
 
--- a/mallowpond/gateway/service.py
+++ b/mallowpond/gateway/service.py
@@ -31,7 +31,7 @@
 )
 from mallowpond.protocol.problems import CONTENT_TYPE, Outcome, Problem
 from mallowpond.settings import GatewaySettings
-from mallowpond.state.limits import Refused
+from mallowpond.state.admission import Refused
 from mallowpond.state.retry import RetryBudget
 from mallowpond.transport.http_client import HttpClient
 from mallowpond.transport.http_server import (
@@ -123,7 +123,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new work would be admitted."""
-        return self.routes.is_sure(self._clock.now()) and not self._stopping
+        return self.routes.is_certain(self._clock.now()) and not self._stopping
 
     async def start(self) -> None:
         """Listen and attach to a controller."""
@@ -224,7 +224,7 @@
                 detail="This gateway is stopping; another one serves.",
                 retry_after=1.0,
             )
-        if not self.routes.is_sure(self._clock.now()):
+        if not self.routes.is_certain(self._clock.now()):
             # Serving on a version that may have been replaced would make an accepted
             # change revert here; refusing is the only truthful answer.
             return Problem(
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -24,7 +24,7 @@
 )
 from mallowpond.protocol.engine import LOAD_HEADER
 from mallowpond.protocol.problems import Outcome, Problem
-from mallowpond.state.limits import Refused
+from mallowpond.state.admission import Refused
 from mallowpond.state.retry import RetryBudget
 from mallowpond.transport.http_client import HttpResponse
 from mallowpond.transport.http_server import Exchange
@@ -117,15 +117,15 @@
 
     async def run(self, place: Place) -> ServeEnd:
         """Serve from `place`, then from others while retries are allowed."""
-        self.budget.note_fresh()
+        self.budget.record_request()
         for number in range(1, MAX_ATTEMPTS + 1):
             sent_at, life = self.clock.now(), self.pool.life_of(place)
             reason = await self._attempt(place)
             if reason is None:
-                self.quarantine.note_answer(self.fingerprint, life)
+                self.quarantine.record_answer(self.fingerprint, life)
                 return Served()
             if reason in ENDED_REASONS:
-                self.quarantine.note_ending(self.fingerprint, life, sent_at)
+                self.quarantine.record_ending(self.fingerprint, life, sent_at)
             if not self._may_retry(number):
                 return self._give_up(reason)
             self.metrics.retries.labels(reason=reason).inc()
--- a/mallowpond/gateway/tests/test_quarantine.py
+++ b/mallowpond/gateway/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from mallowpond.gateway.tests.callers import ask, runs, serving_site, set_faults
-from mallowpond.state.crash_ledger import ENDINGS_TO_HOLD, HOLD_SECONDS
+from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, QUARANTINE_SECONDS
 
 FATAL = "fatal"
 # Returns of the request, of which nearly all used to reach an engine.
@@ -31,13 +31,13 @@
             if reply.status == 503 and reply.reason == "held_back":
                 break
         ended = len(runs(site))
-        assert ENDINGS_TO_HOLD <= ended <= 2 * ENDINGS_TO_HOLD
+        assert ENDINGS_TO_QUARANTINE <= ended <= 2 * ENDINGS_TO_QUARANTINE
         await asyncio.sleep(0.5)
         for gateway in (0, 1, 0, 1):
             reply = await come_again(site, gateway)
             assert (reply.status, reply.reason) == (503, "held_back")
             assert reply.outcome == "not_run"
-            assert 0.0 < float(reply.headers["retry-after"]) <= HOLD_SECONDS
+            assert 0.0 < float(reply.headers["retry-after"]) <= QUARANTINE_SECONDS
         assert len(runs(site)) == ended
         assert (await ask(site, prompt="star")).status == 200
 
--- a/mallowpond/gateway/tests/test_routes.py
+++ b/mallowpond/gateway/tests/test_routes.py
@@ -65,13 +65,13 @@
 
 def test_version_is_sure_only_as_long_as_the_controller_was():
     table = table_at((100.0, ROUTES))
-    assert table.is_sure(102.9)
-    assert not table.is_sure(103.0)
+    assert table.is_certain(102.9)
+    assert not table.is_certain(103.0)
 
 
 def test_unsure_controller_prolongs_nothing():
     table = table_at((100.0, ROUTES), (102.0, replace(ROUTES, config_left=None)))
-    assert not table.is_sure(103.0)
+    assert not table.is_certain(103.0)
 
 
 def test_older_version_of_another_controller_changes_nothing():
@@ -83,7 +83,7 @@
     newer = replace(ROUTES, config_version=2)
     table = table_at((100.0, newer), (102.0, ROUTES))
     assert table.config_version == 2
-    assert not table.is_sure(103.1)
+    assert not table.is_certain(103.1)
 
 
 def test_revoked_group_returns_only_on_a_later_sight():
