--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -22,7 +22,7 @@
 from mallowpond.coordination.store import (
     TableView,
     TypedPut,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
 from mallowpond.state.assurance import (
@@ -30,8 +30,8 @@
     CellView,
     HeadRead,
     NotAssured,
-    Vouch,
-    assess,
+    PeerAnswer,
+    assess_assurance,
 )
 from mallowpond.state.codec import to_plain
 from mallowpond.state.declarations import Declaration
@@ -96,7 +96,7 @@
         self._head_read: HeadRead | None = None
         self._held: ProposalRow | None = None
         self._first_seen: dict[str, float] = {}
-        self._vouches: dict[str, Vouch] = {}
+        self._peer_answers: dict[str, PeerAnswer] = {}
 
     @property
     def applied(self) -> Applied:
@@ -121,29 +121,31 @@
 
     def history(self) -> list[VersionRow]:
         """Return the accepted versions, latest first."""
-        rows = [v.value for v in self._shared.below(VERSIONS, VersionRow).values()]
+        rows = [
+            v.value for v in self._shared.with_prefix(VERSIONS, VersionRow).values()
+        ]
         return sorted(rows, key=lambda r: -r.version)
 
     def assurance(self) -> Assured | NotAssured:
         """Tell whether the version in force is known now, and applied here."""
         cell = self._membership.known_cell
         members = cell.members if cell else ()
-        verdict = assess(
-            me=self._membership.identity.name,
+        verdict = assess_assurance(
+            member=self._membership.identity.name,
             now=self._clock.now(),
             limit_seconds=self._assurance_seconds,
             cell=CellView(epoch=self._membership.epoch, members=members),
-            own=self._head_read,
+            own_read=self._head_read,
             holds_newer=self._held is not None,
-            vouches=tuple(self._vouches.values()),
+            peer_answers=tuple(self._peer_answers.values()),
         )
         if isinstance(verdict, Assured) and verdict.version != self._applied.version:
             return NotAssured(reason=f"version {verdict.version} is not applied yet")
         return verdict
 
-    def note_vouch(self, vouch: Vouch) -> None:
+    def record_peer_answer(self, vouch: PeerAnswer) -> None:
         """Keep a peer's latest answer."""
-        self._vouches[vouch.member] = vouch
+        self._peer_answers[vouch.member] = vouch
 
     def after_read(self, asked_at: float) -> None:
         """Take in what a read of the shared rows showed; `asked_at` is before it."""
@@ -172,7 +174,7 @@
         put = TypedPut(key=SHARED + PROPOSAL, value=proposal, expect=0)
         check = Check(key=SHARED + HEAD, version=head.version if head else 0)
         change = transaction(proposal.proposal, put, checks=(check,))
-        match await commit_settled(self._table, change):
+        match await commit_and_resolve(self._table, change):
             case Committed():
                 return Proposed(version=proposal.version, proposal=proposal.proposal)
             case Conflict():
@@ -184,7 +186,7 @@
                 detail = "the table's answer was lost; see the history before retrying"
                 return ProposalRefused(reason="outcome_unknown", detail=detail)
 
-    async def drive(self) -> None:
+    async def advance_proposal(self) -> None:
         """Accept or abort the open proposal, whoever proposed it.
 
         A proposer may die at any step, so every controller drives; the head's
@@ -196,7 +198,7 @@
             return
         now = self._clock.now()
         opened = self._first_seen.setdefault(row.value.proposal, now)
-        cells = self._shared.below(CELLS, CellRow)
+        cells = self._shared.with_prefix(CELLS, CellRow)
         decision = decide_proposal(
             proposal=row.value,
             cells=tuple(c.value for c in cells.values()),
@@ -212,7 +214,7 @@
 
     async def _accept(self, proposal: ProposalRow, row_version: int) -> None:
         head = self._shared.get(HEAD, HeadRow)
-        cells = self._shared.below(CELLS, CellRow)
+        cells = self._shared.with_prefix(CELLS, CellRow)
         checks = [
             Check(key=SHARED + HEAD, version=head.version if head else 0),
             Check(key=SHARED + PROPOSAL, version=row_version),
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -22,17 +22,17 @@
     TableView,
     TypedPut,
     Versioned,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
-from mallowpond.state.lease import LapseWatch
+from mallowpond.state.lease import ExpiryWatch
 from mallowpond.state.proposal import next_epoch
-from mallowpond.state.rows import BeatRow, CellRow, MemberRow, MemberState
+from mallowpond.state.rows import CellRow, HeartbeatRow, MemberRow, MemberState
 
 GONE_AFTER_LEASES = 3.0
 
 
-class Heartbeat(str, Enum):
+class RenewalResult(str, Enum):
     """Say how a renewal of the member row ended."""
 
     RENEWED = "renewed"
@@ -71,8 +71,8 @@
         self._lease_seconds = lease_seconds
         self._draw_id = draw_id
         self._cell_view = TableView(table=table, prefix=cell_prefix(identity.cell))
-        self._watch = LapseWatch(lease_seconds=lease_seconds)
-        self._gone_watch = LapseWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
+        self._watch = ExpiryWatch(lease_seconds=lease_seconds)
+        self._gone_watch = ExpiryWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
         self._state = MemberState.JOINING
         self._counter = 0
         self._joined_at: float | None = None
@@ -114,20 +114,20 @@
 
     def members(self) -> dict[str, MemberRow]:
         """Return every member row of the cell as last read."""
-        rows = self._cell_view.below(MEMBERS, MemberRow)
+        rows = self._cell_view.with_prefix(MEMBERS, MemberRow)
         return {name: row.value for name, row in rows.items()}
 
-    def live(self) -> dict[str, MemberRow]:
+    def live_members(self) -> dict[str, MemberRow]:
         """Return the members whose heartbeat moves, this one included."""
         now = self._clock.now()
         rows = self.members()
         return {
             name: member
             for name, member in rows.items()
-            if not self._watch.is_lapsed((name, member.incarnation), now)
+            if not self._watch.is_expired((name, member.incarnation), now)
         }
 
-    def is_gone(self, member: str, incarnation: str) -> bool:
+    def is_lease_expired(self, member: str, incarnation: str) -> bool:
         """Tell whether a lease that this incarnation holds has lapsed.
 
         An incarnation that was never seen is watched from now on, so that a holder
@@ -137,17 +137,19 @@
         key = (member, incarnation)
         if not self._watch.is_watched(key):
             self._watch.observe(key, "holder", now)
-        return self._watch.is_lapsed(key, now)
+        return self._watch.is_expired(key, now)
 
-    def takers(self) -> list[str]:
+    def eligible_owners(self) -> list[str]:
         """Return the members that may take ownership."""
-        return [n for n, m in self.live().items() if m.state is MemberState.LIVE]
+        return [
+            n for n, m in self.live_members().items() if m.state is MemberState.LIVE
+        ]
 
     def live_gateways(self) -> frozenset[str]:
         """Return the incarnations of gateways attached to a live member."""
-        return frozenset(g for m in self.live().values() for g in m.gateways)
+        return frozenset(g for m in self.live_members().values() for g in m.gateways)
 
-    def note_cell(self, cell: CellRow) -> None:
+    def adopt_cell(self, cell: CellRow) -> None:
         """Take over a later epoch that a peer has read.
 
         A table that goes dark while a member is being counted leaves some members an
@@ -168,7 +170,7 @@
                 self._watch.postpone(dark)
                 self._gone_watch.postpone(dark)
         self._last_read_at = now
-        beats = self._cell_view.below(BEATS, BeatRow)
+        beats = self._cell_view.with_prefix(BEATS, HeartbeatRow)
         for name, member in self.members().items():
             key = (name, member.incarnation)
             beat = beats[name].value.n if name in beats else 0
@@ -178,26 +180,26 @@
 
     async def renew(
         self, *, applied: int, prepared: str, gateways: tuple[str, ...]
-    ) -> Heartbeat:
+    ) -> RenewalResult:
         """Write the own row; `prepared` is the proposal that is held."""
         asked_at = self._clock.now()
         self._advance_state(asked_at)
         held = self._cell_view.get(MEMBERS + self._identity.name, MemberRow)
         if self._is_replaced(held):
-            return Heartbeat.REPLACED
+            return RenewalResult.REPLACED
         row = self._row(applied, prepared, gateways)
         change = self._renewal(row, held)
-        outcome = await commit_settled(self._table, change)
+        outcome = await commit_and_resolve(self._table, change)
         match outcome:
             case Committed():
                 self._renewed_at = asked_at
                 self._joined_at = self._joined_at or asked_at
-                return Heartbeat.RENEWED
+                return RenewalResult.RENEWED
             case Conflict():
                 await self._cell_view.refresh()
-                return Heartbeat.FAILED
+                return RenewalResult.FAILED
             case _:
-                return Heartbeat.FAILED
+                return RenewalResult.FAILED
 
     async def leave(self, *, applied: int, prepared: str) -> None:
         """Mark the own row as leaving, so that others take over at once."""
@@ -205,7 +207,7 @@
         await self._cell_view.refresh()
         await self.renew(applied=applied, prepared=prepared, gateways=())
 
-    async def move_epoch(self) -> None:
+    async def advance_epoch(self) -> None:
         """Create the cell's row, or count one member more or less."""
         cell = self.cell
         key = SHARED + CELLS + self._identity.cell
@@ -218,8 +220,8 @@
             return
         step = next_epoch(
             cell=cell.value,
-            noted=self._noted(cell.value),
-            joining=tuple(self.takers()),
+            acknowledged=self._noted(cell.value),
+            joining=tuple(self.eligible_owners()),
             gone=self._gone(cell.value),
         )
         if step is not None:
@@ -232,12 +234,12 @@
         """Return the next beat, with the member row only where that changed."""
         prefix = cell_prefix(self._identity.cell)
         name = self._identity.name
-        beat = self._cell_view.get(BEATS + name, BeatRow)
+        beat = self._cell_view.get(BEATS + name, HeartbeatRow)
         self._counter += 1
         puts = [
             TypedPut(
                 key=prefix + BEATS + name,
-                value=BeatRow(n=self._counter),
+                value=HeartbeatRow(n=self._counter),
                 expect=beat.version if beat else 0,
             )
         ]
@@ -289,5 +291,5 @@
             for name in cell.members
             if name not in rows
             or rows[name].state is MemberState.LEAVING
-            or self._gone_watch.is_lapsed(name, now)
+            or self._gone_watch.is_expired(name, now)
         )
--- a/mallowpond/coordination/quotas.py
+++ b/mallowpond/coordination/quotas.py
@@ -6,9 +6,9 @@
 
 from mallowpond.coordination.keys import quota_key
 from mallowpond.coordination.ports import Committed, TableService, Unavailable
-from mallowpond.coordination.store import TypedPut, commit_settled, transaction
+from mallowpond.coordination.store import TypedPut, commit_and_resolve, transaction
 from mallowpond.state.codec import from_plain
-from mallowpond.state.quota import grant
+from mallowpond.state.quota import grantable_units
 from mallowpond.state.rows import QuotaRow
 
 PERIOD_SECONDS = 86400
@@ -61,13 +61,15 @@
                 period, leased = held.period, held.leased
             else:
                 leased = 0
-            units = grant(budget=budget, leased=leased, wanted=wanted, needed=needed)
+            units = grantable_units(
+                budget=budget, leased=leased, wanted=wanted, needed=needed
+            )
             if units is None:
                 return Leased(period=period, units=0, period_left=left)
             new = QuotaRow(workspace=workspace, period=period, leased=leased + units)
             put = TypedPut(key=key, value=new, expect=row.version if row else 0)
             change = transaction(self._draw_id(), put)
-            if isinstance(await commit_settled(self._table, change), Committed):
+            if isinstance(await commit_and_resolve(self._table, change), Committed):
                 return Leased(period=period, units=units, period_left=left)
         # An unknown commit may have taken effect: its units are forfeited, not spent.
         return LeaseFailed(reason="too many conflicts")
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -30,7 +30,7 @@
 from mallowpond.coordination.store import TableView, new_id
 from mallowpond.protocol.declaration_file import Document, parse_document
 from mallowpond.standins.platform import MemoryTable
-from mallowpond.state.assurance import Vouch
+from mallowpond.state.assurance import PeerAnswer
 from mallowpond.state.declarations import Declaration, Deployment
 from mallowpond.state.rows import Holder
 
@@ -185,8 +185,8 @@
             return
         self.configuration.after_read(asked_at)
         await self.renew()
-        await self.membership.move_epoch()
-        await self.configuration.drive()
+        await self.membership.advance_epoch()
+        await self.configuration.advance_proposal()
 
     async def renew(self) -> None:
         """Renew the member row."""
@@ -207,13 +207,13 @@
         vouch, cell = peer.vouch(asked_at), peer.membership.known_cell
         self.clock.time += delay
         if cell is not None:
-            self.membership.note_cell(cell)
-        self.configuration.note_vouch(vouch)
+            self.membership.adopt_cell(cell)
+        self.configuration.record_peer_answer(vouch)
 
-    def vouch(self, asked_at: float) -> Vouch:
+    def vouch(self, asked_at: float) -> PeerAnswer:
         """Answer a peer as the link service does."""
         read = self.configuration.head_read
-        return Vouch(
+        return PeerAnswer(
             member=self.name,
             asked_at=asked_at,
             epoch=self.membership.epoch,
@@ -223,7 +223,7 @@
         )
 
 
-def make_node(
+def make_controller(
     name: str,
     table: MemoryTable,
     clock: FakeClock,
@@ -282,7 +282,7 @@
         nodes[0].clock.time += 0.5
 
 
-def document(*deployments: Deployment) -> str:
+def configuration_text(*deployments: Deployment) -> str:
     """Return a configuration text that declares these deployments."""
     lines = []
     for one in deployments:
--- a/mallowpond/node/configuration_sharing.py
+++ b/mallowpond/node/configuration_sharing.py
@@ -1,8 +1,8 @@
-"""Pass a configuration on among hosts, so that few read it from the store.
+"""Distribute the configuration among hosts, so that few read it from the store.
 
-The load pattern: each version was read by each host, 195 calls to the store a version,
-and a dozen versions come within four seconds at times. A host that the store turns
-away, or that starts while it is away, had none of it for as long as that lasted.
+If every host read every version, a fleet of 195 hosts would make 195 calls to the store
+per version, and at times a dozen versions come within four seconds. A host that the
+store rejects, or that starts during an outage, would have no configuration until then.
 """
 
 import zlib
@@ -10,23 +10,27 @@
 import structlog
 
 from mallowpond.node.configuration import ConfigurationFollower
-from mallowpond.node.fanout import MOST_PARTS, Fanout, PartCollector
-from mallowpond.node.messages import ConfigurationPart, ConfigurationQuestion, unpack
+from mallowpond.node.fanout import MAX_PARTS, Fanout, PartCollector
+from mallowpond.node.messages import (
+    ConfigurationPart,
+    ConfigurationQuestion,
+    decompress,
+)
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.readers import Readers
 
 log = structlog.get_logger()
 
-# Bytes of a compressed configuration in one datagram: below what UDP carries, and small
-# enough for a link's queue.
+# Bytes of a compressed configuration per datagram: below the limit of UDP, and small
+# enough for the queue of a link.
 PART_BYTES = 16 * 1024
-# Largest configuration that is unpacked, in bytes: four times the largest that the
-# store takes; a datagram made to cost much would unpack to more.
-LARGEST_DOCUMENT = 16 * 1024 * 1024
+# Largest configuration that is decompressed: four times the largest that the store
+# accepts. A malicious datagram could decompress to more.
+MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
 
 
 class ConfigurationSharing:
-    """Tell newer configurations, and take what other hosts tell."""
+    """Broadcast newer configurations, and adopt those that other hosts send."""
 
     def __init__(
         self,
@@ -43,33 +47,33 @@
         self._fanout = fanout
         self._configuration = configuration
         self._parts = PartCollector()
-        configuration.on_newer.append(self._tell_fleet)
-        configuration.ask_peers = self._ask
-        peers.on_configuration_part.append(self._note)
-        peers.on_configuration_question.append(self._answer)
+        configuration.on_new_version.append(self._broadcast)
+        configuration.request_document = self._request_document
+        peers.on_configuration_part.append(self._on_part)
+        peers.on_configuration_question.append(self._on_question)
 
-    def _tell_fleet(self) -> None:
-        if self._readers.reads:
-            for part in self._in_parts():
-                self._fanout.tell(part)
+    def _broadcast(self) -> None:
+        if self._readers.is_reader:
+            for part in self._split():
+                self._fanout.broadcast(part)
 
-    def _ask(self) -> None:
-        """Ask the strongest hosts for the configuration that this one lacks."""
+    def _request_document(self) -> None:
+        """Ask the top-ranked hosts for the configuration that this one lacks."""
         question = ConfigurationQuestion(node=self._name)
-        self._peers.tell_nodes(question, self._readers.strongest)
+        self._peers.send_to(question, self._readers.top_ranked_peers)
 
-    def _answer(self, question: ConfigurationQuestion) -> None:
-        for part in self._in_parts():
-            self._peers.tell_nodes(part, (question.node,))
+    def _on_question(self, question: ConfigurationQuestion) -> None:
+        for part in self._split():
+            self._peers.send_to(part, (question.node,))
 
-    def _in_parts(self) -> list[ConfigurationPart]:
-        """Return the configuration in datagrams, none if it is too large for them."""
+    def _split(self) -> list[ConfigurationPart]:
+        """Return the configuration in parts; none if it needs too many of them."""
         known = self._configuration.configuration
         if known is None or not self._configuration.document:
             return []
         data = zlib.compress(self._configuration.document)
         pieces = [data[at : at + PART_BYTES] for at in range(0, len(data), PART_BYTES)]
-        if len(pieces) > MOST_PARTS:
+        if len(pieces) > MAX_PARTS:
             return []
         return [
             ConfigurationPart(
@@ -82,16 +86,16 @@
             for number, piece in enumerate(pieces)
         ]
 
-    def _note(self, message: ConfigurationPart) -> None:
-        self._fanout.pass_on(message)
+    def _on_part(self, message: ConfigurationPart) -> None:
+        self._fanout.relay(message)
         known = self._configuration.configuration
         if known is not None and message.version <= known.version:
             return
-        parts = self._parts.take(message, message.version)
+        parts = self._parts.add(message, message.version)
         if parts is None:
             return
-        document = unpack(b"".join(part.data for part in parts), LARGEST_DOCUMENT)
+        document = decompress(b"".join(part.data for part in parts), MAX_DOCUMENT_BYTES)
         if document is None:
             log.warning("configuration: parts unreadable", version=message.version)
             return
-        self._configuration.hear_document(message.version, document)
+        self._configuration.handle_document(message.version, document)
--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -15,10 +15,10 @@
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.streams import StreamService
 from mallowpond.node.traffic import TrafficSeen
+from mallowpond.state.admission import jittered_retry_after
 from mallowpond.state.fleet import EngineProfile, ModelSpec
-from mallowpond.state.limits import spread_retry_after
 from mallowpond.state.site_configuration import (
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
     choose_backend,
@@ -42,10 +42,10 @@
 # started, in seconds, and the share of their own time that they may wait: the first
 # read of a large one by many hosts takes longer than a start, and callers that lost
 # their first try with all hosts come again only once.
-FIRST_READ_SECONDS = 1.5
-FIRST_READ_SHARE = 0.3
+FIRST_CONFIGURATION_SECONDS = 1.5
+FIRST_CONFIGURATION_SHARE = 0.3
 # Longest time that a request without a limit of its own is served, in seconds.
-DEFAULT_SECONDS = 30.0
+DEFAULT_TIMEOUT_SECONDS = 30.0
 
 
 class Ingress:
@@ -72,8 +72,8 @@
         self._rng = rng
         self._traffic = traffic
         self._limits_version = 0
-        self.stopping = False
-        self.ends_at = float("inf")
+        self.is_stopping = False
+        self.shutdown_at = float("inf")
         self.in_flight = 0
         self.server = HttpServer(
             handler=self._handle, on_bad_input=self._answer_bad_input
@@ -83,13 +83,13 @@
         self.in_flight += 1
         self._metrics.in_flight.set(self.in_flight)
         self._traffic.seen = True
-        if self.stopping:
+        if self.is_stopping:
             exchange.close_after()
             log.info(
                 "ingress: reached while stopping",
                 target=request.path,
                 earlier=exchange.earlier,
-                left=round(self.ends_at - self._clock.now(), 3),
+                left=round(self.shutdown_at - self._clock.now(), 3),
             )
         try:
             await self._serve(request, exchange)
@@ -151,29 +151,32 @@
     async def _admit_and_serve(
         self, request: CallerRequest, exchange: Exchange, started_at: float
     ) -> ServeOutcome:
-        limit = min(FIRST_READ_SECONDS, FIRST_READ_SHARE * _own_seconds(request))
-        await self._configuration.wait_for_first(limit)
+        limit = min(
+            FIRST_CONFIGURATION_SECONDS,
+            FIRST_CONFIGURATION_SHARE * _requested_seconds(request),
+        )
+        await self._configuration.wait_for_first_version(limit)
         configuration = self._configuration.configuration
         if configuration is None:
-            return self._come_back(Reason.NO_CONFIGURATION)
+            return self._retry_later(Reason.NO_CONFIGURATION)
         self._apply_limits(configuration)
         route = configuration.find_route(request.host, request.path)
         if route is None:
-            if not self._configuration.is_sure:
+            if not self._configuration.is_confirmed:
                 # A newer version may have the route.
-                return self._come_back(Reason.UNSURE)
+                return self._retry_later(Reason.UNSURE)
             return Refusal(status=404, reason=Reason.NO_ROUTE)
         workspace, priority = None, route.priority
         if configuration.uses_keys and route.needs_key:
-            if not self._configuration.is_sure:
-                return self._come_back(Reason.UNSURE)
+            if not self._configuration.is_confirmed:
+                return self._retry_later(Reason.UNSURE)
             holder = configuration.keys.get(request.key or "")
             if holder is None:
                 return Refusal(status=401, reason=Reason.UNKNOWN_KEY)
             workspace, priority = holder.workspace, holder.priority
         service = choose_backend(route, self._rng.random())
-        deadline = started_at + _seconds_left(request, route)
-        if route.repeat is Repeat.STREAM:
+        deadline = started_at + _timeout_seconds(request, route)
+        if route.repeat is RepeatPolicy.STREAM:
             shape = _shape(configuration, service, request)
             if shape is not None:
                 work = StreamWork(
@@ -187,8 +190,8 @@
                     deadline=deadline,
                     exchange=exchange,
                 )
-                if self.stopping and not self._can_finish(work):
-                    return self._come_back(Reason.STOPPING)
+                if self.is_stopping and not self._can_finish(work):
+                    return self._retry_later(Reason.STOPPING)
                 return await self._streams.serve(work)
         call = CallWork(
             request=request,
@@ -198,20 +201,20 @@
             deadline=deadline,
             exchange=exchange,
         )
-        if deadline > self.ends_at:
+        if deadline > self.shutdown_at:
             # Calls are short: until its deadline each has its answer, or an end.
-            return self._come_back(Reason.STOPPING)
+            return self._retry_later(Reason.STOPPING)
         return await self._calls.serve(call)
 
     def _can_finish(self, work: StreamWork) -> bool:
         """Tell whether a stream that is begun now ends before this host does."""
         return can_finish(
-            longest_seconds=self._streams.placing.longest_seconds(work),
-            seconds_left=self.ends_at - self._clock.now(),
+            longest_seconds=self._streams.placement.longest_seconds(work),
+            seconds_left=self.shutdown_at - self._clock.now(),
         )
 
-    def _come_back(self, reason: Reason) -> Refusal:
-        after = spread_retry_after(UNSURE_RETRY_SECONDS, self._rng.random())
+    def _retry_later(self, reason: Reason) -> Refusal:
+        after = jittered_retry_after(UNSURE_RETRY_SECONDS, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
     def _apply_limits(self, configuration: SiteConfiguration) -> None:
@@ -233,7 +236,7 @@
     ) -> None:
         self._metrics.requests.labels("refused").inc()
         self._metrics.refusals.labels(refusal.reason.value).inc()
-        self._metrics.refusing.observe(seconds)
+        self._metrics.refusal_seconds.observe(seconds)
         log.info(
             "ingress: refused",
             request=request,
@@ -257,13 +260,15 @@
         await exchange.respond(bad.status, json.dumps({"error": bad.reason}).encode())
 
 
-def _own_seconds(request: CallerRequest) -> float:
+def _requested_seconds(request: CallerRequest) -> float:
     left = request.seconds_left
-    return DEFAULT_SECONDS if left is None else left
+    return DEFAULT_TIMEOUT_SECONDS if left is None else left
 
 
-def _seconds_left(request: CallerRequest, route: Route) -> float:
-    return min(_own_seconds(request), route.timeout_seconds or DEFAULT_SECONDS)
+def _timeout_seconds(request: CallerRequest, route: Route) -> float:
+    return min(
+        _requested_seconds(request), route.timeout_seconds or DEFAULT_TIMEOUT_SECONDS
+    )
 
 
 def _shape(
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -11,7 +11,7 @@
 
 from mallowpond.coordination.ports import Put, Transaction
 from mallowpond.node.messages import (
-    MESSAGES,
+    MESSAGE_CLASSES,
     Advance,
     ConfigurationPart,
     ConfigurationQuestion,
@@ -23,6 +23,7 @@
     ListChange,
     LivenessAnswer,
     LivenessQuestion,
+    LoadColumns,
     PlaceAnswer,
     PlaceQuestion,
     PlaceVerdict,
@@ -33,16 +34,15 @@
     VersionQuestion,
     Vouch,
     Work,
-    WorkFigures,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
     read_message,
     write_message,
 )
 from mallowpond.node.peers import (
+    CANDIDATE_HEARTBEATS_PER_SECOND,
     GONE_SECONDS,
-    HEARTBEATS_PER_SECOND,
-    SENIOR_HEARTBEATS_PER_SECOND,
+    MAX_HEARTBEATS_PER_SECOND,
     PeerNetwork,
 )
 from mallowpond.node.tests.fakes import FakeClock
@@ -85,7 +85,7 @@
         store=True,
         stopping=False,
         planning=0,
-        loads=heartbeat_loads(LOADS),
+        loads=encode_loads(LOADS),
         **more,
     )
 
@@ -104,7 +104,7 @@
         address="127.0.0.1:8",
         table=table or MemoryTable(),
         clock=clock,
-        describe=lambda: beat("a"),
+        make_heartbeat=lambda: beat("a"),
     )
     return peers, clock
 
@@ -114,27 +114,27 @@
     heard, suspected, vouched = [], [], []
     peers.on_heartbeat.append(heard.append)
     peers.on_suspicion.append(suspected.append)
-    peers.on_vouch.append(vouched.append)
+    peers.on_target_healthy.append(vouched.append)
     suspicion = Suspicion(node="b", group="g", epoch=3, closing=True)
     for message in (beat(), suspicion, Vouch(node="b", targets=("t",))):
         peers.datagram_received(encode(message), SENDER)
-    assert loads_of(heard[0]) == LOADS
+    assert decode_loads(heard[0]) == LOADS
     assert suspected == [suspicion]
     assert vouched == ["t"]
-    assert peers.hosts == 2
+    assert peers.host_count == 2
 
 
 def test_a_silent_peer_counts_no_more():
     peers, clock = network()
     peers.datagram_received(encode(beat()), SENDER)
     clock.time += GONE_SECONDS + 0.1
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 def test_a_nodes_own_message_is_no_peer():
     peers, _ = network()
     peers.datagram_received(encode(beat("a")), SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -142,7 +142,7 @@
 def test_no_datagram_makes_a_node_fail(data):
     peers, _ = network()
     peers.datagram_received(data, SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 async def test_nodes_find_one_another_through_their_rows():
@@ -155,7 +155,7 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        describe=beat,
+        make_heartbeat=beat,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
@@ -169,7 +169,7 @@
     """
     peers, _ = network()
     few = peers.interval
-    peers.is_senior = False
+    peers.is_candidate = False
     for number in range(380):
         peers._addresses[str(number)] = "127.0.0.1:1"
     assert peers.interval > 5.0
@@ -185,11 +185,11 @@
     peers, _ = network()
     for number in range(380):
         peers._addresses[str(number)] = "127.0.0.1:1"
-    seldom = 1 / SENIOR_HEARTBEATS_PER_SECOND
+    seldom = 1 / CANDIDATE_HEARTBEATS_PER_SECOND
     assert peers.interval == 380 * seldom
     often = 4 / peers.interval
-    peers.is_senior = False
-    assert often + 376 / peers.interval < HEARTBEATS_PER_SECOND / 2
+    peers.is_candidate = False
+    assert often + 376 / peers.interval < MAX_HEARTBEATS_PER_SECOND / 2
 
 
 TARGET = Target(
@@ -228,7 +228,7 @@
     Vouch(node="b", targets=("t",)),
     SilenceQuestion(node="b", group="g", epoch=3, silent=0.5),
     Advance(node="b", group="g", epoch=3),
-    Digest(node="b", version=3, changed=4, loads=heartbeat_loads(LOADS)),
+    Digest(node="b", version=3, last_change=4, loads=encode_loads(LOADS)),
     ListChange(
         node="b",
         previous=3,
@@ -237,7 +237,7 @@
         removed=("u",),
         unreadable=("v",),
     ),
-    Work(node="b", loads=heartbeat_loads(LOADS), granted=2),
+    Work(node="b", loads=encode_loads(LOADS), grant_number=2),
     PlaceQuestion(
         node="b",
         number=3,
@@ -257,7 +257,7 @@
         verdict=PlaceVerdict.GRANTED,
         group="g",
         epoch=1,
-        granted=2,
+        grant_number=2,
         wait=0.5,
     ),
     VersionQuestion(node="b", number=3),
@@ -284,7 +284,7 @@
     bytes: ("4", None, True, 7, [], {}),
     float: ("4", None, True, -0.5, float("nan"), float("inf"), 1e300, []),
     tuple: (7, None, True, "x", {}, [7], [None], [[]]),
-    WorkFigures: (7, None, True, "x", [], [["g"], [1], [1]], [["g"], [1], [1], []]),
+    LoadColumns: (7, None, True, "x", [], [["g"], [1], [1]], [["g"], [1], [1], []]),
     PlaceVerdict: (7, None, True, [], "", "gone"),
     BreakCause: (7, None, True, [], "", "gone"),
     Process: (7, None, True, "x", [], ["t"], ["t", "5"], ["t", True], [None, 5]),
@@ -314,7 +314,7 @@
 
 
 def test_all_kinds_of_messages_are_tried():
-    assert {type(m).__name__ for m in MESSAGES_OF_EACH_KIND} == set(MESSAGES)
+    assert {type(m).__name__ for m in MESSAGES_OF_EACH_KIND} == set(MESSAGE_CLASSES)
 
 
 @pytest.mark.parametrize("message", MESSAGES_OF_EACH_KIND)
@@ -333,7 +333,7 @@
     peers, taken = listening()
     peers.datagram_received(cbor2.dumps([name, plain]), SENDER)
     assert taken == []
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 @pytest.mark.parametrize(
@@ -351,28 +351,28 @@
     peers._transport = FakeTransport(sent=sent)
     peers.datagram_received(encode(replace(beat("c"), address=address)), SENDER)
     peers.datagram_received(encode(beat("b")), SENDER)
-    peers.tell(Advance(node="a", group="g", epoch=1))
+    peers.broadcast(Advance(node="a", group="g", epoch=1))
     assert sent == [("127.0.0.1", 9)]
 
 
 def test_a_peers_name_as_address_is_never_looked_up():
     peers, _ = network()
     peers.datagram_received(encode(replace(beat(), address="peer.example:9")), SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 @pytest.mark.parametrize("interval", [0.0, 1e6])
 def test_a_peer_cannot_be_silent_for_ever_and_count_as_alive(interval):
     peers, _ = network()
     peers.datagram_received(encode(beat(interval=interval)), SENDER)
-    assert peers.hosts == 1
+    assert peers.host_count == 1
 
 
 def test_a_listener_that_fails_does_not_end_the_listening():
     peers, _ = network()
     peers.on_heartbeat.append(lambda heartbeat: 1 / 0)
     peers.datagram_received(encode(beat()), SENDER)
-    assert peers.hosts == 2
+    assert peers.host_count == 2
 
 
 BAD_NODE_ROWS = [
@@ -401,7 +401,7 @@
         address="127.0.0.1:9",
         table=table,
         clock=FakeClock(),
-        describe=beat,
+        make_heartbeat=beat,
     )
     assert await second._read_rows()
     assert second._addresses == {"a": "127.0.0.1:8"}
@@ -466,7 +466,7 @@
 
 
 def test_a_sum_of_work_just_below_nothing_leaves_the_message_readable():
-    loads = heartbeat_loads({("g", 3): (1, -0.7)})
+    loads = encode_loads({("g", 3): (1, -0.7)})
     message = Work(node="b", loads=loads)
     assert read_message(encode(message)) == message
 
@@ -515,16 +515,16 @@
 
 def test_a_node_that_was_never_heard_is_not_known_to_be_gone():
     peers, clock = network()
-    assert not peers.is_gone("b", "1")
+    assert not peers.has_stopped_planning("b", "1")
     peers.datagram_received(encode(beat()), SENDER)
-    assert not peers.is_gone("b", beat().incarnation)
-    assert peers.is_gone("b", "another")
+    assert not peers.has_stopped_planning("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", "another")
     clock.time += GONE_SECONDS + 0.1
-    assert peers.is_gone("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", beat().incarnation)
 
 
 @pytest.mark.parametrize("said", [{"store": False}, {"stopping": True}])
 def test_a_node_that_cannot_plan_is_gone_for_the_lease(said):
     peers, _ = network()
     peers.datagram_received(encode(replace(beat(), **said)), SENDER)
-    assert peers.is_gone("b", beat().incarnation)
+    assert peers.has_stopped_planning("b", beat().incarnation)
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -20,8 +20,8 @@
     FakeClock,
     FakeSource,
     FakeTargets,
-    intake_of,
     listing,
+    make_availability,
     member,
     open_group,
 )
@@ -38,8 +38,8 @@
 
     def __init__(self):
         self.fence = 3
-        self.age = 0.0
-        self.on_taken = []
+        self.renewal_age = 0.0
+        self.on_acquired = []
         self.confirms = True
         self.asked = 0
 
@@ -56,7 +56,7 @@
         self.on_suspect = []
         self.cleared = []
 
-    def retire(self, key):
+    def exclude_closing(self, key):
         """Send nothing new to a group."""
 
     def clear(self, key):
@@ -75,10 +75,10 @@
         self.on_liveness_question = []
         self.on_liveness_answer = []
 
-    def tell_suspicion(self, key, *, cleared=False, closing=False):
+    def broadcast_suspicion(self, key, *, cleared=False, closing=False):
         """Tell nobody."""
 
-    def tell_vouch(self, target):
+    def broadcast_target_healthy(self, target):
         """Remember the target."""
         self.vouched.append(target)
 
@@ -120,7 +120,7 @@
         )
         self.watch, self.peers = FakeWatch(), FakePeers()
         self.leadership = FakeLeadership()
-        self.intake = intake_of(self.directory, self.clock)
+        self.availability = make_availability(self.directory, self.clock)
         self.planner = GroupPlanner(
             configuration=self.configuration,
             directory=self.directory,
@@ -132,7 +132,7 @@
             metrics=NodeMetrics(),
             stall_seconds=4.0,
             traffic_seen=TrafficSeen(seen=True),
-            intake=self.intake,
+            availability=self.availability,
         )
 
     async def steps(self, count=1):
@@ -256,7 +256,7 @@
     await rig.directory.refresh()
     rig.targets.reports = {"a": EngineReport(orders=1, target=free("a"))}
     target = rig.directory.targets["a"]
-    rig.planner._book.note_taken(join, rig.clock.now())
+    rig.planner._book.record_taken(join, rig.clock.now())
     assert await rig.planner._probes.probe(target)
     assert rig.directory.targets["a"].membership == joined
     rig.clock.time += REPORT_LAG_SECONDS + 0.1
@@ -353,10 +353,10 @@
     await rig.steps(2)
     join = rig.of_kind(Join)[0]
     leave = Leave(target=join.target, group=join.group, epoch=join.epoch)
-    rig.planner._book.note_taken(leave, rig.clock.now())
-    rig.planner._book.note_taken(join, rig.clock.now())
+    rig.planner._book.record_taken(leave, rig.clock.now())
+    rig.planner._book.record_taken(join, rig.clock.now())
     shown = placed(join.target.id, join, 0)
-    assert rig.planner._as_known(shown).membership == shown.membership
+    assert rig.planner._with_latest_state(shown).membership == shown.membership
 
 
 def restarted(name, born=2):
@@ -477,7 +477,7 @@
     """
     rig = Rig(free("a"), free("b"))
     ready = await formed(rig)
-    rig.planner._book.doubt_count(ready[0])
+    rig.planner._book.invalidate_count(ready[0])
     rig.targets.reports[ready[0].id] = EngineReport(orders=1, target=ready[0])
     answer, ask = asyncio.Event(), rig.targets.report
 
@@ -717,7 +717,7 @@
     rig.targets.report = slow
     await rig.steps(2)
     rig.leadership.fence = 5
-    for notify in rig.leadership.on_taken:
+    for notify in rig.leadership.on_acquired:
         notify()
     answer.set()
     for _ in range(20):
@@ -737,7 +737,7 @@
     await rig.steps()
     await rig.show(restarted("g1"))
     rig.leadership.fence = 5
-    for notify in rig.leadership.on_taken:
+    for notify in rig.leadership.on_acquired:
         notify()
     rig.source.listed.append(listing(revision=10, whole=False))
     await rig.steps(3)
@@ -845,7 +845,7 @@
     await rig.steps(2)
     for target in members:
         rig.targets.reports[target.id] = Unavailable(reason="timeout")
-        rig.planner._probes.investigate(target)
+        rig.planner._probes.start_probe(target)
     await rig.steps(10)
     return rig
 
@@ -910,7 +910,7 @@
     rig = Rig(free("e0"), free("e1"))
     await rig.directory.refresh()
     notice = TargetNotice(is_leaving=True)
-    rig.intake.hear(rig.directory.targets["e0"], notice, rig.clock.now())
+    rig.availability.record_notice(rig.directory.targets["e0"], notice, rig.clock.now())
     await rig.steps(5)
     joins = [step for step, _, _ in rig.targets.orders if isinstance(step, Join)]
     assert joins == []
@@ -923,7 +923,7 @@
     """Guards against health checks that take a slot of a target in need."""
     rig = Rig(*open_group("g"))
     await rig.steps(2)
-    rig.intake.hear(rig.directory.targets["g0"], notice, rig.clock.now())
+    rig.availability.record_notice(rig.directory.targets["g0"], notice, rig.clock.now())
     await rig.show(removed=("g0",))
     await rig.steps(5)
     assert rig.peers.vouched == []
@@ -933,10 +933,10 @@
     rig = Rig(*open_group("g"))
     await rig.steps(2)
     head = rig.directory.targets["g0"]
-    rig.intake.hear(head, TargetNotice(rate_limit=1.0), rig.clock.now())
+    rig.availability.record_notice(head, TargetNotice(rate_limit=1.0), rig.clock.now())
     rig.clock.time += 1.0
-    assert rig.intake.may_send(head)
+    assert rig.availability.can_send(head)
     await rig.show(removed=("g0",))
     await rig.steps(2)
     assert rig.peers.vouched == ["g0"]
-    assert not rig.intake.may_send(head)
+    assert not rig.availability.can_send(head)
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -10,18 +10,18 @@
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.node.configuration import (
     FROM_START,
-    LATER_RETRY_SECONDS,
-    UNANSWERED_QUESTIONS,
+    MAX_UNANSWERED_QUESTIONS,
+    SLOW_RETRY_SECONDS,
     ConfigurationFollower,
 )
 from mallowpond.node.configuration_sharing import PART_BYTES, ConfigurationSharing
 from mallowpond.node.directory import (
-    FOLLOWER_WHOLE_READ_SECONDS,
+    FOLLOWER_FULL_READ_SECONDS,
     MISSED_CHANGE_SECONDS,
     READERS_SILENCE_SECONDS,
     Directory,
 )
-from mallowpond.node.fanout import MOST_PARTS, RELAY_SILENCE_SECONDS, Fanout
+from mallowpond.node.fanout import MAX_PARTS, RELAY_SILENCE_SECONDS, Fanout
 from mallowpond.node.messages import (
     ConfigurationPart,
     ConfigurationQuestion,
@@ -31,15 +31,15 @@
     VersionAnswer,
     VersionQuestion,
     Work,
-    heartbeat_loads,
+    encode_loads,
 )
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import ConfigurationRead
 from mallowpond.node.readers import (
-    MOST_PASSED_ON,
-    READERS,
+    CANDIDATE_COUNT,
+    MAX_TARGETS_PER_PART,
+    READER_COUNT,
     READERS_KEY,
-    SENIORS,
     Readers,
 )
 from mallowpond.node.tests.fakes import (
@@ -73,7 +73,7 @@
             address="127.0.0.1:1",
             table=MemoryTable(),
             clock=self.clock,
-            describe=lambda: beat(name),
+            make_heartbeat=lambda: beat(name),
         )
         self.told = []
         self.peers._send = lambda message, addresses: self.told.append(message)
@@ -109,7 +109,7 @@
     def hear(self, *messages):
         """Take messages of other hosts."""
         for message in messages:
-            self.peers._take(message)
+            self.peers._handle_message(message)
 
     def told_of(self, kind):
         """Return what was told of one kind."""
@@ -124,15 +124,15 @@
     await host.configuration.step()
     host.source.listed.append(listing(*targets, revision=10))
     await host.directory.refresh()
-    while host.readers.reads:
+    while host.readers.is_reader:
         host.hear(beat(next(names)))
-    host.hear(digest(changed=10))
+    host.hear(digest(last_change=10))
     return host
 
 
-def digest(*, changed, number=1):
+def digest(*, last_change, number=1):
     """Write a reader's digest."""
-    return Digest(node="n0", version=number, changed=changed)
+    return Digest(node="n0", version=number, last_change=last_change)
 
 
 def change(*targets, previous, revision, removed=()):
@@ -154,7 +154,7 @@
         host.hear(*(beat(other) for other in names if other != name))
         chosen.append(host.readers.names)
     assert all(found == chosen[0] for found in chosen)
-    assert len(chosen[0]) == READERS
+    assert len(chosen[0]) == READER_COUNT
 
 
 def test_hosts_that_the_store_turns_away_or_that_stop_do_not_read_for_others():
@@ -177,7 +177,7 @@
         host.hear(*(beat(other) for other in names if other != name))
         host.readers.step()
         pauses[name] = host.peers.interval
-    assert sum(pause < 0.5 for pause in pauses.values()) == SENIORS
+    assert sum(pause < 0.5 for pause in pauses.values()) == CANDIDATE_COUNT
     assert sum(87 / pause for pause in pauses.values()) < 88 * 87 / 1.4 / 2
 
 
@@ -191,7 +191,7 @@
 async def test_a_follower_takes_a_change_without_a_call():
     host = await follower(*open_group("g"))
     host.hear(change(member("x", "h", 0), previous=10, revision=12))
-    host.hear(digest(changed=12))
+    host.hear(digest(last_change=12))
     assert "x" in host.directory.targets
     assert not host.directory._must_read()
     assert len(host.source.asked) == 1
@@ -206,9 +206,9 @@
     host = await follower(*open_group("g"))
     host.hear(change(member("x", "h", 0), previous=12, revision=14))
     assert "x" not in host.directory.targets
-    host.hear(digest(changed=14))
+    host.hear(digest(last_change=14))
     host.clock.time += MISSED_CHANGE_SECONDS + 0.01
-    host.hear(digest(changed=14))
+    host.hear(digest(last_change=14))
     assert host.directory._must_read()
 
 
@@ -223,7 +223,7 @@
     following = asyncio.create_task(host.directory.run())
     began = host.clock.time
     while len(host.source.asked) < 2:
-        host.hear(digest(changed=14))
+        host.hear(digest(last_change=14))
         await asyncio.sleep(0)
     assert host.clock.time - began < MISSED_CHANGE_SECONDS + 0.25
     following.cancel()
@@ -269,9 +269,9 @@
 async def test_a_follower_compares_the_whole_list_at_intervals():
     host = await follower(*open_group("g"))
     host.directory.is_reader = lambda: False
-    for seconds in (1.0, FOLLOWER_WHOLE_READ_SECONDS):
+    for seconds in (1.0, FOLLOWER_FULL_READ_SECONDS):
         host.clock.time += seconds
-        host.hear(digest(changed=10))
+        host.hear(digest(last_change=10))
         assert host.directory._must_read() == (seconds > 1.0)
 
 
@@ -283,9 +283,9 @@
     """
     host = await follower(*open_group("g"))
     host.source.cut = True
-    host.hear(digest(changed=14))
+    host.hear(digest(last_change=14))
     host.clock.time += MISSED_CHANGE_SECONDS + 0.01
-    host.hear(digest(changed=14))
+    host.hear(digest(last_change=14))
     assert host.directory._must_read()
     assert not await host.directory.refresh()
     host.clock.time += 0.1
@@ -305,9 +305,9 @@
     host = await follower(*open_group("g"))
     host.source.cut = True
     assert not await host.directory.refresh()
-    assert host.directory.is_lost
-    host.hear(digest(changed=10))
-    assert not host.directory.is_lost
+    assert host.directory.is_list_lost
+    host.hear(digest(last_change=10))
+    assert not host.directory.is_list_lost
 
 
 async def test_the_readers_sums_do_not_count_a_hosts_own_work_twice():
@@ -319,10 +319,10 @@
     host = await follower(*open_group("g"))
     key = ("g", 1)
     host.directory.loads.work(key).running = 3
-    host.directory.loads.note_told({key: (3, 100.0)})
-    host.directory.hear_digest(10, {key: (8, 500.0)})
+    host.directory.loads.record_published({key: (3, 100.0)})
+    host.directory.apply_digest(10, {key: (8, 500.0)})
     load = host.directory.loads.load(key)
-    assert (load.running, load.reading_tokens) == (8, 400.0)
+    assert (load.running, load.prefill_tokens) == (8, 400.0)
 
 
 async def reader_of(*reads):
@@ -344,27 +344,29 @@
     changed entries; each of 195 hosts hears that it lacks them.
     Cause: a change beyond one datagram was not passed on, and each host read it itself.
     """
-    many = [member(f"x{n}", "h", n) for n in range(2 * MOST_PASSED_ON + 1)]
+    many = [member(f"x{n}", "h", n) for n in range(2 * MAX_TARGETS_PER_PART + 1)]
     first = listing(*open_group("g"), revision=10)
     host = await reader_of(first, listing(*many, revision=12, whole=False))
     told = host.told_of(ListChange)
     assert [(t.part, t.parts) for t in told] == [(0, 3), (1, 3), (2, 3)]
-    assert max(len(t.targets) for t in told) == MOST_PASSED_ON
+    assert max(len(t.targets) for t in told) == MAX_TARGETS_PER_PART
     following = await follower(*open_group("g"))
     following.hear(told[2], told[0])
     assert "x0" not in following.directory.targets
-    following.hear(told[1], digest(changed=12))
+    following.hear(told[1], digest(last_change=12))
     assert following.directory.targets.keys() >= {target.id for target in many}
     assert not following.directory._must_read()
 
 
 async def test_a_change_beyond_all_parts_is_read_by_each_host():
-    many = [member(f"x{n}", "h", n) for n in range(MOST_PARTS * MOST_PASSED_ON + 1)]
+    many = [
+        member(f"x{n}", "h", n) for n in range(MAX_PARTS * MAX_TARGETS_PER_PART + 1)
+    ]
     first = listing(*open_group("g"), revision=10)
     host = await reader_of(first, listing(*many, revision=12, whole=False))
     assert host.told_of(ListChange) == []
     host.readers.step()
-    assert host.told_of(Digest)[-1].changed == 12
+    assert host.told_of(Digest)[-1].last_change == 12
 
 
 async def test_parts_that_cannot_be_of_one_change_are_not_kept():
@@ -392,7 +394,7 @@
     """Build a host of a fleet over several data centres, with what it sends to whom."""
     host = Host(name, data_centre=name[0], cores=0.5 if int(name[1:]) > 2 else 2.0)
     host.sent = []
-    host.peers.tell_nodes = lambda message, nodes: host.sent.append(
+    host.peers.send_to = lambda message, nodes: host.sent.append(
         (message, sorted(nodes))
     )
     for centre in centres:
@@ -412,8 +414,8 @@
     Cause: each host of another data centre was told by itself.
     """
     host = large_fleet("a0")
-    message = digest(changed=10)
-    host.fanout.tell(message)
+    message = digest(last_change=10)
+    host.fanout.broadcast(message)
     (near, near_nodes), (far, far_nodes) = host.sent
     assert (near.pass_on, far.pass_on) == (False, True)
     assert near_nodes == sorted(f"a{number}" for number in range(1, 20))
@@ -425,23 +427,23 @@
 
 def test_a_host_that_is_asked_to_tells_its_own_data_centre():
     host = large_fleet("b0")
-    host.hear(replace(digest(changed=10), node="a0", pass_on=True))
+    host.hear(replace(digest(last_change=10), node="a0", pass_on=True))
     ((message, nodes),) = host.sent
     assert not message.pass_on
     assert nodes == sorted(f"b{number}" for number in range(1, 20))
-    host.hear(replace(digest(changed=10), node="a0"))
+    host.hear(replace(digest(last_change=10), node="a0"))
     assert len(host.sent) == 1
 
 
 def test_a_host_that_has_fallen_silent_is_not_asked_to_tell_on():
     host = large_fleet("a0")
     nodes = [f"b{number}" for number in range(20)]
-    first = host.fanout.relay(nodes)
+    first = host.fanout.choose_relay(nodes)
     host.clock.time += RELAY_SILENCE_SECONDS + 0.1
     for node in nodes:
         if node != first:
-            host.hear(Work(node=node, loads=heartbeat_loads({})))
-    assert host.fanout.relay(nodes) not in (first, None)
+            host.hear(Work(node=node, loads=encode_loads({})))
+    assert host.fanout.choose_relay(nodes) not in (first, None)
 
 
 def test_the_strongest_hosts_read_and_plan():
@@ -470,7 +472,7 @@
         return await read(since, wait_seconds)
 
     host.source.configuration = noted
-    host.hear(digest(changed=10, number=2))
+    host.hear(digest(last_change=10, number=2))
     await host.configuration.step()
     assert asked == [FROM_START]
 
@@ -492,7 +494,7 @@
     (told,) = host.told_of(ListChange)
     assert (told.previous, told.revision) == (10, 12)
     host.readers.step()
-    assert host.told_of(Digest)[-1].changed == 12
+    assert host.told_of(Digest)[-1].last_change == 12
 
 
 async def test_a_readers_answer_counts_from_before_the_question():
@@ -524,7 +526,7 @@
 async def test_a_follower_that_hears_of_a_newer_version_reads_it():
     host = await follower()
     assert host.configuration._may_ask_readers()
-    host.hear(digest(changed=10, number=2))
+    host.hear(digest(last_change=10, number=2))
     assert not host.configuration._may_ask_readers()
     host.source.configurations.append(version(2))
     await host.configuration.step()
@@ -534,7 +536,7 @@
 
 async def test_a_follower_without_answers_asks_the_store():
     host = await follower()
-    for _ in range(UNANSWERED_QUESTIONS):
+    for _ in range(MAX_UNANSWERED_QUESTIONS):
         assert host.configuration._may_ask_readers()
         host.configuration._ask()
     assert not host.configuration._may_ask_readers()
@@ -584,15 +586,15 @@
     names = [f"n{number}" for number in range(65)]
     ranked = ranked_owners(READERS_KEY, names)
     calls = {}
-    for name in (*ranked[:READERS], *ranked[READERS : READERS + 4]):
+    for name in (*ranked[:READER_COUNT], *ranked[READER_COUNT : READER_COUNT + 4]):
         host = Host(name)
         beats = [beat(other, store=False) for other in names if other != name]
         host.hear(*beats)
         calls[name] = await calls_in_outage(host, beats, 8.0)
-    few = [calls[name] for name in ranked[:READERS]]
-    many = [calls[name] for name in calls if name not in ranked[:READERS]]
+    few = [calls[name] for name in ranked[:READER_COUNT]]
+    many = [calls[name] for name in calls if name not in ranked[:READER_COUNT]]
     assert min(few) > 20
-    assert max(many) <= 8.0 / LATER_RETRY_SECONDS + 2
+    assert max(many) <= 8.0 / SLOW_RETRY_SECONDS + 2
 
 
 async def test_all_hosts_try_again_as_soon_as_one_reaches_the_store():
@@ -603,18 +605,18 @@
     host.hear(*(beat(other, store=False) for other in names))
     host.source.cut = True
     await host.configuration.step()
-    assert not host.configuration.store_answers
+    assert not host.configuration.is_store_reachable
     host.hear(beat(names[0], store=False))
-    assert not host.configuration._store_is_back.is_set()
+    assert not host.configuration._is_store_back.is_set()
     host.hear(beat(names[0], store=True))
-    assert host.configuration._store_is_back.is_set()
+    assert host.configuration._is_store_back.is_set()
     assert not host.configuration._may_ask_readers()
     host.hear(beat(names[1], store=True))
     host.source.cut = False
     await host.configuration.step()
-    assert host.configuration.store_answers
+    assert host.configuration.is_store_reachable
     host.hear(beat(names[2], store=True))
-    assert not host.configuration._store_is_back.is_set()
+    assert not host.configuration._is_store_back.is_set()
 
 
 def test_a_host_that_only_it_cannot_reach_the_store_tries_often():
@@ -630,9 +632,9 @@
     host = Host(last)
     host.configuration._failures = 1
     host.hear(*(beat(other, store=False) for other in others))
-    assert not host.readers.tries_first
+    assert not host.readers.should_retry_often
     host.hear(beat(others[0], store=True))
-    assert host.readers.tries_first
+    assert host.readers.should_retry_often
 
 
 async def holder_of(number, document):
@@ -657,13 +659,13 @@
     asked = len(host.source.configurations)
     sure_since = host.configuration.confirmation.confirmed_at
     host.clock.time += 1.0
-    host.hear(digest(changed=10, number=2), *reader.told_of(ConfigurationPart))
+    host.hear(digest(last_change=10, number=2), *reader.told_of(ConfigurationPart))
     assert host.configuration.configuration.version == 2
     assert host.configuration._may_ask_readers()
     assert len(host.source.configurations) == asked
     # No surer than before: nothing tells when the datagram was sent.
     assert host.configuration.confirmation.confirmed_at == sure_since
-    assert host.configuration.is_sure
+    assert host.configuration.is_confirmed
 
 
 async def test_a_host_without_a_configuration_gets_it_from_a_peer():
@@ -681,10 +683,10 @@
     holder.hear(beat("n9"), question)
     host.hear(*holder.told_of(ConfigurationPart)[-1:])
     assert host.configuration.configuration.version == 3
-    assert not host.configuration.is_sure
+    assert not host.configuration.is_confirmed
     (asked,) = host.told_of(VersionQuestion)
     host.hear(VersionAnswer(node="n0", number=asked.number, version=3, age=0.2))
-    assert host.configuration.is_sure
+    assert host.configuration.is_confirmed
 
 
 async def test_a_configuration_that_got_lost_on_its_way_is_read_from_the_store():
@@ -692,7 +694,7 @@
     host.source.configurations.append(version(2))
     following = asyncio.create_task(host.configuration.run())
     began = host.clock.time
-    host.hear(digest(changed=10, number=2))
+    host.hear(digest(last_change=10, number=2))
     while host.configuration.configuration.version < 2:
         await asyncio.sleep(0)
     await cancel_task(following)
