--- a/mallowpond/gateway/relay.py
+++ b/mallowpond/gateway/relay.py
@@ -57,7 +57,7 @@
         self._rest.clear()
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether bytes are left that complete no event."""
         return bool(self._rest)
 
@@ -82,7 +82,11 @@
                         await exchange.start(200, headers)
                     await exchange.send(whole)
                 case End():
-                    return Broken(reason="cut_event") if progress.has_rest else Whole()
+                    return (
+                        Broken(reason="cut_event")
+                        if progress.has_partial_event
+                        else Whole()
+                    )
                 case CallFailed(phase=phase):
                     return Broken(reason=f"cut_{phase.value}")
     finally:
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -296,7 +296,7 @@
             match event:
                 case Chunk(data=data):
                     await self._forward(stream, headers, data)
-                case End() if work.progress.has_rest:
+                case End() if work.progress.has_partial_event:
                     return Interrupted(reason=Reason.BROKEN_STREAM)
                 case End():
                     if not work.exchange.started:
