--- a/mallowpond/gateway/relay.py
+++ b/mallowpond/gateway/relay.py
@@ -52,7 +52,7 @@
         self.chunks += 1
         return whole
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget half an event that a broken stream left."""
         self._rest.clear()
 
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -197,7 +197,7 @@
     async def _pass_stream(self, response: HttpResponse) -> RelayEnd:
         content_type = response.headers.get("content-type", "text/event-stream")
         headers = (("content-type", content_type), *self.answer_headers)
-        self._progress.drop_rest()
+        self._progress.discard_partial_event()
         end = await relay_stream(
             response,
             self.exchange,
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -248,7 +248,7 @@
             await asyncio.gather(stream.task, return_exceptions=True)
             own.running -= 1
             own.prefill_tokens -= stream.prefill_tokens
-            work.progress.drop_rest()
+            work.progress.discard_partial_event()
             self.placement.wake(work.model.name)
             for notify in self.on_end:
                 notify()
