--- a/mallowpond/gateway/relay.py
+++ b/mallowpond/gateway/relay.py
@@ -75,7 +75,7 @@
         async for event in response.events(silence_seconds):
             match event:
                 case Chunk(data=data):
-                    whole = progress.take(data)
+                    whole = progress.complete_events(data)
                     if not whole:
                         continue
                     if not exchange.started:
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -320,7 +320,7 @@
         self, stream: ActiveStream, headers: tuple[tuple[str, str], ...], data: bytes
     ) -> None:
         work = stream.work
-        complete = work.progress.take(data)
+        complete = work.progress.complete_events(data)
         if not complete:
             return
         self._record_event(stream)
