--- a/mallowpond/gateway/relay.py
+++ b/mallowpond/gateway/relay.py
@@ -36,7 +36,7 @@
     chunks: int = 0
     _rest: bytearray = field(default_factory=bytearray)
 
-    def take(self, data: bytes) -> bytes:
+    def complete_events(self, data: bytes) -> bytes:
         """Return the whole events that `data` completes.
 
         Only whole events are passed on: a resumed stream starts at an event, and
