--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -145,7 +145,7 @@
     def _avoided(self, work: StreamWork) -> frozenset[str]:
         """Return the names of the groups that a stream must not be sent to now.
 
-        It was sent there already, or its head is unavailable now.
+        Those are groups that it was sent to already or whose head is unavailable.
         """
         if not work.sent_to and not self._availability.has_restrictions:
             return frozenset()
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -140,6 +140,7 @@
         return has_advanced(own_silence=own_silence, peer_silence=question.silent)
 
     def _on_advance(self, key: GroupKey) -> None:
+        """Record that a peer sees progress of a group."""
         query = self._queries.get(key)
         if query is not None:
             self._queries[key] = replace(query, advanced_at=self._clock.now())
@@ -147,6 +148,7 @@
     def _measure_silence(
         self, key: GroupKey, streams: list[ActiveStream], now: float
     ) -> GroupSilence:
+        """Return how long a group has been silent here, and how long it may be."""
         work = streams[0].work
         load = self._directory.loads.load_of(streams[0].group, work.profile)
         # The load includes the prompt tokens of other hosts that are to be prefilled.
