--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -248,7 +248,7 @@
             await asyncio.gather(stream.task, return_exceptions=True)
             own.running -= 1
             own.prefill_tokens -= stream.prefill_tokens
-            work.progress.drop_rest()
+            work.progress.discard_partial_event()
             self.placement.wake(work.model.name)
             for notify in self.on_end:
                 notify()
@@ -296,7 +296,7 @@
             match event:
                 case Chunk(data=data):
                     await self._forward(stream, headers, data)
-                case End() if work.progress.has_rest:
+                case End() if work.progress.has_partial_event:
                     return Interrupted(reason=Reason.BROKEN_STREAM)
                 case End():
                     if not work.exchange.started:
@@ -320,7 +320,7 @@
         self, stream: ActiveStream, headers: tuple[tuple[str, str], ...], data: bytes
     ) -> None:
         work = stream.work
-        complete = work.progress.take(data)
+        complete = work.progress.complete_events(data)
         if not complete:
             return
         self._record_event(stream)
