--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -209,7 +209,7 @@
         self._observer_health.record_silence(target.id, target.domain, now)
         if not self._observer_health.is_suspect(now):
             return True
-        if not await self._indirect_probe.sees(target.id):
+        if not await self._indirect_probe.is_alive(target.id):
             return True
         log.warning("planner: target seen by another host", target=target.id)
         return False
