--- a/mallowpond/gateway/pools.py
+++ b/mallowpond/gateway/pools.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 
 from mallowpond.coordination.ports import Clock
+from mallowpond.gateway.admission import Gate
 from mallowpond.gateway.dispatch import (
     Attempt,
     AttemptOutcome,
@@ -13,7 +14,6 @@
     dispatch,
     dispatch_plainly,
 )
-from mallowpond.gateway.gate import Gate
 from mallowpond.gateway.link import ControllerLink
 from mallowpond.gateway.routes import RouteTable
 from mallowpond.gateway.serving import Place
