--- a/mallowpond/gateway/service.py
+++ b/mallowpond/gateway/service.py
@@ -17,7 +17,7 @@
 from mallowpond.gateway.pools import Pools
 from mallowpond.gateway.quarantine import GatewayQuarantine
 from mallowpond.gateway.quotas import QuotaKeeper
-from mallowpond.gateway.reading import RequestReader, Work
+from mallowpond.gateway.request_parser import RequestReader, Work
 from mallowpond.gateway.routes import RouteTable
 from mallowpond.gateway.serving import (
     BrokenOff,
