--- a/mallowpond/gateway/tests/test_overload.py
+++ b/mallowpond/gateway/tests/test_overload.py
@@ -13,7 +13,7 @@
     serving_site,
     set_faults,
 )
-from mallowpond.gateway.tests.turned_clock import TurnedClock, run_on
+from mallowpond.gateway.tests.virtual_clock import TurnedClock, run_on
 from mallowpond.protocol.peer import ClaimVerdict
 from mallowpond.standins.engine import EngineFaults
 from mallowpond.standins.platform import PlatformFaults
--- a/mallowpond/gateway/tests/test_turned_clock.py
+++ b/mallowpond/gateway/tests/test_turned_clock.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from mallowpond.gateway.tests.turned_clock import TurnedClock, run_on
+from mallowpond.gateway.tests.virtual_clock import TurnedClock, run_on
 
 
 def test_a_stall_of_the_loop_ages_nothing():
