--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -83,8 +83,8 @@
         groups = list(self._groups.groups().values())
         rows = []
         for one in self._configuration.applied.declaration.deployments:
-            held = [g for g in groups if g.deployment == one.name]
-            ready = sum(g.state is GroupState.READY for g in held)
+            of_deployment = [g for g in groups if g.deployment == one.name]
+            ready = sum(g.state is GroupState.READY for g in of_deployment)
             rows.append((one.name, one.model, one.replicas, ready, one.hosts_per_group))
         return rows
 
@@ -110,7 +110,7 @@
         rows = []
         for host in self._hosts():
             row = bound.get(host.name)
-            status = self._watch.recent(host.name)
+            status = self._watch.recent_status(host.name)
             cells = (
                 host.name,
                 host.domain,
