--- a/mallowpond/controller/links.py
+++ b/mallowpond/controller/links.py
@@ -43,8 +43,8 @@
 from mallowpond.state.rows import ClaimRow, ClaimState
 from mallowpond.transport.peer_link import PeerLink
 
-RoutesAnswerer = Callable[[RoutesAsk], Routes]
-ViewAnswerer = Callable[[PeerAsk], PeerView]
+RoutesHandler = Callable[[RoutesAsk], Routes]
+ViewHandler = Callable[[PeerAsk], PeerView]
 
 
 class LinkService:
@@ -53,8 +53,8 @@
     def __init__(
         self,
         *,
-        routes: RoutesAnswerer,
-        view: ViewAnswerer,
+        routes: RoutesHandler,
+        view: ViewHandler,
         claims: ClaimCommitter,
         quotas: QuotaLeaser,
         metrics: ControllerMetrics,
@@ -68,12 +68,12 @@
         self._metrics = metrics
         self._on_suspect = on_suspect
         self._on_crash = on_crash
-        self._gateways: dict[str, int] = {}
+        self._link_counts: dict[str, int] = {}
 
     @property
     def gateways(self) -> tuple[str, ...]:
         """Return the incarnations of the gateways attached now."""
-        return tuple(sorted(self._gateways))
+        return tuple(sorted(self._link_counts))
 
     async def serve(self, link: PeerLink) -> None:
         """Answer one link until it closes."""
@@ -84,49 +84,55 @@
                     message = await link.receive()
                     if isinstance(message, GatewayHello) and gateway is None:
                         gateway = message.gateway
-                        self._gateways[gateway] = self._gateways.get(gateway, 0) + 1
+                        self._link_counts[gateway] = (
+                            self._link_counts.get(gateway, 0) + 1
+                        )
                     elif isinstance(message, RoutesAsk):
                         await link.send(self._routes(message))
                     elif isinstance(message, PeerAsk):
                         await link.send(self._view(message))
                     else:
-                        tasks.create_task(self._answer_later(link, message))
+                        tasks.create_task(self._handle_message(link, message))
         finally:
             self._detach(gateway)
 
     def _detach(self, gateway: str | None) -> None:
         if gateway is None:
             return
-        self._gateways[gateway] -= 1
-        if self._gateways[gateway] == 0:
-            del self._gateways[gateway]
+        self._link_counts[gateway] -= 1
+        if self._link_counts[gateway] == 0:
+            del self._link_counts[gateway]
 
-    async def _answer_later(self, link: PeerLink, message: Message) -> None:
+    async def _handle_message(self, link: PeerLink, message: Message) -> None:
         match message:
             case SuspectGroup():
                 self._on_suspect()
             case CrashReport(records=records):
                 self._on_crash(records)
             case QuotaAsk():
-                await link.send(await self._lease(message))
+                await link.send(await self._lease_quota(message))
             case ClaimAsk():
-                work = Claim(row=_row(message, ClaimState.CLAIMED, message.units))
-                await self._submit(link, message.call, work)
+                operation = Claim(
+                    row=_claim_row(message, ClaimState.CLAIMED, message.units)
+                )
+                await self._submit(link, message.call, operation)
             case FinishAsk(known=known):
                 state = ClaimState.DONE if known else ClaimState.UNKNOWN
-                await self._submit(link, message.call, Finish(row=_row(message, state)))
+                await self._submit(
+                    link, message.call, Finish(row=_claim_row(message, state))
+                )
             case VoidAsk():
-                work = Void(row=_row(message, ClaimState.VOID))
-                await self._submit(link, message.call, work)
+                operation = Void(row=_claim_row(message, ClaimState.VOID))
+                await self._submit(link, message.call, operation)
 
     async def _submit(
-        self, link: PeerLink, call: int, work: Claim | Finish | Void
+        self, link: PeerLink, call: int, operation: Claim | Finish | Void
     ) -> None:
-        verdict = verdict_of(await self._claims.submit(work))
+        verdict = verdict_of(await self._claims.submit(operation))
         self._metrics.claims.labels(verdict=verdict.value).inc()
         await link.send(ClaimAnswer(call=call, result=verdict))
 
-    async def _lease(self, ask: QuotaAsk) -> QuotaAnswer:
+    async def _lease_quota(self, ask: QuotaAsk) -> QuotaAnswer:
         answer = await self._quotas.lease(
             workspace=ask.workspace,
             budget=ask.budget,
@@ -142,7 +148,7 @@
                 return QuotaAnswer(call=ask.call, period=0, units=None)
 
 
-def _row(
+def _claim_row(
     ask: ClaimAsk | FinishAsk | VoidAsk, state: ClaimState, units: int = 0
 ) -> ClaimRow:
     return ClaimRow(
--- a/mallowpond/controller/operator_api.py
+++ b/mallowpond/controller/operator_api.py
@@ -38,8 +38,8 @@
 from mallowpond.state.codec import to_json
 from mallowpond.transport.http_server import Exchange, HttpRequest
 
-FOLLOW_SECONDS = 0.05
-FOLLOW_LIMIT_SECONDS = 30.0
+OUTCOME_POLL_SECONDS = 0.05
+OUTCOME_LIMIT_SECONDS = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -131,7 +131,7 @@
     ) -> Accepted | ProposalRefused:
         """Bring a file's text in force; what was changed by command stays."""
         document = replace(self._document(), source=source)
-        return await self.change(document, expect, author)
+        return await self.propose(document, expect, author)
 
     async def _run_statement(self, request: HttpRequest, exchange: Exchange) -> None:
         statement = parse_statement(request.body.decode("utf-8", "replace"))
@@ -164,8 +164,8 @@
             await _refuse(exchange, 400, "unknown_name", unknown)
             return
         applied = self._configuration.applied
-        document = changed_document(self._document(), command)
-        outcome = await self.change(document, applied.version, "command")
+        document = apply_command(self._document(), command)
+        outcome = await self.propose(document, applied.version, "command")
         await _answer_change(outcome, exchange)
 
     def _unknown_name(self, command: Command) -> str | None:
@@ -187,7 +187,7 @@
     def _document(self) -> Document:
         return decode_document(self._configuration.applied.text)
 
-    async def change(
+    async def propose(
         self, document: Document, expect: int, author: str
     ) -> Accepted | ProposalRefused:
         """Propose a document and follow it until it is accepted or aborted."""
@@ -196,24 +196,27 @@
         )
         if isinstance(proposed, ProposalRefused):
             return proposed
-        return await self._follow(proposed)
+        return await self._await_outcome(proposed)
 
-    async def _follow(self, proposed: Proposed) -> Accepted | ProposalRefused:
+    async def _await_outcome(self, proposed: Proposed) -> Accepted | ProposalRefused:
         configuration = self._configuration
         was_open = False
-        for _ in range(int(FOLLOW_LIMIT_SECONDS / FOLLOW_SECONDS)):
+        for _ in range(int(OUTCOME_LIMIT_SECONDS / OUTCOME_POLL_SECONDS)):
             found = {r.proposal: r.version for r in configuration.history()}
             if proposed.proposal in found:
                 return Accepted(version=found[proposed.proposal])
-            standing = configuration.open_proposal
-            is_open = standing is not None and standing.proposal == proposed.proposal
+            open_proposal = configuration.open_proposal
+            is_open = (
+                open_proposal is not None
+                and open_proposal.proposal == proposed.proposal
+            )
             if was_open and not is_open:
                 return ProposalRefused(
                     reason="aborted",
                     detail="no majority of every cell prepared the change in time",
                 )
             was_open = was_open or is_open
-            await asyncio.sleep(FOLLOW_SECONDS)
+            await asyncio.sleep(OUTCOME_POLL_SECONDS)
         return ProposalRefused(
             reason="outcome_unknown",
             detail="the change is still open; see the history before retrying",
@@ -230,7 +233,7 @@
             await _refuse(exchange, 409, reason, detail)
 
 
-def changed_document(document: Document, command: Command) -> Document:
+def apply_command(document: Document, command: Command) -> Document:
     """Return the document as a command changes it."""
     drained, stopped = set(document.drained_hosts), set(document.stopped_groups)
     match command:
--- a/mallowpond/controller/peers.py
+++ b/mallowpond/controller/peers.py
@@ -20,14 +20,14 @@
     def __init__(
         self,
         *,
-        me: str,
+        member: str,
         clock: Clock,
-        on_vouch: Callable[[PeerAnswer], None],
+        on_answer: Callable[[PeerAnswer], None],
         on_cell: Callable[[CellRow], None],
     ) -> None:
-        self._me = me
+        self._member = member
         self._clock = clock
-        self._on_vouch = on_vouch
+        self._on_answer = on_answer
         self._on_cell = on_cell
         self._links: dict[str, PeerLink] = {}
         self._stacks: dict[str, AsyncExitStack] = {}
@@ -36,7 +36,7 @@
     async def poll(self, addresses: dict[str, str]) -> None:
         """Ask every peer, each named with its address, once."""
         await asyncio.gather(
-            *(self._ask(name, address) for name, address in addresses.items())
+            *(self._poll_peer(name, address) for name, address in addresses.items())
         )
         for name in list(self._links):
             if name not in addresses:
@@ -47,7 +47,7 @@
         for name in list(self._links):
             await self._drop(name)
 
-    async def _ask(self, name: str, address: str) -> None:
+    async def _poll_peer(self, name: str, address: str) -> None:
         try:
             async with asyncio.timeout(ANSWER_SECONDS):
                 await self._exchange(name, address)
@@ -58,11 +58,11 @@
         link = self._links.get(name) or await self._open(name, address)
         sequence = next(self._sequences)
         asked_at = self._clock.now()
-        await link.send(PeerAsk(sequence=sequence, member=self._me))
+        await link.send(PeerAsk(sequence=sequence, member=self._member))
         while True:
             answer: Message = await link.receive()
             if isinstance(answer, PeerView) and answer.sequence == sequence:
-                self._take(answer, asked_at)
+                self._on_view(answer, asked_at)
                 return
 
     async def _open(self, name: str, address: str) -> PeerLink:
@@ -72,10 +72,10 @@
         self._links[name] = link
         return link
 
-    def _take(self, view: PeerView, asked_at: float) -> None:
+    def _on_view(self, view: PeerView, asked_at: float) -> None:
         if view.cell is not None:
             self._on_cell(view.cell)
-        vouch = PeerAnswer(
+        answer = PeerAnswer(
             member=view.member,
             asked_at=asked_at,
             epoch=view.cell.epoch if view.cell else 0,
@@ -83,7 +83,7 @@
             read_age=view.read_age,
             holds_newer=view.holds_newer,
         )
-        self._on_vouch(vouch)
+        self._on_answer(answer)
 
     async def _drop(self, name: str) -> None:
         self._links.pop(name, None)
--- a/mallowpond/controller/quarantine.py
+++ b/mallowpond/controller/quarantine.py
@@ -26,12 +26,12 @@
 
 # Rows that one step writes or drops, at most: what a group's end leaves to report is
 # written in some steps, and the table has other work.
-ROWS_A_STEP = 50
+MAX_ROWS_PER_STEP = 50
 # Rows that stand in the table, at most: every controller keeps them all.
 MAX_ROWS = 1_000
 # Time after its last ending for which a row stands that holds nothing back, in seconds:
 # by then each controller has put it together with what it knows.
-KEPT_SECONDS = 30.0
+ROW_RETENTION_SECONDS = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -62,23 +62,25 @@
         self._ledger = CrashLedger()
         self._reported: set[str] = set()
         self._versions: dict[str, int] = {}
-        self._held: frozenset[str] = frozenset()
+        self._quarantined: frozenset[str] = frozenset()
         # What was ever held back here: gateways hear the rest of it too.
-        self._told: set[str] = set()
-        self._changes = 1
+        self._published: set[str] = set()
+        self._version = 1
 
     @property
     def version(self) -> int:
         """Return a number that changes with what gateways are told."""
-        return self._changes
+        return self._version
 
-    def told(self) -> tuple[CrashRecord, ...]:
+    def published(self) -> tuple[CrashRecord, ...]:
         """Return what every gateway is to know."""
         now = self._clock.now()
-        records = (self._ledger.record(request, now) for request in sorted(self._told))
+        records = (
+            self._ledger.record(request, now) for request in sorted(self._published)
+        )
         return tuple(record for record in records if record is not None)
 
-    def hear(self, records: tuple[CrashRecord, ...]) -> None:
+    def on_report(self, records: tuple[CrashRecord, ...]) -> None:
         """Take what a gateway saw."""
         for record in records:
             if self._merge(record):
@@ -92,8 +94,8 @@
                 self._versions[request] = row.version
                 self._merge(self._record(request, row.value))
         self._versions = {r: v for r, v in self._versions.items() if r in rows}
-        await self._write(rows)
-        await self._drop(rows)
+        await self._write_reported(rows)
+        await self._delete_expired(rows)
 
     def _record(self, request: str, row: QuarantineRow) -> CrashRecord:
         age = max(0.0, self._wall_time() - row.ended_at)
@@ -102,20 +104,22 @@
     def _merge(self, record: CrashRecord) -> bool:
         now = self._clock.now()
         is_new = self._ledger.merge(record, now)
-        held = self._ledger.quarantined(now)
-        for request in sorted(held - self._held):
+        quarantined = self._ledger.quarantined(now)
+        for request in sorted(quarantined - self._quarantined):
             log.warning("controller: request held back", fingerprint=request)
-        if held != self._held or (is_new and record.request in self._told):
-            self._held = held
-            self._told |= held
-            self._changes += 1
+        if quarantined != self._quarantined or (
+            is_new and record.request in self._published
+        ):
+            self._quarantined = quarantined
+            self._published |= quarantined
+            self._version += 1
         return is_new
 
-    async def _write(self, rows: dict[str, Versioned[QuarantineRow]]) -> None:
+    async def _write_reported(self, rows: dict[str, Versioned[QuarantineRow]]) -> None:
         now = self._clock.now()
-        written = sorted(self._reported)[:ROWS_A_STEP]
+        batch = sorted(self._reported)[:MAX_ROWS_PER_STEP]
         puts = []
-        for request in written:
+        for request in batch:
             record = self._ledger.record(request, now)
             if record is None:
                 self._reported.discard(request)
@@ -138,22 +142,27 @@
             return
         outcome = await self._table.commit(transaction(self._draw_id(), *puts))
         if isinstance(outcome, Committed):
-            self._reported -= set(written)
+            self._reported -= set(batch)
         else:
             log.warning("controller: quarantine not written", outcome=repr(outcome))
 
-    async def _drop(self, rows: dict[str, Versioned[QuarantineRow]]) -> None:
+    async def _delete_expired(self, rows: dict[str, Versioned[QuarantineRow]]) -> None:
         now = self._wall_time()
-        kept = {
-            r: QUARANTINE_SECONDS if r in self._held else KEPT_SECONDS for r in rows
+        retention = {
+            r: QUARANTINE_SECONDS if r in self._quarantined else ROW_RETENTION_SECONDS
+            for r in rows
         }
-        old = [r for r, row in rows.items() if now - row.value.ended_at > kept[r]]
-        if not old:
+        expired = [
+            r for r, row in rows.items() if now - row.value.ended_at > retention[r]
+        ]
+        if not expired:
             return
-        keys = tuple(SHARED + QUARANTINE + request for request in old[:ROWS_A_STEP])
+        keys = tuple(
+            SHARED + QUARANTINE + request for request in expired[:MAX_ROWS_PER_STEP]
+        )
         change = transaction(self._draw_id())
         outcome = await self._table.commit(replace(change, deletes=keys))
         log.info(
             "controller: quarantine dropped", rows=len(keys), outcome=repr(outcome)
         )
-        self._told -= set(old)
+        self._published -= set(expired)
--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -44,9 +44,9 @@
 
 log = structlog.get_logger()
 PLANNER_LEASE = "planner"
-DETACH_SECONDS = 3.0
-RECENT_WATCHES = 2.0
-DETACH_CHECK_SECONDS = 0.05
+DRAIN_LIMIT_SECONDS = 3.0
+RECENT_POLLS = 2.0
+DRAIN_CHECK_SECONDS = 0.05
 
 
 class Controller:
@@ -61,12 +61,12 @@
         self._shared = TableView(table=ports.table, prefix=SHARED)
         self._hosts: tuple[Host, ...] = ()
         self._routes_version = 1
-        self._routed: tuple[GroupRow, ...] = ()
+        self._ready_groups: tuple[GroupRow, ...] = ()
         self._stack = AsyncExitStack()
         self._leaving = False
         self._built = asyncio.Event()
-        self._look_again = asyncio.Event()
-        self._downtime_at: float | None = None
+        self._poll_now = asyncio.Event()
+        self._downtime_counted_at: float | None = None
         self.metrics = ControllerMetrics()
         self.replaced = asyncio.Event()
 
@@ -129,13 +129,13 @@
 
     async def drain(self) -> None:
         """Wait until the gateways have moved and nothing waits, within a limit."""
-        limit = self._clock.now() + DETACH_SECONDS
+        limit = self._clock.now() + DRAIN_LIMIT_SECONDS
         while self._clock.now() < limit:
             # Cut off, an operator could not know whether a change is in force.
             asked = self._claims.unanswered or self._api_server.is_busy
             if not self._links.gateways and not asked:
                 return
-            await self._clock.sleep(DETACH_CHECK_SECONDS)
+            await self._clock.sleep(DRAIN_CHECK_SECONDS)
 
     async def close(self) -> None:
         """Stop every loop and close every socket."""
@@ -187,14 +187,14 @@
             view=self._answer_view,
             claims=self._claims,
             quotas=QuotaLeaser(table=ports.table, draw_id=self._draw_id),
-            on_suspect=self._look_again.set,
-            on_crash=self.quarantine.hear,
+            on_suspect=self._poll_now.set,
+            on_crash=self.quarantine.on_report,
             metrics=self.metrics,
         )
         self._peers = PeerPoller(
-            me=settings.name,
+            member=settings.name,
             clock=ports.clock,
-            on_vouch=self.configuration.record_peer_answer,
+            on_answer=self.configuration.record_peer_answer,
             on_cell=self.membership.adopt_cell,
         )
         self.tables = Tables(
@@ -246,7 +246,7 @@
         )
 
     @property
-    def owns_planner(self) -> bool:
+    def is_planner(self) -> bool:
         """Tell whether this controller plans groups now."""
         return self._lease.current is not None
 
@@ -276,11 +276,11 @@
             log.error("controller: another process took this name, stopping")
             self.replaced.set()
             return
-        if self._keeps_epoch():
+        if self._owns_epoch():
             await self.membership.advance_epoch()
         await self.configuration.advance_proposal()
 
-    def _keeps_epoch(self) -> bool:
+    def _owns_epoch(self) -> bool:
         if self.membership.cell is None:
             return True
         owner = owner_of("epoch", self.membership.eligible_owners())
@@ -296,15 +296,17 @@
 
     async def _suspect_step(self) -> None:
         """Look at the engines at once when a gateway reports a failed dispatch."""
-        await self._look_again.wait()
-        self._look_again.clear()
+        await self._poll_now.wait()
+        self._poll_now.clear()
         await self._watch_step()
         await self._clock.sleep(self._settings.timings.watch / 4)
 
     async def _peer_step(self) -> None:
-        me = self._settings.name
+        own_name = self._settings.name
         members = self.membership.members()
-        await self._peers.poll({n: m.address for n, m in members.items() if n != me})
+        await self._peers.poll(
+            {n: m.address for n, m in members.items() if n != own_name}
+        )
 
     async def _plan_step(self) -> None:
         if self._leaving:
@@ -312,12 +314,12 @@
         declaration = self.configuration.applied.declaration
         if isinstance(self.configuration.assurance(), Assured):
             await self.groups.tick(declaration=declaration, hosts=self._hosts)
-        self._measure()
+        self._update_metrics()
 
-    def _measure(self) -> None:
+    def _update_metrics(self) -> None:
         now = self._clock.now()
-        elapsed = now - (self._downtime_at or now)
-        self._downtime_at = now
+        elapsed = now - (self._downtime_counted_at or now)
+        self._downtime_counted_at = now
         metrics = self.metrics
         applied = self.configuration.applied
         metrics.config_version.set(applied.version)
@@ -327,13 +329,13 @@
         metrics.assurance_source.labels(source=source).inc()
         groups = list(self.groups.groups().values())
         for deployment in applied.declaration.deployments:
-            held = [g for g in groups if g.deployment == deployment.name]
+            of_deployment = [g for g in groups if g.deployment == deployment.name]
             for state in GroupState:
-                count = sum(g.state is state for g in held)
+                count = sum(g.state is state for g in of_deployment)
                 metrics.groups.labels(deployment.name, state.value).set(count)
-            ready = sum(g.state is GroupState.READY for g in held)
+            ready = sum(g.state is GroupState.READY for g in of_deployment)
             down = max(0, deployment.replicas - ready)
-            if self.owns_planner:
+            if self.is_planner:
                 metrics.group_downtime.labels(deployment.name).inc(down * elapsed)
         metrics.stranded.set(self.groups.stranded)
         metrics.tainted.set(len(self.groups.tainted))
@@ -341,16 +343,16 @@
     # -- answers -------------------------------------------------------------
 
     def _answer_routes(self, ask: RoutesAsk) -> Routes:
-        self._note_routes()
+        self._refresh_routes()
         applied = self.configuration.applied
         assurance = self.configuration.assurance()
         left = None
         if isinstance(assurance, Assured):
             left = assurance.until - self._clock.now()
         excluded = excluded_hosts(applied.declaration, self._hosts)
-        seen_age, exceptions = self._sights()
+        seen_age, exceptions = self._group_sightings()
         knows_text = ask.known_config == applied.version
-        knows_held = ask.known_held == self.quarantine.version
+        knows_quarantine = ask.known_held == self.quarantine.version
         knows_groups = ask.known_routes == self._routes_version
         return Routes(
             sequence=ask.sequence,
@@ -358,29 +360,29 @@
             config_left=left,
             config_text=None if knows_text else applied.text,
             routes_version=self._routes_version,
-            groups=None if knows_groups else self._routed,
+            groups=None if knows_groups else self._ready_groups,
             seen_age=seen_age,
             exceptions=exceptions,
             excluded_hosts=tuple(sorted(excluded)),
             leaving=self._leaving,
             held_version=self.quarantine.version,
-            held=None if knows_held else self.quarantine.told(),
+            held=None if knows_quarantine else self.quarantine.published(),
         )
 
-    def _note_routes(self) -> None:
+    def _refresh_routes(self) -> None:
         groups = self.groups.groups().values()
         ready = tuple(g for g in groups if g.state is GroupState.READY)
-        if ready != self._routed:
-            self._routed = ready
+        if ready != self._ready_groups:
+            self._ready_groups = ready
             # Random and not counted up: a gateway that changes controllers must not
             # take two controllers' tables of the same number for one.
             self._routes_version = self._rng.getrandbits(48)
 
-    def _sights(self) -> tuple[float, tuple[Sight, ...]]:
+    def _group_sightings(self) -> tuple[float, tuple[Sight, ...]]:
         """Return the age of all recent sights, and the groups seen before or not."""
-        recent = self._settings.timings.watch * RECENT_WATCHES
+        recent = self._settings.timings.watch * RECENT_POLLS
         seen_age, exceptions = 0.0, []
-        for group in self._routed:
+        for group in self._ready_groups:
             age = self.watch.confirmed_age(group)
             if age is not None and age <= recent:
                 seen_age = max(seen_age, age)
--- a/mallowpond/controller/tests/test_quarantine.py
+++ b/mallowpond/controller/tests/test_quarantine.py
@@ -3,9 +3,9 @@
 import random
 
 from mallowpond.controller.quarantine import (
-    KEPT_SECONDS,
     MAX_ROWS,
-    ROWS_A_STEP,
+    MAX_ROWS_PER_STEP,
+    ROW_RETENTION_SECONDS,
     ControllerQuarantine,
 )
 from mallowpond.coordination.keys import SHARED
@@ -16,7 +16,7 @@
 from mallowpond.state.fleet import Process
 
 
-class Keeper:
+class QuarantineReplica:
     """Hold one controller's quarantine over a table that others may share."""
 
     def __init__(self, table, clock):
@@ -37,9 +37,9 @@
         await self.quarantine.step()
 
     @property
-    def told(self):
+    def published(self):
         """Return the requests that gateways hear of."""
-        return [record.request for record in self.quarantine.told()]
+        return [record.request for record in self.quarantine.published()]
 
 
 def record(request, *targets):
@@ -55,49 +55,51 @@
     Cause: each controller counted what its own gateways reported.
     """
     table, clock = MemoryTable(), FakeClock()
-    first, second = Keeper(table, clock), Keeper(table, clock)
-    first.quarantine.hear((record("bad", "a", "b"),))
-    second.quarantine.hear((record("bad", "c", "d"),))
+    first, second = QuarantineReplica(table, clock), QuarantineReplica(table, clock)
+    first.quarantine.on_report((record("bad", "a", "b"),))
+    second.quarantine.on_report((record("bad", "c", "d"),))
     for _ in range(3):
         await first.step()
         await second.step()
-    assert first.told == second.told == ["bad"]
+    assert first.published == second.published == ["bad"]
     before = second.quarantine.version
     refuted = record("bad", "a", "b", "c", "d")
     endings = tuple(
         Ending(process=e.process, ran=e.ran, refuted=True) for e in refuted.endings
     )
-    first.quarantine.hear((CrashRecord(request="bad", endings=endings),))
+    first.quarantine.on_report((CrashRecord(request="bad", endings=endings),))
     for _ in range(2):
         await first.step()
         await second.step()
     assert second.quarantine.version != before
-    (told,) = second.quarantine.told()
-    assert all(ending.refuted for ending in told.endings)
+    (published,) = second.quarantine.published()
+    assert all(ending.refuted for ending in published.endings)
 
 
 async def test_rows_go_when_they_hold_nothing_back():
     table, clock = MemoryTable(), FakeClock()
-    keeper = Keeper(table, clock)
-    keeper.quarantine.hear((record("bad", "a", "b", "c"), record("beside", "a")))
-    await keeper.step()
+    replica = QuarantineReplica(table, clock)
+    replica.quarantine.on_report((record("bad", "a", "b", "c"), record("beside", "a")))
+    await replica.step()
     assert len(table._rows) == 2
-    clock.time += KEPT_SECONDS + 1.0
-    await keeper.step()
+    clock.time += ROW_RETENTION_SECONDS + 1.0
+    await replica.step()
     assert [key.rpartition("/")[2] for key in table._rows] == ["bad"]
     clock.time += QUARANTINE_SECONDS
-    await keeper.step()
-    await keeper.step()
+    await replica.step()
+    await replica.step()
     assert table._rows == {}
-    assert keeper.told == []
+    assert replica.published == []
 
 
 async def test_rows_are_bounded_in_a_step_and_in_all():
     table, clock = MemoryTable(), FakeClock()
-    keeper = Keeper(table, clock)
-    keeper.quarantine.hear(tuple(record(f"r{n}", "a") for n in range(MAX_ROWS + 200)))
-    await keeper.step()
-    assert len(table._rows) == ROWS_A_STEP
+    replica = QuarantineReplica(table, clock)
+    replica.quarantine.on_report(
+        tuple(record(f"r{n}", "a") for n in range(MAX_ROWS + 200))
+    )
+    await replica.step()
+    assert len(table._rows) == MAX_ROWS_PER_STEP
     for _ in range(40):
-        await keeper.step()
+        await replica.step()
     assert len(table._rows) == MAX_ROWS
--- a/mallowpond/gateway/tests/test_quarantine.py
+++ b/mallowpond/gateway/tests/test_quarantine.py
@@ -62,7 +62,7 @@
         ended = len(runs(site))
         await site._start_controller(1)
         started = site.controllers[1]
-        await site.until(lambda: started.quarantine.told())
+        await site.until(lambda: started.quarantine.published())
         await site._start_gateway(1)
         await site.until(lambda: site.gateways[1].is_ready)
         reply = await send_when_serving(site, 1)
