--- a/mallowpond/node/__init__.py
+++ b/mallowpond/node/__init__.py
@@ -1,5 +1,5 @@
-"""The entry host's program: gateway and group planning on one loop, one process.
+"""The entry host's program: gateway and group planning in one process and event loop.
 
-It is what runs where no host is set aside for control: every entry host is alike,
-one of them plans the groups under a lease, and all of them serve callers.
+It runs where no host is reserved for control: all entry hosts are alike. One of them
+plans the groups under a lease, and all of them serve callers.
 """
--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -1,4 +1,4 @@
-"""Meet callers: read, admit, hand on, and give every request one true ending."""
+"""Receive callers' requests, admit and route them, and answer each exactly once."""
 
 import asyncio
 import json
@@ -35,21 +35,27 @@
 
 log = structlog.get_logger()
 
-# Time to come back when this node cannot know the configuration or is about to end,
-# in seconds: other nodes mostly can serve, and a new connection goes to one of them.
+# Retry delay before jitter while this node may lack the newest configuration or
+# is stopping, in seconds: other nodes can usually serve, and a new connection reaches
+# one of them.
 UNSURE_RETRY_SECONDS = 0.3
-# Time for which requests wait for the first configuration of a host that has just
-# started, in seconds, and the share of their own time that they may wait: the first
-# read of a large one by many hosts takes longer than a start, and callers that lost
-# their first try with all hosts come again only once.
-FIRST_CONFIGURATION_SECONDS = 1.5
-FIRST_CONFIGURATION_SHARE = 0.3
-# Longest time that a request without a limit of its own is served, in seconds.
+# Longest time that requests wait for the first configuration of a host that has just
+# started, in seconds, and the largest share of their own timeout. When many hosts read
+# a large configuration at once, the read takes longer than a start, and callers whose
+# first attempt failed when all hosts were lost retry only once.
+CONFIGURATION_WAIT_SECONDS = 1.5
+CONFIGURATION_WAIT_SHARE = 0.3
+# Timeout of requests that name none, in seconds.
 DEFAULT_TIMEOUT_SECONDS = 30.0
 
 
 class Ingress:
-    """Serve callers by the configuration in force."""
+    """Serves callers' requests by the configuration in force.
+
+    Each request is answered by a target, refused with a reason and, where a retry may
+    succeed, a delay, or cut off when its answer cannot be completed. Once `is_stopping`
+    is set, only requests that can finish before `shutdown_at` are admitted.
+    """
 
     def __init__(
         self,
@@ -110,18 +116,18 @@
 
     async def _serve(self, request: HttpRequest, exchange: Exchange) -> None:
         started_at = self._clock.now()
-        read = self._callers.read(request)
-        if isinstance(read, InvalidRequest):
-            log.info("ingress: invalid request", reason=read.reason)
+        caller_request = self._callers.read(request)
+        if isinstance(caller_request, InvalidRequest):
+            log.info("ingress: invalid request", reason=caller_request.reason)
             refusal = Refusal(status=400, reason=Reason.BAD_REQUEST)
             await self._refuse(exchange, refusal, "", 0.0)
             return
         try:
-            outcome = await self._admit_and_serve(read, exchange, started_at)
+            outcome = await self._admit_and_serve(caller_request, exchange, started_at)
         except (ClientGone, asyncio.CancelledError):
             log.info(
                 "ingress: caller left",
-                request=read.id,
+                request=caller_request.id,
                 seconds=round(self._clock.now() - started_at, 3),
             )
             raise
@@ -131,45 +137,45 @@
                 self._metrics.requests.labels("answered").inc()
                 log.info(
                     "ingress: answered",
-                    request=read.id,
+                    request=caller_request.id,
                     status=status,
                     target=target,
                     seconds=round(seconds, 3),
                 )
             case CutOff(reason=reason):
-                # The connection closes without the mark of a whole answer.
+                # The connection closes without the end marker of a complete answer.
                 self._metrics.requests.labels("cut_off").inc()
                 log.warning(
                     "ingress: cut off",
-                    request=read.id,
+                    request=caller_request.id,
                     reason=reason.value,
                     seconds=round(seconds, 3),
                 )
             case Refusal():
-                await self._refuse(exchange, outcome, read.id, seconds)
+                await self._refuse(exchange, outcome, caller_request.id, seconds)
 
     async def _admit_and_serve(
         self, request: CallerRequest, exchange: Exchange, started_at: float
     ) -> ServeOutcome:
-        limit = min(
-            FIRST_CONFIGURATION_SECONDS,
-            FIRST_CONFIGURATION_SHARE * _requested_seconds(request),
+        wait_seconds = min(
+            CONFIGURATION_WAIT_SECONDS,
+            CONFIGURATION_WAIT_SHARE * _requested_seconds(request),
         )
-        await self._configuration.wait_for_first_version(limit)
+        await self._configuration.wait_for_first_version(wait_seconds)
         configuration = self._configuration.configuration
         if configuration is None:
-            return self._retry_later(Reason.NO_CONFIGURATION)
+            return self._unavailable(Reason.NO_CONFIGURATION)
         self._apply_limits(configuration)
         route = configuration.find_route(request.host, request.path)
         if route is None:
             if not self._configuration.is_confirmed:
-                # A newer version may have the route.
-                return self._retry_later(Reason.UNSURE)
+                # A newer configuration version may define the route.
+                return self._unavailable(Reason.UNSURE)
             return Refusal(status=404, reason=Reason.NO_ROUTE)
         workspace, priority = None, route.priority
         if configuration.uses_keys and route.needs_key:
             if not self._configuration.is_confirmed:
-                return self._retry_later(Reason.UNSURE)
+                return self._unavailable(Reason.UNSURE)
             holder = configuration.keys.get(request.key or "")
             if holder is None:
                 return Refusal(status=401, reason=Reason.UNKNOWN_KEY)
@@ -177,21 +183,21 @@
         service = choose_backend(route, self._rng.random())
         deadline = started_at + _timeout_seconds(request, route)
         if route.repeat is RepeatPolicy.STREAM:
-            shape = _shape(configuration, service, request)
-            if shape is not None:
+            served_model = _find_model(configuration, service, request)
+            if served_model is not None:
                 work = StreamWork(
                     request=request,
                     route=route,
                     service=service or "",
-                    profile=shape[0],
-                    model=shape[1],
+                    profile=served_model[0],
+                    model=served_model[1],
                     workspace=workspace,
                     priority=priority,
                     deadline=deadline,
                     exchange=exchange,
                 )
                 if self.is_stopping and not self._can_finish(work):
-                    return self._retry_later(Reason.STOPPING)
+                    return self._unavailable(Reason.STOPPING)
                 return await self._streams.serve(work)
         call = CallWork(
             request=request,
@@ -202,18 +208,18 @@
             exchange=exchange,
         )
         if deadline > self.shutdown_at:
-            # Calls are short: until its deadline each has its answer, or an end.
-            return self._retry_later(Reason.STOPPING)
+            # Calls are short: each one is answered or refused by its deadline.
+            return self._unavailable(Reason.STOPPING)
         return await self._calls.serve(call)
 
     def _can_finish(self, work: StreamWork) -> bool:
-        """Tell whether a stream that is begun now ends before this host does."""
+        """Return whether a stream that starts now ends before this host shuts down."""
         return can_finish(
             longest_seconds=self._streams.placement.longest_seconds(work),
             seconds_left=self.shutdown_at - self._clock.now(),
         )
 
-    def _retry_later(self, reason: Reason) -> Refusal:
+    def _unavailable(self, reason: Reason) -> Refusal:
         after = jittered_retry_after(UNSURE_RETRY_SECONDS, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
@@ -271,10 +277,10 @@
     )
 
 
-def _shape(
+def _find_model(
     configuration: SiteConfiguration, service: str | None, request: CallerRequest
 ) -> tuple[EngineProfile, ModelSpec] | None:
-    """Return the timing and model that a stream is served with."""
+    """Return the engine profile and model of a stream, or None if none is declared."""
     known = configuration.services.get(service or "")
     if known is None or known.profile is None or request.model is None:
         return None
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -1,4 +1,4 @@
-"""Wire one node: meet callers, serve, tell peers, plan groups when it is its turn."""
+"""Assemble the components of one node, start them, drain them and close them."""
 
 import asyncio
 import random
@@ -42,24 +42,30 @@
 
 log = structlog.get_logger()
 
-# Time after a stop in which new requests are still served, in seconds: the balancer
-# asks once a second and takes a node out after two misses.
+# Time after the start of a drain in which new requests are still served, in seconds:
+# the balancer checks once a second and removes a node after two failed checks.
 LAME_DUCK_SECONDS = 3.2
-# Time in which a node that has just started reads what it needs before it serves
-# callers that already wait, and the pause between two looks, in seconds: two answers of
-# the store take 0.01 s, and a store that is down must not keep them.
+# Longest time that a node that has just started waits for its first reads before it
+# serves callers that have already connected, and the interval between two checks, in
+# seconds: two answers of the store take 0.01 s, and callers must not wait for a store
+# that is down.
 STARTUP_READ_SECONDS = 0.25
 STARTUP_POLL_SECONDS = 0.005
-# Part of the grace time that is kept back for closing, in seconds.
+# Part of the grace time that is reserved for closing, in seconds.
 CLOSING_SECONDS = 0.7
 DRAIN_CHECK_SECONDS = 0.05
-# Time before the end in which streams that still wait are refused, in seconds: closed
-# with their host, requests that no engine had seen got no answer.
+# Time before the end of the drain from which streams that still wait for a slot are
+# refused, in seconds: a request that waited until its host closed, and that no engine
+# had received, got no answer.
 REFUSE_WAITING_SECONDS = 0.2
 
 
 class Node:
-    """Run everything of one entry host."""
+    """Runs all components of one entry host.
+
+    It serves callers, exchanges state with its peers, and plans the groups while it
+    holds the planner's lease. Call `start`, then `drain` and `close` to stop it.
+    """
 
     def __init__(
         self,
@@ -77,7 +83,7 @@
         self._rng = random.Random(seed) if seed else random.SystemRandom()
         self._incarnation = new_id(self._rng)
         self._stack = AsyncExitStack()
-        self._budgets: dict[str, RetryWindow] = {}
+        self._retry_budgets: dict[str, RetryWindow] = {}
         self._traffic = TrafficSeen(seen=not settings.first_start)
         self.metrics = metrics or NodeMetrics()
         notes = UnreadableLog(counter=self.metrics.unreadable)
@@ -91,7 +97,7 @@
             address=f"{settings.address}:{settings.peer_port}",
             table=ports.table,
             clock=clock,
-            make_heartbeat=self._describe,
+            make_heartbeat=self._build_heartbeat,
             notes=notes,
         )
         quarantine = Quarantine(clock=clock, metrics=self.metrics)
@@ -121,7 +127,7 @@
             callers=ports.callers,
             clock=clock,
             metrics=self.metrics,
-            budget=self._budget,
+            budget=self._retry_budget,
             hosts=lambda: self.peers.host_count,
             rng=self._rng,
             quarantine=quarantine,
@@ -219,7 +225,7 @@
         self.readers.after_digest.append(self.streams.placement.wake_all)
         self.configuration.on_new_version.append(self._publish_version)
         self.leadership.on_acquired.append(
-            lambda: self.peers.broadcast(self._describe())
+            lambda: self.peers.broadcast(self._build_heartbeat())
         )
         self.peers.on_heartbeat.append(self._on_heartbeat)
         self.peers.on_target_healthy.append(self.directory.record_healthy)
@@ -230,16 +236,20 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new callers should come to this node."""
+        """Return whether the balancer should send new callers to this node."""
         return self.configuration.is_confirmed and not self.ingress.is_stopping
 
     async def start(self) -> None:
-        """Listen, and follow the platform."""
+        """Start the servers and the background tasks.
+
+        With an inherited listener, on which callers may already wait, the first reads
+        of the configuration and the targets are awaited for a short time.
+        """
         self._stack.push_async_callback(self.planner.close)
         self._stack.callback(self.peers.close)
         await self.peers.start(self._settings.peer_port)
         await self._listen(self._readiness, self._settings.readiness)
-        await self._start_metrics()
+        await self._start_metrics_server()
         self._spawn(self.configuration.run())
         self._spawn(self.directory.run())
         if self._listener is not None:
@@ -270,10 +280,10 @@
         await server.start(host, int(port), listener)
 
     async def _await_first_read(self) -> None:
-        """Wait until the store has told what callers need, but not for long.
+        """Wait for a configuration and targets, for a limited time.
 
-        Callers already wait on the socket: answered some milliseconds sooner, each of
-        them would be refused for want of a configuration.
+        Callers already wait on the socket. Without this wait, each of them would be
+        refused for lack of a configuration that arrives some milliseconds later.
         """
         limit = self._clock.now() + STARTUP_READ_SECONDS
         while self._clock.now() < limit:
@@ -282,23 +292,28 @@
             await self._clock.sleep(STARTUP_POLL_SECONDS)
 
     async def drain(self) -> None:
-        """Tell the balancer, serve on for a moment, then finish what is in progress."""
+        """Fail the readiness check, then finish the requests in progress.
+
+        New requests are served until the balancer has removed the node. The drain ends
+        when no request is in progress, or shortly before the end of the grace time.
+        """
         self.ingress.is_stopping = True
         await self._release_lease()
-        self.peers.broadcast(self._describe())
+        self.peers.broadcast(self._build_heartbeat())
         log.info("node: draining", in_flight=self.ingress.in_flight)
         grace = self._settings.bounds.grace
-        started = self._clock.now()
-        lame_duck_until = started + min(LAME_DUCK_SECONDS, 0.5 * grace)
-        limit = started + grace - CLOSING_SECONDS
+        started_at = self._clock.now()
+        lame_duck_until = started_at + min(LAME_DUCK_SECONDS, 0.5 * grace)
+        limit = started_at + grace - CLOSING_SECONDS
         self.ingress.shutdown_at = self.streams.placement.shutdown_at = limit
         while self._clock.now() < lame_duck_until:
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._release_lease()
-        # New connections go to other hosts by now; those of before still come here.
+        # The balancer now sends new connections to other hosts, but connections opened
+        # before the drain still bring requests.
         self.ingress.server.keep_no_connections()
-        # Asked of the server: a request that it has just read is not in flight yet, and
-        # one that was overlooked was passed on and cut off 3 ms later.
+        # The server is checked instead of `in_flight`, which does not count a request
+        # that was just read: one that was missed was forwarded and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
             if self._clock.now() >= limit - REFUSE_WAITING_SECONDS:
                 self.streams.placement.end_waits()
@@ -310,16 +325,16 @@
     async def _release_lease(self) -> None:
         """Stop planning if another node can take over.
 
-        While the store is away none can, and groups that lose a member would stay
-        down until it is back.
+        While the store is unreachable none can, and groups that lose a member would
+        stay down until it is reachable again.
         """
         if self.configuration.is_store_reachable:
             await self.leadership.release()
 
     async def close(self) -> None:
         """Close every socket and stop every task."""
-        # Together: each may wait for its last bytes, and one after another they took
-        # longer than what is kept of the grace time.
+        # Closed concurrently: each server may wait for its last bytes to be sent, and
+        # one after another they took longer than the time reserved for closing.
         servers = (self.ingress.server, self._readiness, self._metrics_server)
         await asyncio.gather(*(server.close() for server in servers))
         await self._stack.aclose()
@@ -330,7 +345,7 @@
         task.add_done_callback(_log_failure)
         self._stack.push_async_callback(cancel_task, task)
 
-    async def _start_metrics(self) -> None:
+    async def _start_metrics_server(self) -> None:
         if not self._settings.metrics_port:
             return
         self._stack.push_async_callback(self._metrics_server.close)
@@ -339,23 +354,23 @@
                 self._settings.address, self._settings.metrics_port
             )
         except OSError as error:
-            # Serving callers goes before being watched.
+            # Serving callers has priority over monitoring.
             log.warning("node: no metrics address", error=str(error))
 
     def _can_plan(self) -> bool:
         return self.configuration.is_store_reachable and not self.ingress.is_stopping
 
-    def _budget(self, service: str) -> RetryWindow:
+    def _retry_budget(self, service: str) -> RetryWindow:
         bounds = self._settings.bounds
-        if service not in self._budgets:
-            self._budgets[service] = RetryWindow(
+        if service not in self._retry_budgets:
+            self._retry_budgets[service] = RetryWindow(
                 ratio=bounds.retry_ratio,
                 slack=bounds.retry_slack,
                 window_seconds=bounds.retry_window,
             )
-        return self._budgets[service]
+        return self._retry_budgets[service]
 
-    def _describe(self) -> Heartbeat:
+    def _build_heartbeat(self) -> Heartbeat:
         known = self.configuration.configuration
         return Heartbeat(
             node=self._settings.name,
@@ -375,7 +390,7 @@
         )
 
     def _find_model(self, service: str, model: str) -> ServedModel | None:
-        """Return the timing and model of a service, None if it is not declared."""
+        """Return a service's engine profile and a model, None if not declared."""
         known = self.configuration.configuration
         declared = known and known.services.get(service)
         if not declared or declared.profile is None:
@@ -384,14 +399,14 @@
         return None if spec is None else (declared.profile, spec)
 
     def _on_slot_freed(self) -> None:
-        """Tell whoever counts places that this host holds one less."""
+        """Inform the dispatcher that this host uses one slot less."""
         self.readers.send_work_to_dispatcher()
         self.dispatcher.wake()
 
     def _publish_version(self) -> None:
-        """Tell a newer version at once; in a large fleet only the readers do."""
+        """Announce a newer configuration at once; in a large fleet only readers do."""
         if not self.peers.is_large_fleet:
-            self.peers.broadcast(self._describe())
+            self.peers.broadcast(self._build_heartbeat())
         elif self.readers.is_reader:
             self.readers.step()
 
@@ -400,8 +415,8 @@
         self.directory.loads.record_peer_loads(
             heartbeat.node, decode_loads(heartbeat), heartbeat.grant_number
         )
-        # Places that other hosts' streams freed are known only from here: without
-        # this a stream waited until one of this host's own ended.
+        # Only heartbeats show slots freed by other hosts' streams. Without this wake,
+        # a stream waited until one of this host's own streams ended.
         self.streams.placement.wake_all()
         self.dispatcher.wake()
 
@@ -434,7 +449,11 @@
     metrics: NodeMetrics | None = None,
     listener: socket.socket | None = None,
 ) -> Node:
-    """Build a node from its settings and ports."""
+    """Build a node from its settings and ports, without starting it.
+
+    With a `seed` other than 0 its random choices are reproducible. `listener` is an
+    already bound socket for callers, to use in place of the configured address.
+    """
     return Node(
         settings=settings,
         ports=ports,
