--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -86,7 +86,7 @@
         self._retry_budgets: dict[str, RetryWindow] = {}
         self._traffic = TrafficSeen(seen=not settings.first_start)
         self.metrics = metrics or NodeMetrics()
-        notes = UnreadableLog(counter=self.metrics.unreadable)
+        unreadable_log = UnreadableLog(counter=self.metrics.unreadable)
         self.configuration = ConfigurationFollower(
             source=ports.source, clock=clock, revoke_seconds=settings.bounds.revoke
         )
@@ -98,7 +98,7 @@
             table=ports.table,
             clock=clock,
             make_heartbeat=self._build_heartbeat,
-            notes=notes,
+            unreadable_log=unreadable_log,
         )
         quarantine = Quarantine(clock=clock, metrics=self.metrics)
         self.quarantine_sharing = QuarantineSharing(
@@ -109,7 +109,7 @@
             clock=clock,
             store_clock=self.configuration.store_clock,
             rng=self._rng,
-            notes=notes,
+            unreadable_log=unreadable_log,
         )
         self.rate_limits = RateLimits(
             name=settings.name,
@@ -162,7 +162,7 @@
             checks_fencing=settings.bounds.checks_fencing,
             cores=settings.cores,
             can_plan=self._can_plan,
-            notes=notes,
+            unreadable_log=unreadable_log,
         )
         self.planner = GroupPlanner(
             configuration=self.configuration,
