--- a/mallowpond/coordination/__init__.py
+++ b/mallowpond/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""What uses the table service: membership, configuration, claims, groups."""
+"""State shared through the table service: membership, configuration, claims, groups."""
 
 __all__ = [
     "claims",
--- a/mallowpond/coordination/keys.py
+++ b/mallowpond/coordination/keys.py
@@ -1,8 +1,8 @@
 """Keys of the table service's rows.
 
-Rows that every controller reads stand below ``shared/``; heartbeats stand below
-their cell, since every node reading every heartbeat would by itself break the budget
-for control traffic. Claims are read one by one and never scanned.
+Rows that every controller reads have the prefix ``shared/``. Heartbeats have the prefix
+of their cell, since reading every heartbeat on every controller would alone exceed the
+budget for control traffic. Claims are read one by one and never scanned.
 """
 
 SHARED = "shared/"
@@ -15,7 +15,7 @@
 LEASES = "lease/"
 MEMBERS = "member/"
 QUARANTINE = "quarantine/"
-BEATS = "beat/"
+HEARTBEATS = "beat/"
 
 
 def cell_prefix(cell: str) -> str:
@@ -29,10 +29,10 @@
 
 
 def ledger_key(workspace: str, member: str) -> str:
-    """Return the key of what one controller charged to a workspace."""
+    """Return the key of the units that one controller charged to a workspace."""
     return f"ledger/{workspace}/{member}"
 
 
 def quota_key(workspace: str) -> str:
-    """Return the key of a workspace's leased budget."""
+    """Return the key of the budget leased to controllers for a workspace."""
     return f"quota/{workspace}"
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -5,8 +5,8 @@
 from enum import Enum
 
 from mallowpond.coordination.keys import (
-    BEATS,
     CELLS,
+    HEARTBEATS,
     MEMBERS,
     SHARED,
     cell_prefix,
@@ -170,7 +170,7 @@
                 self._watch.postpone(dark)
                 self._gone_watch.postpone(dark)
         self._last_read_at = now
-        beats = self._cell_view.with_prefix(BEATS, HeartbeatRow)
+        beats = self._cell_view.with_prefix(HEARTBEATS, HeartbeatRow)
         for name, member in self.members().items():
             key = (name, member.incarnation)
             beat = beats[name].value.n if name in beats else 0
@@ -234,11 +234,11 @@
         """Return the next beat, with the member row only where that changed."""
         prefix = cell_prefix(self._identity.cell)
         name = self._identity.name
-        beat = self._cell_view.get(BEATS + name, HeartbeatRow)
+        beat = self._cell_view.get(HEARTBEATS + name, HeartbeatRow)
         self._counter += 1
         puts = [
             TypedPut(
-                key=prefix + BEATS + name,
+                key=prefix + HEARTBEATS + name,
                 value=HeartbeatRow(n=self._counter),
                 expect=beat.version if beat else 0,
             )
--- a/mallowpond/coordination/store.py
+++ b/mallowpond/coordination/store.py
@@ -1,4 +1,4 @@
-"""Settle transactions whose outcome got lost, and keep typed copies of rows."""
+"""Build and commit transactions, and mirror rows of the table with their types."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Versioned(Generic[T]):
-    """Hold a typed row with the version it was read at."""
+    """Typed row with the version at which it was read."""
 
     value: T
     version: int
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TypedPut:
-    """Write a typed row, on the condition that it stands at `expect` if given."""
+    """Write a typed row; unless `expect` is None, only if the row has that version.
+
+    Version 0 means that the row is absent.
+    """
 
     key: str
     value: object
@@ -39,14 +42,14 @@
 
 
 def new_id(rng: random.Random) -> str:
-    """Return an identifier that no other process will draw."""
+    """Return a random identifier of 96 bits that no other process will draw."""
     return f"{rng.getrandbits(96):024x}"
 
 
 def transaction(
     identifier: str, *puts: TypedPut, checks: tuple[Check, ...] = ()
 ) -> Transaction:
-    """Build a transaction from typed rows and further checks."""
+    """Build a transaction from typed rows, their expected versions and more checks."""
     expected = tuple(
         Check(key=p.key, version=p.expect) for p in puts if p.expect is not None
     )
@@ -58,12 +61,12 @@
 
 
 async def commit_and_resolve(table: TableService, change: Transaction) -> CommitOutcome:
-    """Commit, and settle an unknown outcome by reading one of the rows written.
+    """Commit, and resolve an unknown outcome by reading one of the rows written.
 
-    The answer of a commit can be lost after the change took effect; one notices it
-    by operators being told of a conflict with their own change. The row names the
-    transaction that wrote it, so a read decides. When the row does not name this
-    transaction the commit may still arrive later, and stays unknown.
+    The answer to a commit can be lost after the change took effect; a retry would then
+    report to operators a conflict with their own change. Each row names the transaction
+    that wrote it, so reading one shows whether the commit took effect. If the row names
+    another transaction, the commit may still arrive, so the outcome stays unknown.
     """
     outcome = await table.commit(change)
     if not isinstance(outcome, Unknown) or not change.puts:
@@ -76,19 +79,19 @@
 
 @dataclass(kw_only=True)
 class TableView:
-    """Mirror the rows below one prefix by reading only what changed."""
+    """Copy of the rows with one prefix, updated by reading only the changes."""
 
     table: TableService
     prefix: str
     rows: dict[str, Row] = field(default_factory=dict)
     version: int = 0
-    _typed: dict[str, Versioned] = field(default_factory=dict)
+    _decoded: dict[str, Versioned] = field(default_factory=dict)
     _reading: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     async def refresh(self) -> bool:
-        """Read the changes; return False while the table cannot be read."""
-        # Two reads at once could come back in the other order, and the older one
-        # would put old rows over new ones.
+        """Read the changes; return whether the table could be read."""
+        # Of two concurrent reads the older one could return last and overwrite newer
+        # rows.
         async with self._reading:
             return await self._refresh()
 
@@ -100,28 +103,28 @@
             self.rows[row.key] = row
         for key in found.deleted:
             self.rows.pop(key, None)
-            self._typed.pop(key, None)
+            self._decoded.pop(key, None)
         self.version = found.version
         return True
 
     def get(self, key: str, kind: type[T]) -> Versioned[T] | None:
-        """Return one row, typed."""
+        """Return the typed row at a key, without the view's prefix, or None."""
         row = self.rows.get(self.prefix + key)
-        return None if row is None else self._as(row, kind)
+        return None if row is None else self._decode(row, kind)
 
     def with_prefix(self, prefix: str, kind: type[T]) -> dict[str, Versioned[T]]:
-        """Return the rows below a prefix, typed, by the rest of their key."""
+        """Return the typed rows with a prefix, by the rest of their keys."""
         start = self.prefix + prefix
         return {
-            key[len(start) :]: self._as(row, kind)
+            key[len(start) :]: self._decode(row, kind)
             for key, row in self.rows.items()
             if key.startswith(start)
         }
 
-    def _as(self, row: Row, kind: type[T]) -> Versioned[T]:
-        # Rows are read at every step and change seldom, so each is built once.
-        known = self._typed.get(row.key)
-        if known is None or known.version != row.version:
-            known = Versioned(value=from_plain(row.value, kind), version=row.version)
-            self._typed[row.key] = known
-        return known
+    def _decode(self, row: Row, kind: type[T]) -> Versioned[T]:
+        # Rows are read at every step but change seldom: decode each version once.
+        decoded = self._decoded.get(row.key)
+        if decoded is None or decoded.version != row.version:
+            decoded = Versioned(value=from_plain(row.value, kind), version=row.version)
+            self._decoded[row.key] = decoded
+        return decoded
--- a/mallowpond/coordination/tasks.py
+++ b/mallowpond/coordination/tasks.py
@@ -1,4 +1,4 @@
-"""Wait in background tasks, and end them."""
+"""Cancel background tasks, and sleep until a timeout or an event."""
 
 import asyncio
 
@@ -6,18 +6,18 @@
 
 
 async def cancel_task(task: asyncio.Future) -> None:
-    """Cancel a task and wait until it has ended."""
+    """Cancel a task and wait until it has ended, ignoring how it ended."""
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-async def sleep_until_event(clock: Clock, seconds: float, news: asyncio.Event) -> None:
-    """Sleep for a time, or until there is news before that."""
+async def sleep_until_event(clock: Clock, seconds: float, event: asyncio.Event) -> None:
+    """Sleep until the event is set, but no longer than `seconds`."""
     sleep = asyncio.ensure_future(clock.sleep(seconds))
-    heard = asyncio.ensure_future(news.wait())
+    notified = asyncio.ensure_future(event.wait())
     try:
-        await asyncio.wait({sleep, heard}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({sleep, notified}, return_when=asyncio.FIRST_COMPLETED)
     finally:
         sleep.cancel()
-        heard.cancel()
-        await asyncio.gather(sleep, heard, return_exceptions=True)
+        notified.cancel()
+        await asyncio.gather(sleep, notified, return_exceptions=True)
--- a/mallowpond/coordination/tests/test_clock.py
+++ b/mallowpond/coordination/tests/test_clock.py
@@ -1,6 +1,6 @@
-"""Longer sleeps end together."""
+"""Longer sleeps of one process end on common ticks."""
 
-from mallowpond.coordination.clock import RASTER_SECONDS, BootClock, nearest_tick
+from mallowpond.coordination.clock import TICK_SECONDS, BootClock, nearest_tick
 
 
 def test_sleeps_of_one_process_end_at_the_same_times():
@@ -16,7 +16,7 @@
 def test_a_loop_keeps_its_pace():
     phase, now = 0.02, nearest_tick(50.0, 0.02)
     for _ in range(100):
-        # Each turn of the loop takes a moment before it sleeps.
+        # Each iteration of the loop takes 3 ms before it sleeps.
         now = nearest_tick(now + 0.003 + 0.2, phase)
     assert abs(now - nearest_tick(50.0, phase) - 100 * 0.2) < 1e-6
 
@@ -25,7 +25,7 @@
     clock = BootClock()
     began = clock.now()
     await clock.sleep(0.15)
-    assert 0.15 - RASTER_SECONDS < clock.now() - began < 0.15 + 2 * RASTER_SECONDS
+    assert 0.15 - TICK_SECONDS < clock.now() - began < 0.15 + 2 * TICK_SECONDS
 
 
 async def test_a_short_sleep_keeps_its_length():
