--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -114,7 +114,7 @@
             return
         checks_fencing = all(d.checks_fencing for d in declaration.deployments)
         self._desk.look(checks_fencing=checks_fencing, hosts=hosts)
-        lease = await self._lease.keep()
+        lease = await self._lease.maintain()
         if lease is None:
             # Only the planner speaks of these, so that a sum over nodes is right.
             self._tainted, self._stranded = (), 0
--- a/mallowpond/coordination/health.py
+++ b/mallowpond/coordination/health.py
@@ -1,4 +1,4 @@
-"""Watch engines, and say for how long a group was last seen whole."""
+"""Poll engines, and compute how recently all members of a group were confirmed."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,15 +14,15 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Seen:
-    """Hold an engine's last report; `asked_at` is before the question."""
+class EngineReport:
+    """An engine's last status; `asked_at` is the time before the query was sent."""
 
     status: EngineStatus
     asked_at: float
 
 
 class EngineWatch:
-    """Keep the last report of every engine that this controller asks."""
+    """Polls the engines and keeps the last status of each."""
 
     def __init__(
         self, *, engines: Engines, clock: Clock, silent_seconds: float
@@ -30,45 +30,45 @@
         self._engines = engines
         self._clock = clock
         self._silent_seconds = silent_seconds
-        self._seen: dict[str, Seen] = {}
+        self._reports: dict[str, EngineReport] = {}
 
     async def poll(self, hosts: tuple[Host, ...]) -> None:
-        """Ask every target host at once."""
+        """Query the engines of all target hosts concurrently."""
         hosts = tuple(host for host in hosts if host.is_target)
-        await asyncio.gather(*(self._ask(host) for host in hosts))
+        await asyncio.gather(*(self._query(host) for host in hosts))
         listed = {host.name for host in hosts}
-        self._seen = {n: s for n, s in self._seen.items() if n in listed}
+        self._reports = {n: r for n, r in self._reports.items() if n in listed}
 
     def recent_status(self, host: str) -> EngineStatus | None:
-        """Return the report of a host that is not silent."""
-        seen = self._seen.get(host)
-        if seen is None or self._clock.now() - seen.asked_at > self._silent_seconds:
+        """Return the last status of a host, None if it has been silent for too long."""
+        report = self._reports.get(host)
+        if report is None or self._clock.now() - report.asked_at > self._silent_seconds:
             return None
-        return seen.status
+        return report.status
 
     def confirmed_age(self, group: GroupRow) -> float | None:
-        """Return the age of the oldest report that confirms a member's place.
+        """Return the age in seconds of the oldest status that confirms a member.
 
-        None when a member contradicts it, or is silent.
+        Return None if a member is silent or its status does not match the group's row.
         """
         ages = []
         for member in group.members:
             status = self.recent_status(member.host)
             if status is None or not confirms_member(status, member, group):
                 return None
-            ages.append(self._clock.now() - self._seen[member.host].asked_at)
+            ages.append(self._clock.now() - self._reports[member.host].asked_at)
         return max(ages, default=None)
 
-    async def _ask(self, host: Host) -> None:
+    async def _query(self, host: Host) -> None:
         asked_at = self._clock.now()
         status = await self._engines.status(host.address)
         if isinstance(status, Unavailable):
             return
-        self._seen[host.name] = Seen(status=status, asked_at=asked_at)
+        self._reports[host.name] = EngineReport(status=status, asked_at=asked_at)
 
 
 def confirms_member(status: EngineStatus, member: GroupMember, group: GroupRow) -> bool:
-    """Tell whether a member confirms its incarnation, generation and weights."""
-    place = (status.incarnation, status.group, status.generation)
+    """Return whether a status shows the member loaded, as the group's row has it."""
+    reported = (status.incarnation, status.group, status.generation)
     expected = (member.incarnation, group.group, group.generation)
-    return place == expected and status.loaded
+    return reported == expected and status.loaded
--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -1,4 +1,4 @@
-"""Hold a named lease while this process owns the name and its heartbeat moves."""
+"""Named leases, held while this process owns the name and renews its heartbeat."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -19,7 +19,7 @@
 
 
 class NamedLease:
-    """Take, hold and give back the lease on one name."""
+    """Acquires, holds and releases the lease on one name."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
 
     @property
     def current(self) -> HeldLease | None:
-        """Return the lease while this process may act under it."""
+        """Return the lease if this process holds it and it is valid, else None."""
         row = self._row
         if row is None or not self._is_mine(row.value):
             return None
@@ -53,7 +53,7 @@
 
     @property
     def is_mine(self) -> bool:
-        """Tell whether the row names this process, valid or not."""
+        """Return whether the row names this process, even if the lease has expired."""
         row = self._row
         return row is not None and self._is_mine(row.value)
 
@@ -62,8 +62,12 @@
         """Return the key of the lease's row."""
         return SHARED + LEASES + self._name
 
-    async def keep(self) -> HeldLease | None:
-        """Take the lease when it is ours to take, give it back when it is not."""
+    async def maintain(self) -> HeldLease | None:
+        """Acquire the lease if this process owns the name, release it if another does.
+
+        Return the lease if it is valid. A lease acquired by this call is returned from
+        the next one on.
+        """
         me = self._membership.identity
         owner = owner_of(self._name, self._membership.eligible_owners())
         row = self._row
@@ -74,12 +78,12 @@
             return self.current
         if owner == me.name and self._is_free(row):
             fence = row.value.fence + 1 if row else 1
-            taken = LeaseRow(holder=me.name, incarnation=me.incarnation, fence=fence)
-            await self._put(taken, row)
+            acquired = LeaseRow(holder=me.name, incarnation=me.incarnation, fence=fence)
+            await self._put(acquired, row)
         return None
 
     async def release(self) -> None:
-        """Give the lease back; the fencing number stays in the row."""
+        """Release the lease; its fencing number stays in the row."""
         row = self._row
         if row is not None and self._is_mine(row.value):
             await self._put(replace(row.value, holder="", incarnation=""), row)
--- a/mallowpond/coordination/ports.py
+++ b/mallowpond/coordination/ports.py
@@ -1,4 +1,4 @@
-"""Ports to the outside: the table service, the host list, engines, clock."""
+"""Interfaces to the table service, the host list, the engines and the clock."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Row:
-    """Hold one row as read, with the version and transaction that wrote it."""
+    """A row as read, with its version and the transaction that wrote it."""
 
     key: str
     value: dict[str, Any]
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UnreadableRow:
-    """Tell that a row stands there which this program did not write, or not so."""
+    """A row that this program did not write, or not in this form."""
 
     key: str
     version: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Check:
-    """Require that a row stands at this version; 0 means that it is absent."""
+    """Require that a row has this version; 0 means that it is absent."""
 
     key: str
     version: int
@@ -44,7 +44,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Transaction:
-    """Change rows all at once, provided that every check holds."""
+    """Write and delete rows atomically, provided that every check holds.
+
+    `transaction` is its identifier, `deletes` are keys.
+    """
 
     transaction: str
     checks: tuple[Check, ...] = ()
@@ -68,14 +71,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Unavailable:
-    """The call surely had no effect."""
+    """The call failed and certainly had no effect."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Unknown:
-    """The transaction may have taken effect, or may still do so."""
+    """The transaction may have taken effect or may still do so."""
 
     reason: str
 
@@ -85,7 +88,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scanned:
-    """Hold the rows below a prefix that changed after the version asked for."""
+    """Changes to the rows with a prefix after the requested table version.
+
+    `deleted` are keys; `version` is the table version up to which this is complete.
+    """
 
     rows: tuple[Row, ...]
     deleted: tuple[str, ...]
@@ -96,21 +102,21 @@
 class TableService(Protocol):
     """Read and change rows of the platform's transactional table service.
 
-    Only where other programs can write to our tables is a row ever unreadable.
+    A row can be unreadable only in tables that other programs can write to.
     """
 
     async def read(self, key: str) -> Row | UnreadableRow | None | Unavailable:
         """Return the row, None when it is absent."""
 
     async def scan(self, prefix: str, since: int = 0) -> Scanned | Unavailable:
-        """Return the rows below `prefix` changed after table version `since`."""
+        """Return the changes after table version `since` to rows with `prefix`."""
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Apply a transaction and tell what is known of its effect."""
+        """Apply a transaction and return what is known of its effect."""
 
 
 class HostState(str, Enum):
-    """Say whether the platform lists a host as staying or going."""
+    """State of a host in the platform's list; a leaving host is about to go."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -118,9 +124,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Host:
-    """Describe one host as the platform's lagging list gives it.
+    """A host as the platform lists it; the list lags behind.
 
-    An entry host carries no engine and stands in no fabric domain (``""``).
+    An entry host runs no engine and is in no fabric domain (``""``).
     """
 
     name: str
@@ -133,19 +139,19 @@
 
     @property
     def is_target(self) -> bool:
-        """Tell whether the host carries an engine."""
+        """Return whether the host runs an engine."""
         return self.domain != ""
 
 
 class HostList(Protocol):
-    """Read the platform's lagging list of hosts."""
+    """The platform's list of hosts, which lags behind."""
 
     async def hosts(self) -> tuple[Host, ...] | Unavailable:
-        """Return the hosts that the platform knows now."""
+        """Return the hosts that the platform lists now."""
 
 
 class OrderAction(str, Enum):
-    """Say what an engine is to do."""
+    """What an engine is to do with its weights."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -153,7 +159,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Order:
-    """Tell an engine to take or leave its place in a group."""
+    """Command to an engine to join a group, or to leave the one that it is in.
+
+    `order` is its number on this host, `fence` the fencing number of the lease under
+    which it was stored. The other fields describe the group to join.
+    """
 
     order: int
     fence: int
@@ -168,7 +178,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderAccepted:
-    """The engine took the order."""
+    """The engine accepted the order."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -180,7 +190,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderUnknown:
-    """The engine may or may not have taken the order."""
+    """The engine may or may not have accepted the order."""
 
     reason: str
 
@@ -190,7 +200,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineStatus:
-    """Hold what an engine reports of itself."""
+    """Status that an engine reports of itself.
+
+    `order` is the last order that it accepted, `in_flight` its number of running
+    requests; an empty `group` means none. `loaded` refers to its own weights, `whole`
+    to those of all members of its group.
+    """
 
     host: str
     incarnation: str
@@ -203,28 +218,28 @@
 
 
 class Engines(Protocol):
-    """Order and observe the engines on target hosts."""
+    """Sends orders to the engines on target hosts and queries their status."""
 
     async def order(self, address: str, order: Order) -> OrderResult:
-        """Send one order."""
+        """Send an order to the engine at an address."""
 
     async def status(self, address: str) -> EngineStatus | Unavailable:
-        """Ask an engine what it holds."""
+        """Return the status of the engine at an address."""
 
 
 class Clock(Protocol):
-    """Give this process's monotonic time."""
+    """Monotonic time of this process."""
 
     def now(self) -> float:
         """Return monotonic seconds."""
 
     async def sleep(self, seconds: float) -> None:
-        """Wait."""
+        """Sleep for the given time."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Ports:
-    """Gather every outside party that a controller deals with."""
+    """The interfaces that a controller is given; a `seed` of 0 means random."""
 
     table: TableService
     host_list: HostList
--- a/mallowpond/coordination/quotas.py
+++ b/mallowpond/coordination/quotas.py
@@ -1,4 +1,4 @@
-"""Lease chunks of workspaces' daily budgets from the table."""
+"""Lease chunks of the daily budgets of workspaces from the table."""
 
 import time
 from collections.abc import Callable
@@ -17,7 +17,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leased:
-    """These units of the period were leased; 0 means that the budget is spent."""
+    """Units leased for a period; 0 means that too little of the budget is left.
+
+    `period` is the day since the epoch, `period_left` its remaining seconds.
+    """
 
     period: int
     units: int
@@ -26,13 +29,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseFailed:
-    """The table could not be asked, or raced with too many others."""
+    """The table could not be read, or no attempt to commit succeeded."""
 
     reason: str
 
 
 class QuotaLeaser:
-    """Lease units by compare-and-set on the workspace's row."""
+    """Leases units by compare-and-set on the workspace's row."""
 
     def __init__(
         self,
@@ -48,17 +51,17 @@
     async def lease(
         self, *, workspace: str, budget: int, wanted: int, needed: int
     ) -> Leased | LeaseFailed:
-        """Lease up to `wanted` units, at least `needed`."""
+        """Lease up to `wanted` units of the daily `budget`, at least `needed`."""
         key = quota_key(workspace)
         for _ in range(MAX_ATTEMPTS):
             row = await self._table.read(key)
             if isinstance(row, Unavailable):
                 return LeaseFailed(reason=row.reason)
             period, left = self._period()
-            held = from_plain(row.value, QuotaRow) if row else None
-            if held is not None and held.period >= period:
-                # A host whose clock is behind joins the period that the row names.
-                period, leased = held.period, held.leased
+            stored = from_plain(row.value, QuotaRow) if row else None
+            if stored is not None and stored.period >= period:
+                # A host whose clock is behind uses the later period of the row.
+                period, leased = stored.period, stored.leased
             else:
                 leased = 0
             units = grantable_units(
@@ -71,7 +74,7 @@
             change = transaction(self._draw_id(), put)
             if isinstance(await commit_and_resolve(self._table, change), Committed):
                 return Leased(period=period, units=units, period_left=left)
-        # An unknown commit may have taken effect: its units are forfeited, not spent.
+        # A commit with an unknown outcome may have taken effect: its units are lost.
         return LeaseFailed(reason="too many conflicts")
 
     def _period(self) -> tuple[int, float]:
