--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -1,4 +1,4 @@
-"""Rows of groups and hosts, written together and under the planner's lease."""
+"""Rows of groups and hosts, written in one transaction under the planner's lease."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -24,11 +24,12 @@
     OrderOutcome,
 )
 
+# Rows to write by key, each with the version that it must have, 0 if absent.
 Changes = dict[str, tuple[object, int]]
 
 
 class GroupRows:
-    """Read and change the rows that say which host stands in which group."""
+    """Reads and changes the rows that assign hosts to groups."""
 
     def __init__(
         self,
@@ -36,23 +37,23 @@
         table: TableService,
         shared: TableView,
         lease: NamedLease,
-        desk: OrderTracker,
+        orders: OrderTracker,
         holder: Callable[[], Holder],
         draw_id: Callable[[], str],
     ) -> None:
         self._table = table
         self._shared = shared
         self._lease = lease
-        self._desk = desk
+        self._orders = orders
         self._holder = holder
         self._draw_id = draw_id
 
     def groups(self) -> dict[str, Versioned[GroupRow]]:
-        """Return the groups as last read."""
+        """Return the rows of groups as last read, by group."""
         return self._shared.with_prefix(GROUPS, GroupRow)
 
     def hosts(self) -> dict[str, Versioned[HostRow]]:
-        """Return the rows of hosts as last read."""
+        """Return the rows of hosts as last read, by host."""
         return self._shared.with_prefix(HOSTS, HostRow)
 
     async def start_group(
@@ -63,7 +64,11 @@
         members: tuple[GroupMember, ...],
         version: int,
     ) -> None:
-        """Bind hosts to a group and write their orders down, all at once."""
+        """Assign hosts to a new or changed group and store their orders, atomically.
+
+        `version` is the version that the group's row must have, 0 if absent. Nothing is
+        written while a row of these hosts names another group.
+        """
         if not members:
             return
         group = GroupRow(
@@ -75,24 +80,24 @@
         )
         changes: Changes = {GROUPS + name: (group, version)}
         old = self.groups().get(name)
-        left = set(old.value.hosts) - set(group.hosts) if old else set()
-        changes.update(self._freed(tuple(sorted(left))))
+        removed = set(old.value.hosts) - set(group.hosts) if old else set()
+        changes.update(self._release(tuple(sorted(removed))))
         rows = self.hosts()
         for member in members:
-            held = rows.get(member.host)
-            if held and held.value.group not in (None, name):
-                # Another group's row still names the host; its own repair or
-                # dissolution frees it first.
+            row = rows.get(member.host)
+            if row and row.value.group not in (None, name):
+                # The host is still assigned to another group. That group's repair or
+                # dissolution releases it first.
                 return
-            bound = self._bound(member, group, held.value if held else None)
-            changes[HOSTS + member.host] = (bound, held.version if held else 0)
+            assigned = self._assign(member, group, row.value if row else None)
+            changes[HOSTS + member.host] = (assigned, row.version if row else 0)
         await self.commit(changes)
 
-    def _bound(
-        self, member: GroupMember, group: GroupRow, held: HostRow | None
+    def _assign(
+        self, member: GroupMember, group: GroupRow, row: HostRow | None
     ) -> HostRow:
-        if held is None:
-            held = HostRow(
+        if row is None:
+            row = HostRow(
                 host=member.host,
                 incarnation=member.incarnation,
                 group=None,
@@ -103,27 +108,27 @@
                 outcome=OrderOutcome.DONE,
             )
         return replace(
-            self.next_order(held),
+            self.next_order(row),
             incarnation=member.incarnation,
             group=group.group,
             generation=group.generation,
         )
 
     async def delete(self, name: str, row: Versioned[GroupRow]) -> None:
-        """Delete a group and write the unload orders of its hosts down."""
-        freed = self._freed(row.value.hosts)
+        """Delete a group and store the unload orders of its hosts."""
+        released = self._release(row.value.hosts)
         key = SHARED + GROUPS + name
-        held = Check(key=key, version=row.version)
-        await self.commit(freed, deletes=(key,), checks=(held,))
+        unchanged = Check(key=key, version=row.version)
+        await self.commit(released, deletes=(key,), checks=(unchanged,))
 
-    def _freed(self, hosts: tuple[str, ...]) -> Changes:
-        """Return the changes that unbind hosts and write down their unload orders."""
+    def _release(self, hosts: tuple[str, ...]) -> Changes:
+        """Return the changes that release hosts from their group and unload them."""
         return self.host_changes(hosts, group=None, generation=0, new=True)
 
     def host_changes(
         self, hosts: tuple[str, ...], *, new: bool = False, **fields: object
     ) -> Changes:
-        """Return the changes that set fields of hosts, with a new order if asked."""
+        """Return changes that set fields of host rows, with a new order if `new`."""
         rows = self.hosts()
         changes: Changes = {}
         for host in hosts:
@@ -136,9 +141,9 @@
         return changes
 
     def next_order(self, row: HostRow) -> HostRow:
-        """Return the row with a new open order under the lease."""
+        """Return the row with the next order, pending under the current lease."""
         lease = self._lease.current
-        return self._desk.next_order(row, lease.fence if lease else row.fence)
+        return self._orders.next_order(row, lease.fence if lease else row.fence)
 
     async def commit(
         self,
@@ -147,11 +152,11 @@
         deletes: tuple[str, ...] = (),
         checks: tuple[Check, ...] = (),
     ) -> bool:
-        """Commit under the lease; without it nothing is written.
+        """Commit under the lease; return whether it took effect.
 
-        The check names the version at which this process holds the lease. Taking the
-        row's version as last read would let a holder that woke after a takeover write
-        under the new holder's lease.
+        Without a valid lease nothing is written. The check names the version at which
+        this process holds the lease. With the version as last read, a holder that
+        resumes after a takeover would write under the new holder's lease.
         """
         lease = self._lease.current
         if lease is None:
@@ -165,7 +170,7 @@
         deletes: tuple[str, ...] = (),
         checks: tuple[Check, ...] = (),
     ) -> bool:
-        """Commit changes on the condition that their rows did not change."""
+        """Commit changes unless a row changed since it was read; return the success."""
         unchanged = (Check(key=SHARED + k, version=v) for k, (_, v) in changes.items())
         rows = ((SHARED + key, row) for key, (row, _) in changes.items())
         change = Transaction(
--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -1,8 +1,8 @@
 """Form, repair, drain and dissolve groups under the planner's lease.
 
-Every order is written down before it is sent and carries the lease's fencing number.
-A group is READY only once each member has confirmed its generation, in the
-incarnation that was planned with. See ``docs/design/groups.md``.
+Every order is stored before it is sent and carries the lease's fencing number. A group
+is READY only once each member has confirmed its generation, in the incarnation for
+which it was planned. See ``docs/design/groups.md``.
 """
 
 from collections.abc import Callable
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupTimings:
-    """Hold the waits of group management, in seconds."""
+    """Limits of group management: times in seconds, and hosts that load at once."""
 
     drain_settle: float = 2.0
     drain_limit: float = 120.0
@@ -58,7 +58,7 @@
 
 
 class GroupManager:
-    """Bring groups to what the declaration asks for."""
+    """Forms, repairs and dissolves groups until they match the declaration."""
 
     def __init__(
         self,
@@ -76,89 +76,92 @@
         self._clock = clock
         self._lease = lease
         self._watch = watch
-        self._desk = OrderTracker(engines=engines, watch=watch, holder=holder)
+        self._orders = OrderTracker(engines=engines, watch=watch, holder=holder)
         self._rows = GroupRows(
             table=table,
             shared=shared,
             lease=lease,
-            desk=self._desk,
+            orders=self._orders,
             holder=holder,
             draw_id=draw_id,
         )
         self._draw_id = draw_id
         self._timings = timings
-        self._since: dict[tuple[str, GroupState, int], float] = {}
+        self._state_since: dict[tuple[str, GroupState, int], float] = {}
         self._stranded = 0
         self._tainted: tuple[str, ...] = ()
         self._excluded: frozenset[str] = frozenset()
 
     @property
     def stranded(self) -> int:
-        """Return the accelerators idle for want of a group, as last planned."""
+        """Return the number of accelerators idle without a group, as last planned."""
         return self._stranded
 
     @property
     def tainted(self) -> tuple[str, ...]:
-        """Return hosts kept out of groups by an older holder's open order."""
+        """Return the hosts kept out of groups by an earlier holder's open order."""
         return self._tainted
 
     def groups(self) -> dict[str, GroupRow]:
-        """Return the groups as last read."""
+        """Return the rows of groups as last read, by group."""
         return {k: v.value for k, v in self._rows.groups().items()}
 
     async def tick(self, *, declaration: Declaration, hosts: tuple[Host, ...]) -> None:
-        """Advance every group by one step, if this process holds the lease."""
+        """Advance every group by one step if this process holds the lease.
+
+        Without the lease, withdraw this process's orders that can no longer arrive.
+        """
         if not hosts:
-            # A list that was not read yet says nothing: going by it, every group would
-            # look broken and every older holder gone.
+            # The list has not been read yet: every group would look broken, and every
+            # earlier holder gone.
             return
         checks_fencing = all(d.checks_fencing for d in declaration.deployments)
-        self._desk.look(checks_fencing=checks_fencing, hosts=hosts)
+        self._orders.update(checks_fencing=checks_fencing, hosts=hosts)
         lease = await self._lease.maintain()
         if lease is None:
-            # Only the planner speaks of these, so that a sum over nodes is right.
+            # Only the planner reports these, so that a sum over controllers is right.
             self._tainted, self._stranded = (), 0
             await self._withdraw_orders()
             return
         self._excluded = excluded_hosts(declaration, hosts)
-        self._note_states()
+        self._track_states()
         await self._mark_broken()
-        await self._promote_whole()
-        await self._finish_drained()
-        await self._close_orders()
+        await self._mark_ready()
+        await self._delete_drained()
+        await self._record_closed_orders()
         await self._plan(declaration, hosts)
         await self._send_orders(declaration, hosts)
 
-    def _note_states(self) -> None:
+    def _track_states(self) -> None:
         now = self._clock.now()
         present = {
             (name, row.value.state, row.value.generation)
             for name, row in self._rows.groups().items()
         }
-        self._since = {key: self._since.get(key, now) for key in present}
+        self._state_since = {key: self._state_since.get(key, now) for key in present}
 
     def _age(self, group: GroupRow) -> float:
         key = (group.group, group.state, group.generation)
-        return self._clock.now() - self._since.get(key, self._clock.now())
+        return self._clock.now() - self._state_since.get(key, self._clock.now())
 
-    # -- from loading to ready and back, from draining to gone ------------------------
+    # -- states of groups ----------------------------------------------------
 
     async def _mark_broken(self) -> None:
-        """Take groups that lost a member, or will, out of service at once.
+        """Mark ready groups as broken that lost a member or are about to.
 
-        Where no replacement is at hand the survivors wait; without this the group
-        would go on being counted, and shown, as ready. Nothing is told to the engines
-        here, so requests in progress go on.
+        Without a replacement for the member, the others wait; the group would otherwise
+        still be counted and shown as ready. No order is sent here, so running requests
+        continue.
         """
         for name, row in self._rows.groups().items():
             group = row.value
-            lost = any(self._has_lost(member, group) for member in group.members)
+            lost = any(self._is_lost(member, group) for member in group.members)
             leaves = not self._excluded.isdisjoint(group.hosts)
             if group.state is GroupState.READY and (lost or leaves):
                 broken = replace(group, state=GroupState.BROKEN)
                 await self._rows.commit({GROUPS + name: (broken, row.version)})
 
-    async def _promote_whole(self) -> None:
+    async def _mark_ready(self) -> None:
         for name, row in self._rows.groups().items():
             group = row.value
             if group.state not in (GroupState.LOADING, GroupState.BROKEN):
@@ -171,7 +174,7 @@
             done = self._rows.host_changes(group.hosts, outcome=OrderOutcome.DONE)
             await self._rows.commit({GROUPS + name: (ready, row.version), **done})
 
-    async def _finish_drained(self) -> None:
+    async def _delete_drained(self) -> None:
         for name, row in self._rows.groups().items():
             group = row.value
             if group.state is not GroupState.DRAINING:
@@ -179,12 +182,12 @@
             if self._is_drained(group):
                 await self._rows.delete(name, row)
 
-    async def _close_orders(self) -> None:
-        """Note the orders that free hosts carried out and those that are closed."""
+    async def _record_closed_orders(self) -> None:
+        """Record the orders that free hosts carried out, and drop the closed ones."""
         changes: Changes = {}
         for name, row in self._rows.hosts().items():
-            changed = self._desk.pruned(row.value) or row.value
-            if row.value.group is None and self._is_carried_out(row.value):
+            changed = self._orders.without_closed_orders(row.value) or row.value
+            if row.value.group is None and self._has_carried_out_order(row.value):
                 changed = replace(changed, outcome=OrderOutcome.DONE)
             if changed != row.value:
                 changes[HOSTS + name] = (changed, row.version)
@@ -195,8 +198,8 @@
         age = self._age(group)
         if age >= self._timings.drain_limit:
             return True
-        # Gateways learn of the draining within the settle time; an engine that is
-        # idle before then may still be sent a request that its stop would cut off.
+        # Gateways learn of the draining within the settle time. An engine that is idle
+        # before then can still get a request, which unloading would cut off.
         if age < self._timings.drain_settle:
             return False
         status = self._watch.recent_status(group.head.host)
@@ -207,7 +210,7 @@
     async def _plan(self, declaration: Declaration, hosts: tuple[Host, ...]) -> None:
         rows = self._rows.hosts()
         self._tainted = tuple(
-            name for name, row in rows.items() if self._desk.is_tainted(row.value)
+            name for name, row in rows.items() if self._orders.is_tainted(row.value)
         )
         groups = self.groups().values()
         draining = frozenset(g.group for g in groups if g.state is GroupState.DRAINING)
@@ -217,14 +220,14 @@
             for row in self._rows.groups().values()
             if row.value.state is not GroupState.DRAINING
         ]
-        known = {
+        view = {
             "hosts": plan_hosts,
             "deployments": declaration.deployments,
             "groups": plan_groups,
         }
-        self._stranded = stranded(**known)
-        for action in plan(**known):
-            await self._carry_out(action, hosts)
+        self._stranded = stranded(**view)
+        for action in plan(**view):
+            await self._execute(action, hosts)
 
     def _plan_host(
         self,
@@ -251,7 +254,7 @@
 
     def _plan_group(self, group: GroupRow, declaration: Declaration) -> PlanGroup:
         lost = frozenset(
-            member.host for member in group.members if self._has_lost(member, group)
+            member.host for member in group.members if self._is_lost(member, group)
         )
         return PlanGroup(
             name=group.group,
@@ -262,8 +265,8 @@
             stopped=group.group in declaration.stopped_groups,
         )
 
-    def _has_lost(self, member: GroupMember, group: GroupRow) -> bool:
-        """Tell whether a member came back as another, or never took its place."""
+    def _is_lost(self, member: GroupMember, group: GroupRow) -> bool:
+        """Return whether a member is silent, restarted, left, or loads for too long."""
         status = self._watch.recent_status(member.host)
         if status is None:
             return True
@@ -273,11 +276,11 @@
             return not confirms_member(status, member, group)
         return self._age(group) >= self._timings.forming_limit
 
-    def _is_carried_out(self, row: HostRow) -> bool:
+    def _has_carried_out_order(self, row: HostRow) -> bool:
         status = self._watch.recent_status(row.host)
         return status is not None and status.order == row.order
 
-    async def _carry_out(
+    async def _execute(
         self, action: Form | Repair | Dissolve, hosts: tuple[Host, ...]
     ) -> None:
         match action:
@@ -290,7 +293,7 @@
                 await self._rows.start_group(name, deployment, 1, members, 0)
             case Repair(group=name, hosts=chosen):
                 row = self._rows.groups().get(name)
-                if row is None or await self._drained_first(name, row):
+                if row is None or await self._drain_if_serving(name, row):
                     return
                 members = self._members(chosen, hosts)
                 generation = row.value.generation + 1
@@ -299,12 +302,15 @@
                 )
             case Dissolve(group=name):
                 row = self._rows.groups().get(name)
-                if row is None or await self._drained_first(name, row):
+                if row is None or await self._drain_if_serving(name, row):
                     return
                 await self._rows.delete(name, row)
 
-    async def _drained_first(self, name: str, row: Versioned[GroupRow]) -> bool:
-        """Drain a group that still serves instead of cutting its requests off."""
+    async def _drain_if_serving(self, name: str, row: Versioned[GroupRow]) -> bool:
+        """Drain a group that still serves, so that its requests can end first.
+
+        Return whether the group was serving.
+        """
         group = row.value
         if group.state not in (GroupState.READY, GroupState.BROKEN):
             return False
@@ -341,45 +347,47 @@
     async def _send_orders(
         self, declaration: Declaration, hosts: tuple[Host, ...]
     ) -> None:
-        """Send what is written down and not carried out; sending twice is harmless."""
+        """Send the stored orders that are not carried out; a repetition is harmless."""
         addresses = {host.name: host.address for host in hosts}
         deployments = {d.name: d for d in declaration.deployments}
-        open_rows = [await self._adopt(n, r) for n, r in self._unfinished(addresses)]
-        # The lease is looked at after every commit and right before the sends, since
-        # an engine that ignores fencing obeys a holder whose lease has lapsed.
+        open_rows = [
+            await self._adopt(n, r) for n, r in self._unfinished_orders(addresses)
+        ]
+        # The lease is checked after all commits and right before sending, since an
+        # engine that ignores fencing obeys a holder whose lease has expired.
         lease = self._lease.current
         if lease is None:
             return
         orders = [
             (addresses[row.host], row, self._order_for(row, deployments, lease))
             for row in open_rows
-            if row is not None and self._desk.may_send(row)
+            if row is not None and self._orders.can_send(row)
         ]
-        await self._desk.send(orders)
+        await self._orders.send(orders)
 
-    def _unfinished(
+    def _unfinished_orders(
         self, addresses: dict[str, str]
     ) -> list[tuple[str, Versioned[HostRow]]]:
-        """Return the rows of reachable hosts whose engines hold something else."""
+        """Return the rows of reachable hosts whose engines do not match them yet."""
         found = []
         for name, row in self._rows.hosts().items():
             status = self._watch.recent_status(name)
             if status is None or name not in addresses or name in self._tainted:
                 continue
-            if not self._needs_nothing(row.value, status):
+            if not self._needs_no_order(row.value, status):
                 found.append((name, row))
         return found
 
-    def _needs_nothing(self, row: HostRow, status: EngineStatus) -> bool:
-        """Tell whether the engine holds just what its row says."""
-        placed = (status.group or None, status.generation)
-        if placed == (row.group, row.generation) and status.order == row.order:
+    def _needs_no_order(self, row: HostRow, status: EngineStatus) -> bool:
+        """Return whether the engine matches its row or waits for a repair."""
+        reported = (status.group or None, status.generation)
+        if reported == (row.group, row.generation) and status.order == row.order:
             return True
         # A member that restarted after its group was READY waits for the repair.
         return row.group is not None and row.outcome is OrderOutcome.DONE
 
     async def _adopt(self, name: str, row: Versioned[HostRow]) -> HostRow | None:
-        """Write an older holder's order down as our own before sending it again."""
+        """Store an earlier holder's order as this process's own before it is resent."""
         lease = self._lease.current
         if lease is None:
             return None
@@ -410,24 +418,24 @@
         )
 
     async def _withdraw_orders(self) -> None:
-        """Declare that this process will send none of its unsent orders any more.
+        """Withdraw this process's orders that can no longer arrive.
 
-        A process that lost its lease is between sends here, since one loop does both,
-        so what it did not send it never will. This frees hosts that the next holder
-        has to keep out of groups.
+        After the loss of the lease, an order that was not sent by now is never sent:
+        one loop does this and sends orders, so no send is under way here. This frees
+        hosts that the next holder would otherwise have to keep out of groups.
         """
         if self._lease.is_mine:
             return
         changes: Changes = {}
         for name, row in self._rows.hosts().items():
-            withdrawn = self._desk.withdrawn(row.value)
-            if withdrawn is not None:
-                changes[HOSTS + name] = (withdrawn, row.version)
+            changed = self._orders.with_withdrawn_orders(row.value)
+            if changed is not None:
+                changes[HOSTS + name] = (changed, row.version)
         if changes:
             await self._rows.write(changes)
 
 
 def excluded_hosts(declaration: Declaration, hosts: tuple[Host, ...]) -> frozenset[str]:
-    """Return the hosts that get no new work: drained by operators, or leaving."""
+    """Return the hosts that get no new requests: drained by operators or leaving."""
     leaving = (host.name for host in hosts if host.state is HostState.LEAVING)
     return frozenset((*declaration.drained_hosts, *leaving))
--- a/mallowpond/coordination/orders.py
+++ b/mallowpond/coordination/orders.py
@@ -1,12 +1,14 @@
-"""Write orders down, send them, and know which may still arrive.
-
-An engine that checks fencing refuses an older holder's order. One that ignores it
-obeys any order whenever it arrives, so for such engines each order is sent at most
-once, a host takes no new order while an earlier one is open, and it joins no group.
-An order is closed when the engine shows that it carried out just this one, when its
-holder withdraws it unsent, when the holder's host is gone from the platform's list,
-or when the engine that it was sent to is gone. Waiting closes nothing: a holder that
-is paused between its last check and the send can wake at any time.
+"""Store orders, send them, and track which of them may still arrive.
+
+An engine that checks fencing refuses the orders of an earlier lease holder. One that
+ignores fencing obeys any order whenever it arrives. For such engines each order is sent
+at most once, and while an earlier order is open, its host gets no new one and joins no
+group.
+
+An order is closed when the engine reports this very order as its last, when its holder
+withdraws it unsent, when the holder's host is gone from the platform's list, or when
+the engine that it was sent to is gone. Time closes no order: a holder that is paused
+between its last check and the send can resume at any time.
 """
 
 import asyncio
@@ -25,7 +27,10 @@
 
 
 class OrderTracker:
-    """Keep track of the orders that this process writes and sends."""
+    """Numbers and sends the orders of this process, and tracks the open ones.
+
+    The orders of earlier lease holders are tracked as far as the host rows name them.
+    """
 
     def __init__(
         self, *, engines: Engines, watch: EngineWatch, holder: Callable[[], Holder]
@@ -34,18 +39,18 @@
         self._watch = watch
         self._holder = holder
         self._sent: set[tuple[str, int]] = set()
-        # Orders sent without a clear answer, with the incarnation they were sent to.
+        # Orders without a definite answer, with the engine incarnation they went to.
         self._in_doubt: dict[tuple[str, int], str] = {}
         self._checks_fencing = True
-        self._listed: dict[str, str] = {}
+        self._host_incarnations: dict[str, str] = {}
 
-    def look(self, *, checks_fencing: bool, hosts: tuple[Host, ...]) -> None:
-        """Take in whether every engine checks fencing, and the listed hosts."""
+    def update(self, *, checks_fencing: bool, hosts: tuple[Host, ...]) -> None:
+        """Set whether every engine checks fencing, and the hosts that are listed."""
         self._checks_fencing = checks_fencing
-        self._listed = {host.name: host.incarnation for host in hosts}
+        self._host_incarnations = {host.name: host.incarnation for host in hosts}
 
     def next_order(self, row: HostRow, fence: int) -> HostRow:
-        """Return the row with a new open order of this process."""
+        """Return the row with the next order, pending and held by this process."""
         earlier = () if self._checks_fencing else self._open_orders(row)
         return replace(
             row,
@@ -57,38 +62,43 @@
         )
 
     def is_tainted(self, row: HostRow) -> bool:
-        """Tell whether an order that is not ours to end may still arrive."""
+        """Return whether an order that this process can't withdraw may still arrive."""
         if self._checks_fencing:
             return False
-        foreign = row.holder != self._holder()
-        pending = row.outcome is OrderOutcome.PENDING
-        is_open = pending and foreign and not self._is_closed(_current(row), row)
+        is_foreign = row.holder != self._holder()
+        is_pending = row.outcome is OrderOutcome.PENDING
+        is_open = (
+            is_pending and is_foreign and not self._is_closed(_last_order(row), row)
+        )
         return is_open or any(not self._is_closed(o, row) for o in row.earlier)
 
-    def pruned(self, row: HostRow) -> HostRow | None:
-        """Return the row without orders that were closed, None if there are none."""
-        left = tuple(o for o in row.earlier if not self._is_closed(o, row))
-        return replace(row, earlier=left) if left != row.earlier else None
+    def without_closed_orders(self, row: HostRow) -> HostRow | None:
+        """Return the row without closed earlier orders, None if it has none."""
+        remaining = tuple(o for o in row.earlier if not self._is_closed(o, row))
+        return replace(row, earlier=remaining) if remaining != row.earlier else None
+
+    def with_withdrawn_orders(self, row: HostRow) -> HostRow | None:
+        """Return the row without this process's orders that can no longer arrive.
 
-    def withdrawn(self, row: HostRow) -> HostRow | None:
-        """Return the row without our orders that will not arrive any more."""
-        earlier = tuple(o for o in row.earlier if not self._is_settled(o, row))
+        Return None if there are none. The last order is marked as withdrawn instead.
+        """
+        earlier = tuple(o for o in row.earlier if not self._cannot_arrive(o, row))
         changed = replace(row, earlier=earlier)
-        pending = row.outcome is OrderOutcome.PENDING
-        if pending and self._is_settled(_current(row), row):
+        is_pending = row.outcome is OrderOutcome.PENDING
+        if is_pending and self._cannot_arrive(_last_order(row), row):
             changed = replace(changed, outcome=OrderOutcome.WITHDRAWN)
         return changed if changed != row else None
 
-    def may_send(self, row: HostRow) -> bool:
-        """Tell whether the row's order may go out now."""
+    def can_send(self, row: HostRow) -> bool:
+        """Return whether the row's order can be sent now."""
         if self._checks_fencing:
             return True
         return not row.earlier and (row.host, row.order) not in self._sent
 
     async def send(self, orders: list[tuple[str, HostRow, Order]]) -> None:
-        """Send orders, each with its address, all at once.
+        """Send orders, each to its address, concurrently.
 
-        One engine that hangs must not hold up the orders to the rest.
+        An engine that hangs must not delay the orders to the others.
         """
         await asyncio.gather(*(self._send_one(*one) for one in orders))
 
@@ -107,7 +117,7 @@
     def _open_orders(self, row: HostRow) -> tuple[OpenOrder, ...]:
         orders = row.earlier
         if row.outcome is OrderOutcome.PENDING:
-            orders += (_current(row),)
+            orders += (_last_order(row),)
         return tuple(o for o in orders if not self._is_closed(o, row))
 
     def _is_closed(self, order: OpenOrder, row: HostRow) -> bool:
@@ -124,12 +134,12 @@
     def _is_holder_gone(self, holder: Holder) -> bool:
         if not holder.host or not holder.host_incarnation:
             return False
-        return self._listed.get(holder.host) != holder.host_incarnation
+        return self._host_incarnations.get(holder.host) != holder.host_incarnation
 
-    def _is_settled(self, order: OpenOrder, row: HostRow) -> bool:
+    def _cannot_arrive(self, order: OpenOrder, row: HostRow) -> bool:
         is_mine = order.holder == self._holder()
         return is_mine and (row.host, order.order) not in self._in_doubt
 
 
-def _current(row: HostRow) -> OpenOrder:
+def _last_order(row: HostRow) -> OpenOrder:
     return OpenOrder(order=row.order, holder=row.holder)
