--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -30,8 +30,8 @@
 # Interval between two checks, in seconds: a small part of the shortest gap objectives.
 MIN_CHECK_INTERVAL_SECONDS = 0.02
 # Longest interval between two checks, in seconds, while no group can have been silent
-# long enough, which holds for most of 195 hosts most of the time. A stream that begins
-# meanwhile cannot become suspicious within it.
+# long enough, which holds for most of 195 hosts most of the time. The silence of a
+# stream that begins meanwhile becomes due later than that.
 MAX_CHECK_INTERVAL_SECONDS = 0.06
 # Events of a stream from a group after which the group's pace counts as known.
 MIN_PACE_EVENTS = 2
@@ -140,6 +140,7 @@
         return has_advanced(own_silence=own_silence, peer_silence=question.silent)
 
     def _on_advance(self, key: GroupKey) -> None:
+        """Record that a peer sees progress of a group."""
         query = self._queries.get(key)
         if query is not None:
             self._queries[key] = replace(query, advanced_at=self._clock.now())
@@ -147,6 +148,7 @@
     def _measure_silence(
         self, key: GroupKey, streams: list[ActiveStream], now: float
     ) -> GroupSilence:
+        """Return how long a group has been silent here, and how long it may be."""
         work = streams[0].work
         load = self._directory.loads.load_of(streams[0].group, work.profile)
         # The load includes the prompt tokens of other hosts that are to be prefilled.
