--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -1,7 +1,7 @@
-"""Move the configuration everywhere or not at all, and never back.
+"""Change the configuration on all controllers or on none, and never go back.
 
 A change is proposed, prepared by a majority of every cell's members, and accepted in
-one transaction that moves the head. See ``docs/design/configuration.md``.
+one transaction that advances the head. See ``docs/design/configuration.md``.
 """
 
 from collections.abc import Callable
@@ -38,12 +38,13 @@
 from mallowpond.state.proposal import Abort, Accept, decide_proposal
 from mallowpond.state.rows import CellRow, HeadRow, ProposalRow, VersionRow
 
+# Accepted versions that are kept in the table.
 KEPT_VERSIONS = 50
 
 
 @dataclass(frozen=True, kw_only=True)
-class Applied:
-    """Hold the configuration that is in force on this node."""
+class AppliedConfiguration:
+    """The configuration in force on this controller; version 0 is empty."""
 
     version: int
     text: str
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Proposed:
-    """The change stands as the open proposal."""
+    """The change was stored as the open proposal, with the identifier `proposal`."""
 
     version: int
     proposal: str
@@ -60,17 +61,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProposalRefused:
-    """The change was not proposed; `reason` is one of the public reasons."""
+    """The change was not proposed; after `outcome_unknown`, it may have been.
+
+    `reason` is one of the reasons that operators get.
+    """
 
     reason: str
     detail: str
 
 
+# Returns None for a text that is not a valid configuration.
 Parse = Callable[[str], Declaration | None]
 
 
 class Configuration:
-    """Prepare, accept, abort and apply configuration versions."""
+    """Proposes, prepares, accepts, aborts and applies configuration versions."""
 
     def __init__(
         self,
@@ -92,21 +97,23 @@
         self._draw_id = draw_id
         self._assurance_seconds = assurance_seconds
         self._abort_seconds = abort_seconds
-        self._applied = Applied(version=0, text="", declaration=Declaration())
+        self._applied = AppliedConfiguration(
+            version=0, text="", declaration=Declaration()
+        )
         self._head_read: HeadRead | None = None
-        self._held: ProposalRow | None = None
+        self._prepared_proposal: ProposalRow | None = None
         self._first_seen: dict[str, float] = {}
         self._peer_answers: dict[str, PeerAnswer] = {}
 
     @property
-    def applied(self) -> Applied:
-        """Return the configuration in force on this node."""
+    def applied(self) -> AppliedConfiguration:
+        """Return the configuration in force on this controller."""
         return self._applied
 
     @property
     def prepared(self) -> str:
-        """Return the proposal that this node holds beside the applied version."""
-        return self._held.proposal if self._held else ""
+        """Return the identifier of the proposal prepared here, empty for none."""
+        return self._prepared_proposal.proposal if self._prepared_proposal else ""
 
     @property
     def head_read(self) -> HeadRead | None:
@@ -115,7 +122,7 @@
 
     @property
     def open_proposal(self) -> ProposalRow | None:
-        """Return the proposal that stood open at the last read."""
+        """Return the proposal that was open at the last read."""
         row = self._shared.get(PROPOSAL, ProposalRow)
         return row.value if row else None
 
@@ -127,7 +134,7 @@
         return sorted(rows, key=lambda r: -r.version)
 
     def assurance(self) -> Assured | NotAssured:
-        """Tell whether the version in force is known now, and applied here."""
+        """Return whether the version in force is known for certain and applied here."""
         cell = self._membership.known_cell
         members = cell.members if cell else ()
         verdict = assess_assurance(
@@ -136,19 +143,19 @@
             limit_seconds=self._assurance_seconds,
             cell=CellView(epoch=self._membership.epoch, members=members),
             own_read=self._head_read,
-            holds_newer=self._held is not None,
+            holds_newer=self._prepared_proposal is not None,
             peer_answers=tuple(self._peer_answers.values()),
         )
         if isinstance(verdict, Assured) and verdict.version != self._applied.version:
             return NotAssured(reason=f"version {verdict.version} is not applied yet")
         return verdict
 
-    def record_peer_answer(self, vouch: PeerAnswer) -> None:
-        """Keep a peer's latest answer."""
-        self._peer_answers[vouch.member] = vouch
+    def record_peer_answer(self, answer: PeerAnswer) -> None:
+        """Record a peer's latest answer, which can confirm the version in force."""
+        self._peer_answers[answer.member] = answer
 
     def after_read(self, asked_at: float) -> None:
-        """Take in what a read of the shared rows showed; `asked_at` is before it."""
+        """Apply and prepare what was read; `asked_at` is the time before the read."""
         head = self._shared.get(HEAD, HeadRow)
         version = head.value.version if head else 0
         self._head_read = HeadRead(version=version, asked_at=asked_at)
@@ -158,11 +165,11 @@
     async def propose(
         self, *, text: str, expect_version: int, author: str
     ) -> Proposed | ProposalRefused:
-        """Open a proposal on top of `expect_version`."""
+        """Propose a change on top of `expect_version`, the version in force."""
         head = self._shared.get(HEAD, HeadRow)
-        standing = head.value.version if head else 0
-        if standing != expect_version:
-            detail = f"version {standing} is in force, not {expect_version}"
+        in_force = head.value.version if head else 0
+        if in_force != expect_version:
+            detail = f"version {in_force} is in force, not {expect_version}"
             return ProposalRefused(reason="version_moved", detail=detail)
         proposal = ProposalRow(
             version=expect_version + 1,
@@ -180,30 +187,30 @@
             case Conflict():
                 detail = "another change was opened or accepted first; read and retry"
                 return ProposalRefused(reason="lost_race", detail=detail)
-            case Unavailable(reason=why):
-                return ProposalRefused(reason="table_unavailable", detail=why)
+            case Unavailable(reason=error):
+                return ProposalRefused(reason="table_unavailable", detail=error)
             case _:
                 detail = "the table's answer was lost; see the history before retrying"
                 return ProposalRefused(reason="outcome_unknown", detail=detail)
 
     async def advance_proposal(self) -> None:
-        """Accept or abort the open proposal, whoever proposed it.
+        """Accept or abort the open proposal, whichever controller proposed it.
 
-        A proposer may die at any step, so every controller drives; the head's
-        compare-and-set lets exactly one acceptance through.
+        A proposer may crash at any step, so every controller does this; the
+        compare-and-set on the head lets exactly one acceptance take effect.
         """
         row = self._shared.get(PROPOSAL, ProposalRow)
         if row is None:
             self._first_seen.clear()
             return
         now = self._clock.now()
-        opened = self._first_seen.setdefault(row.value.proposal, now)
+        first_seen = self._first_seen.setdefault(row.value.proposal, now)
         cells = self._shared.with_prefix(CELLS, CellRow)
         decision = decide_proposal(
             proposal=row.value,
             cells=tuple(c.value for c in cells.values()),
             members=tuple(self._membership.members().values()),
-            open_seconds=now - opened,
+            open_seconds=now - first_seen,
             abort_seconds=self._abort_seconds,
         )
         match decision:
@@ -219,13 +226,13 @@
             Check(key=SHARED + HEAD, version=head.version if head else 0),
             Check(key=SHARED + PROPOSAL, version=row_version),
         ]
-        # A cell that moved its epoch meanwhile may have other majorities.
+        # A cell whose epoch has advanced meanwhile may have other majorities.
         checks += [
             Check(key=SHARED + CELLS + name, version=cell.version)
             for name, cell in cells.items()
         ]
         new_head = HeadRow(version=proposal.version, proposal=proposal.proposal)
-        kept = VersionRow(
+        accepted = VersionRow(
             version=proposal.version,
             text=proposal.text,
             author=proposal.author,
@@ -238,7 +245,7 @@
             checks=tuple(checks),
             puts=(
                 Put(key=SHARED + HEAD, value=to_plain(new_head)),
-                Put(key=version_key, value=to_plain(kept)),
+                Put(key=version_key, value=to_plain(accepted)),
             ),
             deletes=(SHARED + PROPOSAL, old_key),
         )
@@ -260,14 +267,14 @@
             return
         declaration = self._parse(row.value.text)
         if declaration is not None:
-            self._applied = Applied(
+            self._applied = AppliedConfiguration(
                 version=version, text=row.value.text, declaration=declaration
             )
 
     def _prepare(self) -> None:
         proposal = self.open_proposal
         if proposal is None or proposal.version <= self._applied.version:
-            self._held = None
+            self._prepared_proposal = None
             return
         if self._parse(proposal.text) is not None:
-            self._held = proposal
+            self._prepared_proposal = proposal
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -1,4 +1,4 @@
-"""Keep this controller's member row and learn who else is alive."""
+"""Renew this controller's member row and track which other members are alive."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -29,11 +29,12 @@
 from mallowpond.state.proposal import next_epoch
 from mallowpond.state.rows import CellRow, HeartbeatRow, MemberRow, MemberState
 
+# Lease times without a heartbeat after which a member is removed from its cell.
 GONE_AFTER_LEASES = 3.0
 
 
 class RenewalResult(str, Enum):
-    """Say how a renewal of the member row ended."""
+    """Result of a renewal; `REPLACED`: the row names another incarnation."""
 
     RENEWED = "renewed"
     FAILED = "failed"
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MemberIdentity:
-    """Name this controller and where it can be reached."""
+    """Name, cell, addresses and incarnation of this controller."""
 
     name: str
     cell: str
@@ -52,7 +53,7 @@
 
 
 class Membership:
-    """Renew the own row, watch the others', and move the cell's epoch on."""
+    """Renews this member's row, tracks the others' and advances the cell's epoch."""
 
     def __init__(
         self,
@@ -74,11 +75,11 @@
         self._watch = ExpiryWatch(lease_seconds=lease_seconds)
         self._gone_watch = ExpiryWatch(lease_seconds=lease_seconds * GONE_AFTER_LEASES)
         self._state = MemberState.JOINING
-        self._counter = 0
+        self._heartbeat_count = 0
         self._joined_at: float | None = None
         self._renewed_at: float | None = None
-        self._last_read_at: float | None = None
-        self._heard: CellRow | None = None
+        self._read_at: float | None = None
+        self._peer_cell: CellRow | None = None
 
     @property
     def identity(self) -> MemberIdentity:
@@ -87,38 +88,38 @@
 
     @property
     def epoch(self) -> int:
-        """Return the latest cell epoch known; 0 before the first."""
+        """Return the latest known epoch of the cell, 0 before the first."""
         known = self.known_cell
         return known.epoch if known else 0
 
     @property
     def known_cell(self) -> CellRow | None:
-        """Return the cell in the latest epoch that was read or heard of."""
+        """Return the cell in its latest epoch, read from the table or by a peer."""
         row = self.cell
         read = row.value if row else None
-        if read is None or (self._heard and self._heard.epoch > read.epoch):
-            return self._heard
+        if read is None or (self._peer_cell and self._peer_cell.epoch > read.epoch):
+            return self._peer_cell
         return read
 
     @property
     def cell(self) -> Versioned[CellRow] | None:
-        """Return the row of this controller's cell."""
+        """Return the row of this controller's cell as last read."""
         return self._shared.get(CELLS + self._identity.cell, CellRow)
 
     @property
     def valid_until(self) -> float:
-        """Return until when leases backed by this row may be acted under."""
+        """Return the time until which leases of this controller are valid."""
         if self._renewed_at is None:
             return 0.0
         return self._renewed_at + self._lease_seconds
 
     def members(self) -> dict[str, MemberRow]:
-        """Return every member row of the cell as last read."""
+        """Return every member row of the cell as last read, by name."""
         rows = self._cell_view.with_prefix(MEMBERS, MemberRow)
         return {name: row.value for name, row in rows.items()}
 
     def live_members(self) -> dict[str, MemberRow]:
-        """Return the members whose heartbeat moves, this one included."""
+        """Return the members, also this one, whose leases have not expired."""
         now = self._clock.now()
         rows = self.members()
         return {
@@ -128,10 +129,10 @@
         }
 
     def is_lease_expired(self, member: str, incarnation: str) -> bool:
-        """Tell whether a lease that this incarnation holds has lapsed.
+        """Return whether a lease held by this incarnation has expired.
 
         An incarnation that was never seen is watched from now on, so that a holder
-        whose row was overwritten still gets its full lease time to stop by itself.
+        whose row was overwritten still has its full lease time to stop by itself.
         """
         now = self._clock.now()
         key = (member, incarnation)
@@ -140,7 +141,7 @@
         return self._watch.is_expired(key, now)
 
     def eligible_owners(self) -> list[str]:
-        """Return the members that may take ownership."""
+        """Return the names of the members that can own leases and duties."""
         return [
             n for n, m in self.live_members().items() if m.state is MemberState.LIVE
         ]
@@ -150,45 +151,48 @@
         return frozenset(g for m in self.live_members().values() for g in m.gateways)
 
     def adopt_cell(self, cell: CellRow) -> None:
-        """Take over a later epoch that a peer has read.
+        """Adopt a later epoch of the cell that a peer has read.
 
-        A table that goes dark while a member is being counted leaves some members an
+        If the table service fails while a member is being added, some members are an
         epoch behind. They would never agree with the rest, and the whole cell would
-        refuse until the table is back.
+        refuse requests until the table service is back.
         """
         if cell.cell == self._identity.cell and cell.epoch > self.epoch:
-            self._heard = cell
+            self._peer_cell = cell
 
     async def refresh(self) -> bool:
-        """Read the cell's rows and note which heartbeats moved."""
+        """Read the cell's rows and record new heartbeats; return whether it could."""
         if not await self._cell_view.refresh():
             return False
         now = self._clock.now()
-        if self._last_read_at is not None:
-            dark = now - self._last_read_at - self._lease_seconds / 2
-            if dark > 0:
-                self._watch.postpone(dark)
-                self._gone_watch.postpone(dark)
-        self._last_read_at = now
-        beats = self._cell_view.with_prefix(HEARTBEATS, HeartbeatRow)
+        if self._read_at is not None:
+            outage = now - self._read_at - self._lease_seconds / 2
+            if outage > 0:
+                self._watch.postpone(outage)
+                self._gone_watch.postpone(outage)
+        self._read_at = now
+        heartbeats = self._cell_view.with_prefix(HEARTBEATS, HeartbeatRow)
         for name, member in self.members().items():
             key = (name, member.incarnation)
-            beat = beats[name].value.n if name in beats else 0
-            self._watch.observe(key, beat, now)
-            self._gone_watch.observe(name, (key, beat), now)
+            heartbeat = heartbeats[name].value.n if name in heartbeats else 0
+            self._watch.observe(key, heartbeat, now)
+            self._gone_watch.observe(name, (key, heartbeat), now)
         return True
 
     async def renew(
         self, *, applied: int, prepared: str, gateways: tuple[str, ...]
     ) -> RenewalResult:
-        """Write the own row; `prepared` is the proposal that is held."""
+        """Write a heartbeat, and the member row if it changed.
+
+        `applied` is the version in force here, `prepared` the proposal prepared here.
+        """
         asked_at = self._clock.now()
         self._advance_state(asked_at)
-        held = self._cell_view.get(MEMBERS + self._identity.name, MemberRow)
-        if self._is_replaced(held):
+        stored = self._cell_view.get(MEMBERS + self._identity.name, MemberRow)
+        if self._is_replaced(stored):
             return RenewalResult.REPLACED
-        row = self._row(applied, prepared, gateways)
-        change = self._renewal(row, held)
+        row = self._make_row(applied, prepared, gateways)
+        change = self._renewal(row, stored)
         outcome = await commit_and_resolve(self._table, change)
         match outcome:
             case Committed():
@@ -202,13 +206,13 @@
                 return RenewalResult.FAILED
 
     async def leave(self, *, applied: int, prepared: str) -> None:
-        """Mark the own row as leaving, so that others take over at once."""
+        """Mark this member as leaving, so that others take over at once."""
         self._state = MemberState.LEAVING
         await self._cell_view.refresh()
         await self.renew(applied=applied, prepared=prepared, gateways=())
 
     async def advance_epoch(self) -> None:
-        """Create the cell's row, or count one member more or less."""
+        """Create the cell's row, or advance its epoch by one member more or less."""
         cell = self.cell
         key = SHARED + CELLS + self._identity.cell
         if cell is None:
@@ -218,54 +222,56 @@
             put = TypedPut(key=key, value=first, expect=0)
             await self._table.commit(transaction(self._draw_id(), put))
             return
-        step = next_epoch(
+        next_cell = next_epoch(
             cell=cell.value,
-            acknowledged=self._noted(cell.value),
+            acknowledged=self._acknowledged(cell.value),
             joining=tuple(self.eligible_owners()),
-            gone=self._gone(cell.value),
+            gone=self._gone_members(cell.value),
         )
-        if step is not None:
-            put = TypedPut(key=key, value=step, expect=cell.version)
+        if next_cell is not None:
+            put = TypedPut(key=key, value=next_cell, expect=cell.version)
             await self._table.commit(transaction(self._draw_id(), put))
 
     def _renewal(
-        self, row: MemberRow, held: Versioned[MemberRow] | None
+        self, row: MemberRow, stored: Versioned[MemberRow] | None
     ) -> Transaction:
-        """Return the next beat, with the member row only where that changed."""
+        """Return the next heartbeat, with the member row only if that changed."""
         prefix = cell_prefix(self._identity.cell)
         name = self._identity.name
-        beat = self._cell_view.get(HEARTBEATS + name, HeartbeatRow)
-        self._counter += 1
+        heartbeat = self._cell_view.get(HEARTBEATS + name, HeartbeatRow)
+        self._heartbeat_count += 1
         puts = [
             TypedPut(
                 key=prefix + HEARTBEATS + name,
-                value=HeartbeatRow(n=self._counter),
-                expect=beat.version if beat else 0,
+                value=HeartbeatRow(n=self._heartbeat_count),
+                expect=heartbeat.version if heartbeat else 0,
             )
         ]
-        if held is None or held.value != row:
+        if stored is None or stored.value != row:
             put = TypedPut(
                 key=prefix + MEMBERS + name,
                 value=row,
-                expect=held.version if held else 0,
+                expect=stored.version if stored else 0,
             )
             puts.append(put)
         return transaction(self._draw_id(), *puts)
 
     def _advance_state(self, now: float) -> None:
-        # A newcomer waits one lease time: whoever held its share before has then
-        # either seen it or let its own leases lapse.
+        # A new member waits one lease time: the former owner of its share has then
+        # either seen it or let its own leases expire.
         if self._state is not MemberState.JOINING or self._joined_at is None:
             return
         if now - self._joined_at >= self._lease_seconds:
             self._state = MemberState.LIVE
 
-    def _is_replaced(self, held: Versioned[MemberRow] | None) -> bool:
-        if held is None or self._joined_at is None:
+    def _is_replaced(self, stored: Versioned[MemberRow] | None) -> bool:
+        if stored is None or self._joined_at is None:
             return False
-        return held.value.incarnation != self._identity.incarnation
+        return stored.value.incarnation != self._identity.incarnation
 
-    def _row(self, applied: int, prepared: str, gateways: tuple[str, ...]) -> MemberRow:
+    def _make_row(
+        self, applied: int, prepared: str, gateways: tuple[str, ...]
+    ) -> MemberRow:
         return MemberRow(
             name=self._identity.name,
             cell=self._identity.cell,
@@ -279,11 +285,11 @@
             gateways=gateways,
         )
 
-    def _noted(self, cell: CellRow) -> frozenset[str]:
+    def _acknowledged(self, cell: CellRow) -> frozenset[str]:
         rows = self.members().values()
         return frozenset(m.name for m in rows if m.epoch == cell.epoch)
 
-    def _gone(self, cell: CellRow) -> tuple[str, ...]:
+    def _gone_members(self, cell: CellRow) -> tuple[str, ...]:
         now = self._clock.now()
         rows = self.members()
         return tuple(
