--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -161,7 +161,7 @@
             self._peer_cell = cell
 
     async def refresh(self) -> bool:
-        """Read the cell's rows and record new heartbeats; return whether it could."""
+        """Read the cell's rows and record new heartbeats; return the success."""
         if not await self._cell_view.refresh():
             return False
         now = self._clock.now()
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the ports: a clock to turn, a table to cut off, engines to break."""
+"""Fakes of the ports with faults to inject, and controllers that run on them."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -34,14 +34,14 @@
 from mallowpond.state.declarations import Declaration, Deployment
 from mallowpond.state.rows import Holder
 
-LEASE = 3.0
-ASSURANCE = 4.0
-ABORT = 10.0
+LEASE_SECONDS = 3.0
+ASSURANCE_SECONDS = 4.0
+ABORT_SECONDS = 10.0
 
 
 @dataclass(kw_only=True)
 class FakeClock:
-    """Stand at a time that only tests move."""
+    """Clock that only tests advance."""
 
     time: float = 1000.0
 
@@ -50,13 +50,16 @@
         return self.time
 
     async def sleep(self, seconds: float) -> None:
-        """Move the time on."""
+        """Advance the time."""
         self.time += seconds
 
 
 @dataclass(kw_only=True)
-class CutTable:
-    """Reach a shared table over a line that can be cut or lose answers."""
+class TableLink:
+    """Link of one controller to a shared table; it can be cut or lose answers.
+
+    `lose_answers` is the number of commits whose answers are still to be lost.
+    """
 
     table: MemoryTable
     cut: bool = False
@@ -64,19 +67,19 @@
     lose_answers: int = 0
 
     async def read(self, key: str) -> Row | None | Unavailable:
-        """Read unless cut off."""
+        """Read unless the link is cut."""
         if self.cut or self.reads_cut:
             return Unavailable(reason="cut")
         return await self.table.read(key)
 
     async def scan(self, prefix: str, since: int = 0) -> Scanned | Unavailable:
-        """Scan unless cut off."""
+        """Scan unless the link is cut."""
         if self.cut or self.reads_cut:
             return Unavailable(reason="cut")
         return await self.table.scan(prefix, since)
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Commit unless cut off; the answer may be lost."""
+        """Commit unless the link is cut; the answer may be lost."""
         if self.cut:
             return Unavailable(reason="cut")
         outcome = await self.table.commit(transaction)
@@ -88,12 +91,12 @@
 
 @dataclass(kw_only=True)
 class RecordingTable(MemoryTable):
-    """Remember every row that was ever committed."""
+    """Table that records every row ever committed."""
 
     written: list[Put] = field(default_factory=list)
 
     def apply(self, transaction: Transaction) -> Committed | Conflict:
-        """Apply a transaction and remember its rows."""
+        """Apply a transaction and record its rows."""
         outcome = super().apply(transaction)
         if isinstance(outcome, Committed):
             self.written += transaction.puts
@@ -102,19 +105,19 @@
 
 @dataclass(kw_only=True)
 class FakeEngine:
-    """Hold what one engine was last ordered."""
+    """Engine that carries out its last order at once."""
 
     host: str
     incarnation: str = "1"
     checks_fencing: bool = True
     silent: bool = False
-    loads: bool = True
+    can_load: bool = True
     in_flight: int = 0
     fence: int = 0
     order: Order | None = None
 
-    def take(self, order: Order) -> OrderResult:
-        """Carry out an order."""
+    def execute(self, order: Order) -> OrderResult:
+        """Carry out an order, or refuse it by its fencing number."""
         if self.checks_fencing and order.fence < self.fence:
             return OrderRefused(reason="old fence")
         self.fence = max(self.fence, order.fence)
@@ -122,55 +125,55 @@
         return OrderAccepted()
 
     def status(self) -> EngineStatus:
-        """Report the place held."""
-        base = EngineStatus(
+        """Return the status after the last order."""
+        status = EngineStatus(
             host=self.host, incarnation=self.incarnation, in_flight=self.in_flight
         )
         if self.order is None:
-            return base
-        base = replace(base, order=self.order.order)
+            return status
+        status = replace(status, order=self.order.order)
         if self.order.action is OrderAction.UNLOAD:
-            return base
+            return status
         return replace(
-            base,
+            status,
             group=self.order.group,
             generation=self.order.generation,
-            loaded=self.loads,
+            loaded=self.can_load,
         )
 
-    def restart(self, *, keeps_place: bool = False) -> None:
-        """Come back under a new incarnation, with nothing loaded unless told so."""
+    def restart(self, *, keeps_placement: bool = False) -> None:
+        """Restart in a new incarnation, unloaded unless `keeps_placement`."""
         self.incarnation = str(int(self.incarnation) + 1)
         self.fence = 0
-        if not keeps_place:
+        if not keeps_placement:
             self.order = None
 
 
 @dataclass(kw_only=True)
 class FakeEngines:
-    """Reach engines by address, which is their host's name."""
+    """Fake engines by address, which is the name of their host."""
 
     engines: dict[str, FakeEngine] = field(default_factory=dict)
-    log: list[tuple[str, Order]] = field(default_factory=list)
+    sent_orders: list[tuple[str, Order]] = field(default_factory=list)
 
     async def order(self, address: str, order: Order) -> OrderResult:
-        """Hand an order to an engine."""
-        self.log.append((address, order))
-        return self.engines[address].take(order)
+        """Record an order and pass it to the engine."""
+        self.sent_orders.append((address, order))
+        return self.engines[address].execute(order)
 
     async def status(self, address: str) -> EngineStatus | Unavailable:
-        """Ask an engine."""
+        """Return the status of an engine, unless it is silent."""
         engine = self.engines[address]
         return Unavailable(reason="silent") if engine.silent else engine.status()
 
 
 @dataclass(kw_only=True)
-class Node:
-    """Hold one controller's parts, stepped by hand."""
+class FakeController:
+    """The parts of one controller, which tests run step by step."""
 
     name: str
     clock: FakeClock
-    line: CutTable
+    table_link: TableLink
     shared: TableView
     membership: Membership
     configuration: Configuration
@@ -179,7 +182,7 @@
     groups: GroupManager
 
     async def step(self) -> None:
-        """Do what the table loop does once."""
+        """Run one iteration of the controller's table loop."""
         asked_at = self.clock.now()
         if not await self.shared.refresh() or not await self.membership.refresh():
             return
@@ -197,21 +200,21 @@
         )
 
     async def plan(self, declaration: Declaration, hosts: tuple[Host, ...]) -> None:
-        """Look at the engines and plan once."""
+        """Poll the engines and plan once."""
         await self.watch.poll(hosts)
         await self.groups.tick(declaration=declaration, hosts=hosts)
 
-    def ask(self, peer: "Node", delay: float = 0.0) -> None:
-        """Ask a peer for its view, which takes `delay` seconds to come."""
+    def ask(self, peer: "FakeController", delay: float = 0.0) -> None:
+        """Query a peer; its answer arrives after `delay` seconds."""
         asked_at = self.clock.now()
-        vouch, cell = peer.vouch(asked_at), peer.membership.known_cell
+        answer, cell = peer.make_peer_answer(asked_at), peer.membership.known_cell
         self.clock.time += delay
         if cell is not None:
             self.membership.adopt_cell(cell)
-        self.configuration.record_peer_answer(vouch)
+        self.configuration.record_peer_answer(answer)
 
-    def vouch(self, asked_at: float) -> PeerAnswer:
-        """Answer a peer as the link service does."""
+    def make_peer_answer(self, asked_at: float) -> PeerAnswer:
+        """Return the answer to a peer, as the link service does."""
         read = self.configuration.head_read
         return PeerAnswer(
             member=self.name,
@@ -230,17 +233,17 @@
     engines: FakeEngines | None = None,
     incarnation: str = "1",
     seed: int = 1,
-) -> Node:
-    """Build one controller's parts on fakes."""
+) -> FakeController:
+    """Build the parts of one controller on fakes."""
     rng = random.Random(f"{name}/{incarnation}/{seed}")
-    line = CutTable(table=table)
-    shared = TableView(table=line, prefix=SHARED)
+    table_link = TableLink(table=table)
+    shared = TableView(table=table_link, prefix=SHARED)
     identity = MemberIdentity(
         name=name, cell="ub", address="", operator_address="", incarnation=incarnation
     )
-    common = {"table": line, "clock": clock, "shared": shared}
+    common = {"table": table_link, "clock": clock, "shared": shared}
     common["draw_id"] = lambda: new_id(rng)
-    membership = Membership(identity=identity, lease_seconds=LEASE, **common)
+    membership = Membership(identity=identity, lease_seconds=LEASE_SECONDS, **common)
     lease = NamedLease(name="planner", membership=membership, **common)
     watch = EngineWatch(
         engines=engines or FakeEngines(), clock=clock, silent_seconds=2.0
@@ -248,17 +251,17 @@
     holder = Holder(
         member=name, incarnation=incarnation, host=f"entry-{name}", host_incarnation="1"
     )
-    return Node(
+    return FakeController(
         name=name,
         clock=clock,
-        line=line,
+        table_link=table_link,
         shared=shared,
         membership=membership,
         configuration=Configuration(
             membership=membership,
             parse=parse_document,
-            assurance_seconds=ASSURANCE,
-            abort_seconds=ABORT,
+            assurance_seconds=ASSURANCE_SECONDS,
+            abort_seconds=ABORT_SECONDS,
             **common,
         ),
         lease=lease,
@@ -274,25 +277,31 @@
     )
 
 
-async def settle(*nodes: Node, seconds: float = LEASE * 3) -> None:
-    """Step every node each half second until all are counted members."""
+async def step_all(
+    *controllers: FakeController, seconds: float = LEASE_SECONDS * 3
+) -> None:
+    """Step every controller each half second, by default until all are members."""
     for _ in range(int(seconds * 2)):
-        for node in nodes:
-            await node.step()
-        nodes[0].clock.time += 0.5
+        for controller in controllers:
+            await controller.step()
+        controllers[0].clock.time += 0.5
 
 
 def configuration_text(*deployments: Deployment) -> str:
-    """Return a configuration text that declares these deployments."""
+    """Return the text of a configuration with these deployments."""
     lines = []
-    for one in deployments:
-        lines += ["[[deployments]]", f'name = "{one.name}"', f'model = "{one.model}"']
-        lines += [f"replicas = {one.replicas}"]
-        lines += [f"hosts_per_group = {one.hosts_per_group}"]
+    for deployment in deployments:
+        lines += [
+            "[[deployments]]",
+            f'name = "{deployment.name}"',
+            f'model = "{deployment.model}"',
+        ]
+        lines += [f"replicas = {deployment.replicas}"]
+        lines += [f"hosts_per_group = {deployment.hosts_per_group}"]
     return Document(source="\n".join(lines)).encode()
 
 
-def listed(*names: str, domain: str = "a") -> tuple[Host, ...]:
+def make_hosts(*names: str, domain: str = "a") -> tuple[Host, ...]:
     """Return hosts of one domain whose addresses are their names."""
     return tuple(
         Host(
--- a/mallowpond/coordination/tests/test_configuration.py
+++ b/mallowpond/coordination/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: everywhere or not at all, and never back."""
+"""A configuration change takes effect on all controllers or none, never backwards."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 
 from mallowpond.coordination.configuration import ProposalRefused, Proposed
 from mallowpond.coordination.tests.fakes import (
-    ABORT,
-    ASSURANCE,
+    ABORT_SECONDS,
+    ASSURANCE_SECONDS,
     FakeClock,
     configuration_text,
     make_controller,
-    settle,
+    step_all,
 )
 from mallowpond.standins.platform import MemoryTable
 from mallowpond.state.assurance import Assured, NotAssured, Source
@@ -22,228 +22,233 @@
 TEXT = configuration_text()
 
 
-async def three_nodes():
+async def three_controllers():
     table, clock = MemoryTable(), FakeClock()
-    nodes = [make_controller(name, table, clock) for name in "abc"]
-    await settle(*nodes)
-    assert nodes[0].membership.cell.value.members == ("a", "b", "c")
-    return table, clock, nodes
+    controllers = [make_controller(name, table, clock) for name in "abc"]
+    await step_all(*controllers)
+    assert controllers[0].membership.cell.value.members == ("a", "b", "c")
+    return table, clock, controllers
 
 
-def exchange(*nodes):
-    """Let each node ask each other once."""
-    for asker in nodes:
-        for peer in nodes:
+def query_each_other(*controllers):
+    """Let each controller query each other once."""
+    for asker in controllers:
+        for peer in controllers:
             if peer is not asker:
                 asker.ask(peer)
 
 
-async def propose(node, expect=0, text=TEXT):
-    return await node.configuration.propose(
-        text=text, expect_version=expect, author=node.name
+async def propose(controller, expect=0, text=TEXT):
+    return await controller.configuration.propose(
+        text=text, expect_version=expect, author=controller.name
     )
 
 
-def versions(nodes):
-    return [n.configuration.applied.version for n in nodes]
+def versions(controllers):
+    return [n.configuration.applied.version for n in controllers]
 
 
 async def test_change_takes_effect_on_every_node():
-    _, _, nodes = await three_nodes()
-    assert isinstance(await propose(nodes[0]), Proposed)
-    await settle(*nodes, seconds=1.5)
-    assert versions(nodes) == [1, 1, 1]
+    _, _, controllers = await three_controllers()
+    assert isinstance(await propose(controllers[0]), Proposed)
+    await step_all(*controllers, seconds=1.5)
+    assert versions(controllers) == [1, 1, 1]
 
 
 async def test_of_two_racing_operators_one_wins_and_the_other_is_told():
+    """An operator's change must not be undone silently.
+
+    Two operators propose on top of the same version through two controllers. Unless the
+    transaction checks that no proposal is open, the later one overwrites the earlier.
     """
-    Symptom: an operator's change is silently undone.
-    Events: two operators propose on top of the same version through two controllers.
-    Cause: without one open proposal, checked in the transaction, the later one wins.
-    """
-    _, _, nodes = await three_nodes()
-    first = await propose(nodes[0])
-    second = await propose(nodes[1])
+    _, _, controllers = await three_controllers()
+    first = await propose(controllers[0])
+    second = await propose(controllers[1])
     assert isinstance(first, Proposed)
     assert second.reason == "lost_race"
-    await settle(*nodes, seconds=1.5)
-    late = await propose(nodes[1], expect=0)
+    await step_all(*controllers, seconds=1.5)
+    late = await propose(controllers[1], expect=0)
     assert late.reason == "version_moved"
 
 
 async def test_lost_answer_to_the_proposal_is_settled_by_reading():
-    _, _, nodes = await three_nodes()
-    nodes[0].line.lose_answers = 1
-    assert isinstance(await propose(nodes[0]), Proposed)
+    _, _, controllers = await three_controllers()
+    controllers[0].table_link.lose_answers = 1
+    assert isinstance(await propose(controllers[0]), Proposed)
 
 
 @pytest.mark.parametrize("steps_before_death", [0, 1, 2, 3])
 async def test_dead_proposers_change_is_finished_by_others(steps_before_death):
+    """A proposal whose proposer crashed must not stay open.
+
+    The proposer crashes after proposing, after preparing or while accepting. If only
+    the proposer could finish it, no further change could be made, or half of the
+    controllers would keep a new version.
     """
-    Symptom: no change can be made any more, or half the nodes hold a new version.
-    Events: the proposer dies after proposing, preparing or while accepting.
-    Cause: if only the proposer drove its proposal, it would stay open for ever.
-    """
-    _, clock, nodes = await three_nodes()
-    await propose(nodes[0])
+    _, clock, controllers = await three_controllers()
+    await propose(controllers[0])
     for _ in range(steps_before_death):
-        await nodes[0].step()
-    alive = nodes[1:]
-    await settle(*alive, seconds=ABORT + 2)
+        await controllers[0].step()
+    alive = controllers[1:]
+    await step_all(*alive, seconds=ABORT_SECONDS + 2)
     assert versions(alive) == [1, 1]
-    assert nodes[1].configuration.open_proposal is None
+    assert controllers[1].configuration.open_proposal is None
 
 
 async def test_change_without_a_majority_is_aborted_and_leaves_no_trace():
-    table, clock, nodes = await three_nodes()
-    await propose(nodes[0])
-    nodes[1].line.cut = nodes[2].line.cut = True
-    # The two are cut off right away, so the cell cannot move its epoch either.
-    await settle(nodes[0], seconds=ABORT + 2)
-    assert nodes[0].configuration.open_proposal is None
-    assert versions(nodes) == [0, 0, 0]
+    table, clock, controllers = await three_controllers()
+    await propose(controllers[0])
+    controllers[1].table_link.cut = controllers[2].table_link.cut = True
+    # The two are cut off at once, so the cell cannot advance its epoch either.
+    await step_all(controllers[0], seconds=ABORT_SECONDS + 2)
+    assert controllers[0].configuration.open_proposal is None
+    assert versions(controllers) == [0, 0, 0]
 
 
 async def test_member_frozen_over_the_acceptance_refuses_until_it_has_read():
+    """A controller must not serve on a version that was replaced.
+
+    A member is paused, a change is accepted, and the member resumes. By its own clock,
+    its last read is then older than the assurance limit.
     """
-    Symptom: a node serves on a version that was replaced.
-    Events: a member freezes, a change is accepted, the member wakes.
-    Cause: its knowledge is older than the limit, counted on its own clock.
-    """
-    _, clock, nodes = await three_nodes()
-    frozen, alive = nodes[0], nodes[1:]
+    _, clock, controllers = await three_controllers()
+    paused, alive = controllers[0], controllers[1:]
     await propose(alive[0])
-    await settle(*alive, seconds=ASSURANCE + 1)
+    await step_all(*alive, seconds=ASSURANCE_SECONDS + 1)
     assert versions(alive) == [1, 1]
-    assert isinstance(frozen.configuration.assurance(), NotAssured)
-    await frozen.step()
-    assert frozen.configuration.assurance().version == 1
+    assert isinstance(paused.configuration.assurance(), NotAssured)
+    await paused.step()
+    assert paused.configuration.assurance().version == 1
 
 
 async def test_service_goes_on_through_a_long_outage_of_the_table():
-    table, clock, nodes = await three_nodes()
-    for node in nodes:
-        node.line.cut = True
+    table, clock, controllers = await three_controllers()
+    for controller in controllers:
+        controller.table_link.cut = True
     for _ in range(600):
         clock.time += 1.0
-        exchange(*nodes)
-    for node in nodes:
-        verdict = node.configuration.assurance()
+        query_each_other(*controllers)
+    for controller in controllers:
+        verdict = controller.configuration.assurance()
         assert isinstance(verdict, Assured)
         assert verdict.source is Source.CELL_MAJORITY
 
 
 async def test_table_that_goes_dark_while_a_member_is_counted_stops_nobody():
+    """Gateways must not refuse requests for as long as the table is unreachable.
+
+    A member joins, one controller reads the new epoch, and the table becomes
+    unreachable. The others stayed an epoch behind, so they agreed with no peer.
     """
-    Symptom: every gateway refuses for as long as the table is dark.
-    Events: a member joins; one node reads the new epoch; the table goes dark.
-    Cause: the others stayed an epoch behind and agreed with nobody.
-    """
-    table, clock, nodes = await three_nodes()
+    table, clock, controllers = await three_controllers()
     fourth = make_controller("d", table, clock)
-    while nodes[0].membership.epoch < 4:
-        await settle(fourth, nodes[0], seconds=0.5)
-    assert nodes[1].membership.epoch < 4
-    everyone = [*nodes, fourth]
-    for node in everyone:
-        node.line.cut = True
-    clock.time += ASSURANCE + 1
-    exchange(*everyone)
-    exchange(*everyone)
-    verdicts = [n.configuration.assurance() for n in everyone]
+    while controllers[0].membership.epoch < 4:
+        await step_all(fourth, controllers[0], seconds=0.5)
+    assert controllers[1].membership.epoch < 4
+    all_controllers = [*controllers, fourth]
+    for controller in all_controllers:
+        controller.table_link.cut = True
+    clock.time += ASSURANCE_SECONDS + 1
+    query_each_other(*all_controllers)
+    query_each_other(*all_controllers)
+    verdicts = [n.configuration.assurance() for n in all_controllers]
     assert all(isinstance(v, Assured) for v in verdicts)
 
 
 async def test_node_cut_from_table_and_peers_refuses():
-    _, clock, nodes = await three_nodes()
-    nodes[0].line.cut = True
-    clock.time += ASSURANCE + 0.1
-    exchange(*nodes[1:])
-    assert isinstance(nodes[0].configuration.assurance(), NotAssured)
+    _, clock, controllers = await three_controllers()
+    controllers[0].table_link.cut = True
+    clock.time += ASSURANCE_SECONDS + 0.1
+    query_each_other(*controllers[1:])
+    assert isinstance(controllers[0].configuration.assurance(), NotAssured)
 
 
 async def test_majority_without_the_table_takes_the_minoritys_word():
+    """A majority must not outvote the one member that has read a newer version.
+
+    Two of three members lose the table; the third still reads it and applies a change.
+    A majority may confirm a version only while no member can read the table.
     """
-    Symptom: the majority outvotes the one member that has read a newer version.
-    Events: two of three lose the table; the third reads on and applies a change.
-    Cause: a majority may speak only for a table that is dark for all.
-    """
-    _, clock, nodes = await three_nodes()
-    await propose(nodes[2])
-    await settle(*nodes, seconds=0.5)
-    nodes[0].line.cut = nodes[1].line.cut = True
+    _, clock, controllers = await three_controllers()
+    await propose(controllers[2])
+    await step_all(*controllers, seconds=0.5)
+    controllers[0].table_link.cut = controllers[1].table_link.cut = True
     for _ in range(20):
         clock.time += 0.5
-        await nodes[2].step()
-        exchange(*nodes)
-    newest = nodes[2].configuration.applied.version
-    for node in nodes:
-        verdict = node.configuration.assurance()
+        await controllers[2].step()
+        query_each_other(*controllers)
+    newest = controllers[2].configuration.applied.version
+    for controller in controllers:
+        verdict = controller.configuration.assurance()
         if isinstance(verdict, Assured):
             assert verdict.version == newest
 
 
 async def test_outage_between_prepare_and_accept_makes_nobody_vouch():
-    _, clock, nodes = await three_nodes()
-    await propose(nodes[0])
-    for node in nodes:
+    _, clock, controllers = await three_controllers()
+    await propose(controllers[0])
+    for controller in controllers:
         asked_at = clock.now()
-        await node.shared.refresh()
-        node.configuration.after_read(asked_at)
-        node.line.cut = True
-    clock.time += ASSURANCE + 1
-    exchange(*nodes)
-    verdicts = [n.configuration.assurance() for n in nodes]
+        await controller.shared.refresh()
+        controller.configuration.after_read(asked_at)
+        controller.table_link.cut = True
+    clock.time += ASSURANCE_SECONDS + 1
+    query_each_other(*controllers)
+    verdicts = [n.configuration.assurance() for n in controllers]
     assert all(isinstance(v, NotAssured) for v in verdicts)
 
 
 async def test_restarted_member_vouches_for_nothing_before_it_has_read():
-    table, clock, nodes = await three_nodes()
-    reborn = make_controller("b", table, clock, incarnation="2")
-    nodes[0].line.cut = nodes[2].line.cut = True
-    clock.time += ASSURANCE + 1
-    nodes[0].configuration.record_peer_answer(reborn.vouch(clock.now()))
-    assert isinstance(nodes[0].configuration.assurance(), NotAssured)
+    table, clock, controllers = await three_controllers()
+    restarted = make_controller("b", table, clock, incarnation="2")
+    controllers[0].table_link.cut = controllers[2].table_link.cut = True
+    clock.time += ASSURANCE_SECONDS + 1
+    controllers[0].configuration.record_peer_answer(
+        restarted.make_peer_answer(clock.now())
+    )
+    assert isinstance(controllers[0].configuration.assurance(), NotAssured)
 
 
 async def test_bad_text_is_prepared_by_nobody():
-    _, _, nodes = await three_nodes()
-    await propose(nodes[0], text='{"source": "[[deployments]]"}')
-    await settle(*nodes, seconds=ABORT + 2)
-    assert versions(nodes) == [0, 0, 0]
-    assert nodes[0].configuration.open_proposal is None
+    _, _, controllers = await three_controllers()
+    await propose(controllers[0], text='{"source": "[[deployments]]"}')
+    await step_all(*controllers, seconds=ABORT_SECONDS + 2)
+    assert versions(controllers) == [0, 0, 0]
+    assert controllers[0].configuration.open_proposal is None
 
 
 async def test_refused_proposal_names_the_version_in_force():
-    _, _, nodes = await three_nodes()
-    refused = await propose(nodes[0], expect=5)
+    _, _, controllers = await three_controllers()
+    refused = await propose(controllers[0], expect=5)
     assert isinstance(refused, ProposalRefused)
     assert "version 0 is in force" in refused.detail
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Explore nodes that lose the table, freeze, restart, are replaced and ask peers.
+    """Controllers lose the table, pause, restart, are replaced and query peers.
 
-    The promise: a node that is assured of a version knows every version that was
-    accepted more than the assurance time ago.
+    The invariant: a controller that is assured of a version knows every version that
+    was accepted longer ago than the assurance time.
     """
 
     def __init__(self):
         super().__init__()
         self.table, self.clock = MemoryTable(), FakeClock()
-        self.nodes = {n: make_controller(n, self.table, self.clock) for n in "abc"}
+        self.controllers = {
+            n: make_controller(n, self.table, self.clock) for n in "abc"
+        }
         self.incarnations = dict.fromkeys("abcd", 1)
         self.accepted = []
         self.expect = 0
         self.loop = asyncio.new_event_loop()
-        self.run(settle(*self.nodes.values()))
+        self.run(step_all(*self.controllers.values()))
 
-    def run(self, work):
-        result = self.loop.run_until_complete(work)
-        self.note_accepted()
+    def run(self, coroutine):
+        result = self.loop.run_until_complete(coroutine)
+        self.record_accepted()
         return result
 
-    def note_accepted(self):
+    def record_accepted(self):
         row = self.table._rows.get("shared/config/head")
         version = row.value["version"] if row else 0
         if version > len(self.accepted):
@@ -256,43 +261,46 @@
 
     @rule(name=names)
     def step(self, name):
-        self.run(self.nodes[name].step())
+        self.run(self.controllers[name].step())
 
     @rule(name=names)
     def read_only(self, name):
-        """A node reads and freezes before it writes anything."""
-        node = self.nodes[name]
+        """A controller reads, and pauses before it writes anything."""
+        controller = self.controllers[name]
 
         async def read():
             asked_at = self.clock.now()
-            if await node.shared.refresh() and await node.membership.refresh():
-                node.configuration.after_read(asked_at)
+            if (
+                await controller.shared.refresh()
+                and await controller.membership.refresh()
+            ):
+                controller.configuration.after_read(asked_at)
 
         self.run(read())
 
     @rule(name=names)
     def propose(self, name):
-        self.run(propose(self.nodes[name], expect=len(self.accepted)))
+        self.run(propose(self.controllers[name], expect=len(self.accepted)))
 
     @rule(name=names, cut=st.booleans())
     def cut(self, name, cut):
-        self.nodes[name].line.cut = cut
+        self.controllers[name].table_link.cut = cut
 
     @rule(asker=names, peer=names, delay=st.sampled_from([0.0, 1.0, 3.0]))
     def ask(self, asker, peer, delay):
         if asker == peer:
             return
-        self.nodes[asker].ask(self.nodes[peer], delay)
+        self.controllers[asker].ask(self.controllers[peer], delay)
 
     @rule(name=names)
     def restart(self, name):
         self.incarnations[name] += 1
         incarnation = str(self.incarnations[name])
-        cut = self.nodes[name].line.cut
-        self.nodes[name] = make_controller(
+        cut = self.controllers[name].table_link.cut
+        self.controllers[name] = make_controller(
             name, self.table, self.clock, incarnation=incarnation
         )
-        self.nodes[name].line.cut = cut
+        self.controllers[name].table_link.cut = cut
 
     @rule(seconds=st.sampled_from([0.5, 2.0, 5.0, 12.0]))
     def wait(self, seconds):
@@ -300,16 +308,16 @@
 
     @rule()
     def everyone_steps(self):
-        self.run(settle(*self.nodes.values(), seconds=1.0))
+        self.run(step_all(*self.controllers.values(), seconds=1.0))
 
     @invariant()
     def assured_nodes_know_what_was_accepted(self):
         now = self.clock.now()
-        due = sum(now - at > ASSURANCE for at in self.accepted)
-        for node in self.nodes.values():
-            verdict = node.configuration.assurance()
+        due = sum(now - at > ASSURANCE_SECONDS for at in self.accepted)
+        for controller in self.controllers.values():
+            verdict = controller.configuration.assurance()
             if isinstance(verdict, Assured):
-                assert verdict.version >= due, (node.name, verdict, self.accepted)
+                assert verdict.version >= due, (controller.name, verdict, self.accepted)
 
 
 TestConfigurationMachine = ConfigurationMachine.TestCase
--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Groups: whole or not serving, and no host in two."""
+"""A group serves only when complete, and no host is in two groups."""
 
 import pytest
 from hypothesis import settings
@@ -7,14 +7,14 @@
 
 from mallowpond.coordination.ports import HostState, OrderAction
 from mallowpond.coordination.tests.fakes import (
-    LEASE,
+    LEASE_SECONDS,
     FakeClock,
     FakeEngine,
     FakeEngines,
     RecordingTable,
-    listed,
     make_controller,
-    settle,
+    make_hosts,
+    step_all,
 )
 from mallowpond.state.declarations import Declaration, Deployment
 from mallowpond.state.rows import GroupState
@@ -23,53 +23,53 @@
 
 
 def declaration(replicas=1, size=3, checks_fencing=True):
-    one = Deployment(
+    deployment = Deployment(
         name="meteor",
         model="m",
         replicas=replicas,
         hosts_per_group=size,
         checks_fencing=checks_fencing,
     )
-    return Declaration(deployments=(one,))
+    return Declaration(deployments=(deployment,))
 
 
 class Site:
-    """Hold controllers, engines and the clock of one test."""
+    """Controllers, engines, hosts and the clock of one test."""
 
     def __init__(self, *, controllers="a", checks_fencing=True, size=3, replicas=1):
         self.clock, self.table = FakeClock(), RecordingTable()
         engines = {h: FakeEngine(host=h, checks_fencing=checks_fencing) for h in HOSTS}
         self.engines = FakeEngines(engines=engines)
-        self.nodes = [
+        self.controllers = [
             make_controller(n, self.table, self.clock, self.engines)
             for n in controllers
         ]
         self.declaration = declaration(replicas, size, checks_fencing)
-        self.hosts = listed(*HOSTS) + listed("entry-a", "entry-b", domain="")
+        self.hosts = make_hosts(*HOSTS) + make_hosts("entry-a", "entry-b", domain="")
 
     async def start(self):
-        await settle(*self.nodes)
+        await step_all(*self.controllers)
         return self
 
-    async def tick(self, *nodes, times=1, seconds=0.5):
+    async def tick(self, *controllers, times=1, seconds=0.5):
         for _ in range(times):
-            for node in nodes or self.nodes:
-                await node.step()
-                await node.plan(self.declaration, self.hosts)
+            for controller in controllers or self.controllers:
+                await controller.step()
+                await controller.plan(self.declaration, self.hosts)
             self.clock.time += seconds
 
-    async def until_ordered(self):
-        """Tick until the first load orders went out."""
-        while not self.engines.log:
+    async def tick_until_ordered(self):
+        """Tick until the first load orders are sent."""
+        while not self.engines.sent_orders:
             await self.tick()
 
     @property
     def owner(self):
-        return next(n for n in self.nodes if n.lease.current)
+        return next(n for n in self.controllers if n.lease.current)
 
     @property
     def groups(self):
-        return list(self.nodes[0].groups.groups().values())
+        return list(self.controllers[0].groups.groups().values())
 
     def states(self):
         return [g.state for g in self.groups]
@@ -77,13 +77,13 @@
 
 async def test_group_is_ready_only_when_every_member_has_confirmed():
     site = await Site().start()
-    site.engines.engines["h1"].loads = False
+    site.engines.engines["h1"].can_load = False
     await site.tick(times=8)
     assert site.states() == [GroupState.LOADING]
-    # Not even between two steps was it ever called ready.
+    # It was never stored as ready, not even between two steps.
     written = [p.value["state"] for p in site.table.written if "/group/" in p.key]
     assert "ready" not in written
-    site.engines.engines["h1"].loads = True
+    site.engines.engines["h1"].can_load = True
     await site.tick(times=3)
     assert site.states() == [GroupState.READY]
 
@@ -104,7 +104,7 @@
 
 
 async def returns_claiming_its_old_place(engine):
-    engine.restart(keeps_place=True)
+    engine.restart(keeps_placement=True)
 
 
 async def loses_its_place(engine):
@@ -116,23 +116,23 @@
 )
 @pytest.mark.parametrize("phase", ["forming", "loading", "ready"])
 async def test_lost_member_is_replaced_and_the_group_waits_for_all(fault, phase):
-    """
-    Symptom: a group serves with a member that holds nothing.
-    Events: a member dies or restarts while forming, loading or serving.
-    Cause: READY looked at the number of hosts and not at who confirmed what.
+    """A group must not serve with a member that has nothing loaded.
+
+    A member dies or restarts while its group forms, loads or serves. READY depended on
+    the number of hosts and not on what each member confirmed.
     """
     site = await Site().start()
-    await site.until_ordered()
+    await site.tick_until_ordered()
     (group,) = site.groups
     lost = site.engines.engines[group.hosts[1]]
-    lost.loads = phase == "ready"
+    lost.can_load = phase == "ready"
     await site.tick(times={"forming": 0, "loading": 2, "ready": 4}[phase])
     assert (site.states() == [GroupState.READY]) == (phase == "ready")
     await fault(lost)
     await site.tick(times=1)
-    age = site.nodes[0].watch.confirmed_age(site.groups[0])
+    age = site.controllers[0].watch.confirmed_age(site.groups[0])
     assert age is None or age >= 0.5
-    lost.loads = True
+    lost.can_load = True
     await site.tick(times=12)
     (repaired,) = site.groups
     assert repaired.state is GroupState.READY
@@ -159,16 +159,16 @@
 async def test_sight_of_a_group_ends_when_a_member_returns_as_another():
     site = await ready_site()
     (group,) = site.groups
-    site.engines.engines["h1"].restart(keeps_place=True)
+    site.engines.engines["h1"].restart(keeps_placement=True)
     await site.owner.watch.poll(site.hosts)
     assert site.owner.watch.confirmed_age(group) is None
 
 
 async def test_group_that_waits_for_its_lost_member_is_not_ready():
-    """
-    Symptom: a group with a dead member is counted as serving; its downtime is not.
-    Events: a member dies and its domain has no replacement. Cause: the row stayed
-    READY until a repair could be planned.
+    """A group with a dead member must count as down and not as serving.
+
+    A member dies and its domain has no replacement. The row stayed READY until a repair
+    could be planned.
     """
     site = await ready_site(size=5)
     (group,) = site.groups
@@ -190,17 +190,17 @@
         engine.silent = True
 
 
-@pytest.mark.parametrize("blindness", [empty_list, everyone_silent])
-async def test_planner_that_sees_nobody_takes_no_group_apart(blindness):
-    """
-    Symptom: every group is deleted at once, and has to be loaded anew.
-    Events: a planner has not read the host list yet, or is cut off from the engines.
-    Cause: a group none of whose members can be seen was taken for one without members.
+@pytest.mark.parametrize("outage", [empty_list, everyone_silent])
+async def test_planner_that_sees_nobody_takes_no_group_apart(outage):
+    """A planner must not delete every group at once, since all must then load again.
+
+    The planner has not read the host list yet, or is cut off from the engines. A group
+    with no visible member was treated as one without members.
     """
     site = await ready_site()
     before = site.groups
     hosts = site.hosts
-    await blindness(site)
+    await outage(site)
     await site.tick(times=10)
     assert [g.hosts for g in site.groups] == [g.hosts for g in before]
     site.hosts = hosts
@@ -225,9 +225,9 @@
 
 async def test_owner_frozen_during_assembly_is_taken_over():
     site = await Site(controllers="ab").start()
-    await site.until_ordered()
-    frozen = site.owner
-    (other,) = [n for n in site.nodes if n is not frozen]
+    await site.tick_until_ordered()
+    paused = site.owner
+    (other,) = [n for n in site.controllers if n is not paused]
     await site.tick(other, times=20)
     assert other.lease.current
     groups = list(other.groups.groups().values())
@@ -235,187 +235,204 @@
 
 
 async def test_owner_whose_lease_lapsed_writes_and_sends_nothing():
-    """
-    Symptom: two planners order the same hosts.
-    Events: the owner freezes for longer than the lease and wakes mid-step.
-    Cause: it went by the lease row, which it had not read again.
+    """Two planners must not send orders to the same hosts.
+
+    The owner is paused for longer than the lease and resumes in the middle of a step.
+    It relied on the lease row, which it had not read again.
     """
     site = await Site(controllers="ab").start()
-    await site.until_ordered()
-    frozen = site.owner
-    (other,) = [n for n in site.nodes if n is not frozen]
-    site.clock.time += LEASE
+    await site.tick_until_ordered()
+    paused = site.owner
+    (other,) = [n for n in site.controllers if n is not paused]
+    site.clock.time += LEASE_SECONDS
     await site.tick(other, times=16)
-    sent, commits = len(site.engines.log), site.table.version
-    await frozen.plan(site.declaration, site.hosts)
-    assert len(site.engines.log) == sent
+    sent, commits = len(site.engines.sent_orders), site.table.version
+    await paused.plan(site.declaration, site.hosts)
+    assert len(site.engines.sent_orders) == sent
     assert site.table.version == commits
 
 
 async def test_table_refuses_an_older_holders_write():
     site = await Site(controllers="ab").start()
-    await site.until_ordered()
-    frozen = site.owner
-    (other,) = [n for n in site.nodes if n is not frozen]
+    await site.tick_until_ordered()
+    paused = site.owner
+    (other,) = [n for n in site.controllers if n is not paused]
     await site.tick(other, times=16)
-    # The worst case: the old holder believes that its lease is still good.
-    frozen.membership._renewed_at = site.clock.now()
+    # The worst case: the former holder considers its lease still valid.
+    paused.membership._renewed_at = site.clock.now()
     before = {k: r.version for k, r in site.table._rows.items() if "/host/" in k}
-    await frozen.plan(site.declaration, site.hosts)
+    await paused.plan(site.declaration, site.hosts)
     after = {k: r.version for k, r in site.table._rows.items() if "/host/" in k}
     assert after == before
 
 
 async def test_older_holder_cannot_bind_hosts_that_nobody_touched():
-    """
-    Symptom: two planners form groups side by side, more than declared.
-    Events: the old holder wakes, believes in its lease, and finds untouched hosts.
-    Cause: only the rows of the hosts were checked, not the lease's.
+    """Two planners must not form more groups together than declared.
+
+    The former holder resumes, considers its lease valid, and finds unassigned hosts.
+    Only the rows of the hosts were checked, not the row of the lease.
     """
     site = await Site(controllers="ab", size=2).start()
-    await site.until_ordered()
-    frozen = site.owner
-    (other,) = [n for n in site.nodes if n is not frozen]
-    site.clock.time += LEASE
+    await site.tick_until_ordered()
+    paused = site.owner
+    (other,) = [n for n in site.controllers if n is not paused]
+    site.clock.time += LEASE_SECONDS
     await site.tick(other, times=16)
-    await frozen.watch.poll(site.hosts)
-    frozen.membership._renewed_at = site.clock.now()
+    await paused.watch.poll(site.hosts)
+    paused.membership._renewed_at = site.clock.now()
     site.declaration = declaration(replicas=2, size=2)
     before = len(other.groups.groups())
-    await frozen.groups.tick(declaration=site.declaration, hosts=site.hosts)
+    await paused.groups.tick(declaration=site.declaration, hosts=site.hosts)
     await other.shared.refresh()
     assert len(other.groups.groups()) == before
 
 
 async def test_table_refuses_a_new_group_under_an_older_lease():
-    """
-    Symptom: more groups than declared, on hosts that nobody else wanted.
-    Events: a holder freezes before its first plan; another takes over and plans; the
-    first wakes, still believes in its lease, and sees only untouched hosts.
-    Cause: nothing in its transaction depends on the lease.
+    """A former holder must not form more groups than declared on unassigned hosts.
+
+    A holder is paused before its first plan; another takes over and plans. The first
+    one resumes, considers its lease valid, and sees only unassigned hosts. Nothing in
+    its transaction depended on the lease.
     """
     site = await Site(controllers="ab", size=2).start()
-    while not any(n.lease.current for n in site.nodes):
+    while not any(n.lease.current for n in site.controllers):
         await site.tick()
-    frozen = site.owner
-    (other,) = [n for n in site.nodes if n is not frozen]
-    site.clock.time += LEASE
+    paused = site.owner
+    (other,) = [n for n in site.controllers if n is not paused]
+    site.clock.time += LEASE_SECONDS
     await site.tick(other, times=16)
-    untouched = listed("h2", "h3", "h4")
-    await frozen.watch.poll(untouched)
-    frozen.membership._renewed_at = site.clock.now()
-    await frozen.groups.tick(declaration=site.declaration, hosts=untouched)
+    untouched = make_hosts("h2", "h3", "h4")
+    await paused.watch.poll(untouched)
+    paused.membership._renewed_at = site.clock.now()
+    await paused.groups.tick(declaration=site.declaration, hosts=untouched)
     await other.shared.refresh()
     assert len(other.groups.groups()) == 1
 
 
 async def test_planner_that_cannot_read_does_not_bind_a_host_twice():
-    """
-    Symptom: a host stands in two groups of one planner.
-    Events: a commit's answer is lost and the table cannot be read afterwards; the
-    planner plans again on what it knew before.
-    Cause: the host's row was written without a check of its version.
+    """A host must not be in two groups of one planner.
+
+    The answer to a commit is lost and the table cannot be read afterwards, so the
+    planner plans again from the rows that it read before. The host's row was written
+    without a check of its version.
     """
     site = await Site(size=2).start()
-    (node,) = site.nodes
+    (controller,) = site.controllers
     await site.tick()
-    await node.step()
-    node.line.lose_answers, node.line.reads_cut = 1, True
-    await node.plan(site.declaration, site.hosts)
-    await node.plan(site.declaration, site.hosts)
-    node.line.reads_cut = False
-    await node.shared.refresh()
-    bound = [h for g in node.groups.groups().values() for h in g.hosts]
+    await controller.step()
+    controller.table_link.lose_answers, controller.table_link.reads_cut = 1, True
+    await controller.plan(site.declaration, site.hosts)
+    await controller.plan(site.declaration, site.hosts)
+    controller.table_link.reads_cut = False
+    await controller.shared.refresh()
+    bound = [h for g in controller.groups.groups().values() for h in g.hosts]
     assert len(bound) == len(set(bound)) == 2
 
 
 async def test_lost_commit_answer_does_not_bind_hosts_twice():
     site = await Site().start()
-    site.nodes[0].line.lose_answers = 50
+    site.controllers[0].table_link.lose_answers = 50
     await site.tick(times=8)
-    site.nodes[0].line.lose_answers = 0
+    site.controllers[0].table_link.lose_answers = 0
     await site.tick(times=8)
     assert site.states() == [GroupState.READY]
     bound = [h for g in site.groups for h in g.hosts]
     assert len(bound) == len(set(bound)) == 3
 
 
-async def orphaned_intent(checks_fencing):
-    """Let the owner write an order down and freeze before it is sent."""
+async def pause_owner_before_sending(checks_fencing):
+    """Return a site whose owner is paused after storing orders, and these orders.
+
+    The engines lose the orders, as if these had not been sent yet.
+    """
     site = await Site(controllers="ab", checks_fencing=checks_fencing).start()
-    await site.until_ordered()
-    frozen = site.owner
-    (other,) = [n for n in site.nodes if n is not frozen]
-    late = [(h, o) for h, o in site.engines.log if o.action is OrderAction.LOAD]
-    for host, _ in late:
+    await site.tick_until_ordered()
+    paused = site.owner
+    (other,) = [n for n in site.controllers if n is not paused]
+    late_orders = [
+        (h, o) for h, o in site.engines.sent_orders if o.action is OrderAction.LOAD
+    ]
+    for host, _ in late_orders:
         site.engines.engines[host].restart()
         site.engines.engines[host].incarnation = "1"
-    return site, frozen, other, late
+    return site, paused, other, late_orders
 
 
 async def test_late_order_is_refused_where_engines_check_fencing():
-    site, frozen, other, late = await orphaned_intent(checks_fencing=True)
+    site, paused, other, late_orders = await pause_owner_before_sending(
+        checks_fencing=True
+    )
     await site.tick(other, times=24)
-    held = {h: site.engines.engines[h].status() for h, _ in late}
-    for host, order in late:
+    statuses = {h: site.engines.engines[h].status() for h, _ in late_orders}
+    for host, order in late_orders:
         await site.engines.order(host, order)
-    assert {h: site.engines.engines[h].status() for h, _ in late} == held
+    assert {h: site.engines.engines[h].status() for h, _ in late_orders} == statuses
 
 
 async def test_host_is_kept_out_where_engines_ignore_fencing():
+    """A host whose engine ignores fencing must not join two groups.
+
+    The owner stores an order and is paused; another process takes the lease over and
+    assigns the host to a new group; the former owner resumes and sends its order. The
+    engine ignores the fencing number, and no wait rules out that the order arrives.
     """
-    Symptom: a host stands in two groups.
-    Events: the owner writes an order down and freezes; another takes the lease over
-    and gives the host to a new group; the old owner wakes and sends its order.
-    Cause: the engine ignores the fencing number, and no wait rules the order out.
-    """
-    site, frozen, other, late = await orphaned_intent(checks_fencing=False)
+    site, paused, other, late_orders = await pause_owner_before_sending(
+        checks_fencing=False
+    )
     await site.tick(other, times=24)
-    tainted = {host for host, _ in late}
+    tainted = {host for host, _ in late_orders}
     assert set(other.groups.tainted) == tainted
     assert len(tainted) == 3
     assert GroupState.READY not in [g.state for g in site.groups]
-    sent_since = {host for host, _ in site.engines.log[len(late) :]}
+    sent_since = {host for host, _ in site.engines.sent_orders[len(late_orders) :]}
     assert tainted.isdisjoint(sent_since)
 
 
 async def test_tainted_host_is_freed_when_the_old_holder_withdraws():
-    site, frozen, other, late = await orphaned_intent(checks_fencing=False)
+    site, paused, other, late_orders = await pause_owner_before_sending(
+        checks_fencing=False
+    )
     await site.tick(other, times=24)
-    await site.tick(frozen, other, times=20)
+    await site.tick(paused, other, times=20)
     assert other.groups.tainted == ()
     states = [g.state for g in other.groups.groups().values()]
     assert states == [GroupState.READY]
 
 
 async def test_tainted_host_is_freed_when_the_old_holders_host_is_replaced():
-    site, frozen, other, late = await orphaned_intent(checks_fencing=False)
+    site, paused, other, late_orders = await pause_owner_before_sending(
+        checks_fencing=False
+    )
     await site.tick(other, times=24)
-    gone = f"entry-{frozen.name}"
+    gone = f"entry-{paused.name}"
     site.hosts = tuple(h for h in site.hosts if h.name != gone)
     await site.tick(other, times=10)
     assert other.groups.tainted == ()
 
 
 async def test_host_list_that_was_never_read_frees_nothing():
+    """A host with an earlier holder's open order must not join another group.
+
+    A controller starts, takes the planner's lease, and plans before it has read the
+    platform's list. A holder's host missing from an empty list counted as gone.
     """
-    Symptom: a host with an older holder's open order joins another group.
-    Events: a controller starts, takes the planner's lease, and plans before it has
-    read the platform's list. Cause: a host missing from an empty list counted as gone.
-    """
-    site, frozen, other, late = await orphaned_intent(checks_fencing=False)
+    site, paused, other, late_orders = await pause_owner_before_sending(
+        checks_fencing=False
+    )
     await site.tick(other, times=24)
     listed_hosts, site.hosts = site.hosts, ()
     await site.tick(other, times=3)
     site.hosts = listed_hosts
     await site.tick(other, times=3)
-    assert set(other.groups.tainted) == {host for host, _ in late}
+    assert set(other.groups.tainted) == {host for host, _ in late_orders}
 
 
 async def test_tainted_host_is_freed_when_its_engine_shows_the_order_done():
-    site, frozen, other, late = await orphaned_intent(checks_fencing=False)
+    site, paused, other, late_orders = await pause_owner_before_sending(
+        checks_fencing=False
+    )
     await site.tick(other, times=24)
-    for host, order in late:
+    for host, order in late_orders:
         await site.engines.order(host, order)
     await site.tick(other, times=4)
     assert other.groups.tainted == ()
@@ -427,7 +444,7 @@
     head = site.engines.engines[group.head.host]
     head.in_flight = 1
     site.hosts = tuple(
-        listed(h.name)[0].__class__(**{**vars(h), "state": HostState.LEAVING})
+        make_hosts(h.name)[0].__class__(**{**vars(h), "state": HostState.LEAVING})
         if h.name == group.hosts[1]
         else h
         for h in site.hosts
@@ -444,14 +461,14 @@
 
 async def test_loading_is_paced():
     site = await Site(replicas=1).start()
-    for node in site.nodes:
-        object.__setattr__(node.groups._timings, "max_loading_hosts", 2)
+    for controller in site.controllers:
+        object.__setattr__(controller.groups._timings, "max_loading_hosts", 2)
     await site.tick(times=4)
     assert site.groups == []
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Two planners, one table, engines that die, restart and get late orders."""
+    """Two planners on one table; engines that die, restart and get late orders."""
 
     def __init__(self):
         super().__init__()
@@ -461,30 +478,32 @@
         self.site = Site(controllers="ab", size=2, replicas=2)
         self.run(self.site.start())
 
-    def run(self, work):
-        return self.loop.run_until_complete(work)
+    def run(self, coroutine):
+        return self.loop.run_until_complete(coroutine)
 
     def teardown(self):
         self.loop.close()
 
-    nodes = st.integers(0, 1)
+    planners = st.integers(0, 1)
     hosts = st.sampled_from(HOSTS)
 
-    @rule(node=nodes)
-    def step(self, node):
-        self.run(self.site.nodes[node].step())
+    @rule(planner=planners)
+    def step(self, planner):
+        self.run(self.site.controllers[planner].step())
 
-    @rule(node=nodes)
-    def plan(self, node):
-        self.run(self.site.nodes[node].plan(self.site.declaration, self.site.hosts))
+    @rule(planner=planners)
+    def plan(self, planner):
+        self.run(
+            self.site.controllers[planner].plan(self.site.declaration, self.site.hosts)
+        )
 
-    @rule(node=nodes, lost=st.integers(0, 2))
-    def lose_answers(self, node, lost):
-        self.site.nodes[node].line.lose_answers = lost
+    @rule(planner=planners, lost=st.integers(0, 2))
+    def lose_answers(self, planner, lost):
+        self.site.controllers[planner].table_link.lose_answers = lost
 
-    @rule(node=nodes, cut=st.booleans())
-    def cut(self, node, cut):
-        self.site.nodes[node].line.cut = cut
+    @rule(planner=planners, cut=st.booleans())
+    def cut(self, planner, cut):
+        self.site.controllers[planner].table_link.cut = cut
 
     @rule(host=hosts, silent=st.booleans())
     def silence(self, host, silent):
@@ -494,11 +513,13 @@
     def restart(self, host):
         self.site.engines.engines[host].restart()
 
-    @rule(place=st.integers(0, 30))
-    def late_order(self, place):
-        """The network delivers a copy of an old order."""
-        if self.site.engines.log:
-            host, order = self.site.engines.log[place % len(self.site.engines.log)]
+    @rule(index=st.integers(0, 30))
+    def late_order(self, index):
+        """The network delivers a copy of an earlier order."""
+        if self.site.engines.sent_orders:
+            host, order = self.site.engines.sent_orders[
+                index % len(self.site.engines.sent_orders)
+            ]
             self.run(self.site.engines.order(host, order))
 
     @rule(seconds=st.sampled_from([0.5, 1.0, 4.0]))
@@ -514,14 +535,14 @@
 
     @invariant()
     def whole_groups_hold_one_generation(self):
-        """What a planner takes for whole has every member where it says."""
-        for node in self.site.nodes:
-            for group in node.groups.groups().values():
-                age = node.watch.confirmed_age(group)
+        """In a group confirmed now, every member has the group's generation."""
+        for controller in self.site.controllers:
+            for group in controller.groups.groups().values():
+                age = controller.watch.confirmed_age(group)
                 if age is None or age > 0.0:
                     continue
                 for member in group.members:
-                    seen = node.watch.recent_status(member.host)
+                    seen = controller.watch.recent_status(member.host)
                     assert seen.generation == group.generation
 
 
