--- a/mallowpond/node/metrics.py
+++ b/mallowpond/node/metrics.py
@@ -33,7 +33,7 @@
         )
         self.first_event = histogram("mallowpond_first_event_seconds", "First event")
         self.gap = histogram("mallowpond_event_gap_seconds", "Gap between events")
-        self.refusing = histogram("mallowpond_refuse_seconds", "Time to refuse")
+        self.refusal_seconds = histogram("mallowpond_refuse_seconds", "Time to refuse")
         self.waiting = Gauge(
             "mallowpond_waiting", "Requests that wait", registry=self.registry
         )
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -49,7 +49,7 @@
 
         False if it had ended before the send, so that the request met nobody there.
         """
-        if self._ledger.ended_before(process, sent_at):
+        if self._ledger.had_ended_before(process, sent_at):
             return False
         now = self._clock.now()
         ending = Ending(process=process, ran=now - sent_at)
--- a/mallowpond/node/resend_schedule.py
+++ b/mallowpond/node/resend_schedule.py
@@ -5,7 +5,7 @@
 from typing import Generic, TypeVar
 
 from mallowpond.coordination.ports import Clock
-from mallowpond.coordination.tasks import sleep_until_news
+from mallowpond.coordination.tasks import sleep_until_event
 
 # Pause between two tellings, in seconds: what is told in one is bounded.
 TELL_SECONDS = 0.1
@@ -64,7 +64,7 @@
                 continue
             seconds = min(at for at, _ in self._due.values()) - self._clock.now()
             if seconds > 0.0:
-                await sleep_until_news(self._clock, seconds, self._news)
+                await sleep_until_event(self._clock, seconds, self._news)
                 continue
             send_due()
             await self._clock.sleep(TELL_SECONDS)
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -123,7 +123,7 @@
         """Let every host hear every other one."""
         for host in self.hosts:
             for other in self.hosts:
-                host.peers._take(other.beat())
+                host.peers._handle_message(other.beat())
         self.carried.clear()
 
     def carry(self, sender, address, data):
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -32,7 +32,7 @@
     service_of,
     work_of,
 )
-from mallowpond.node.tests.test_dispatcher import settle, site_of
+from mallowpond.node.tests.test_dispatcher import run_pending_tasks, two_hosts
 from mallowpond.state.fleet import BreakCause
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.state.target_notice import TargetNotice
@@ -105,9 +105,9 @@
     rig = await make_rig("a")
     availability_of(rig).record_notice(head(rig, "a0"), NAMED, rig.clock.now())
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
-    await settle()
+    await run_pending_tasks()
     rig.service.placement.wake_all()
-    await settle()
+    await run_pending_tasks()
     assert rig.targets.sends == []
     rig.targets.script("a0", answer(1))
     rig.clock.time += 1.0
@@ -120,7 +120,7 @@
 
     The stream waited for its place while its host heard of the limit.
     """
-    site = await site_of("a")
+    site = await two_hosts("a")
     rig, unused = site.rig_a, []
     site.dispatcher_client.on_unused_grant.append(lambda: unused.append(True))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
@@ -255,9 +255,9 @@
 async def test_news_goes_out_by_itself():
     rig, _, (mine, other) = await pair()
     telling = asyncio.create_task(mine.run())
-    await settle()
+    await run_pending_tasks()
     mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
-    await settle()
+    await run_pending_tasks()
     assert other.has_limits
     await cancel_task(telling)
 
@@ -285,10 +285,10 @@
     rig.targets.script("a0", FakeResponse(script=[event(1), end, BROKEN]))
     rig.targets.script("b0", answer(2))
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
-    await settle()
+    await run_pending_tasks()
     rig.directory.mark_broken(rig.directory.groups["a", 1], BreakCause.RESTARTED)
     end.set_result(None)
-    await settle()
+    await run_pending_tasks()
     assert not serving.done()
     limits.record_notice(head(rig, "b0"), TargetNotice(), rig.clock.now())
     rig.service.placement.wake_all()
