--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -1,4 +1,4 @@
-"""Few hosts read the store; the others follow them, and miss nothing."""
+"""Tests of the readers, which read the store, and of the hosts that follow them."""
 
 import asyncio
 import zlib
@@ -54,16 +54,22 @@
 from mallowpond.state.ownership import ranked_owners
 
 
-def beat(node, **more):
-    """Write a heartbeat of a host that reaches the store."""
-    said = {"version": 1, "sure": True, "store": True, "stopping": False, "planning": 0}
+def heartbeat_of(node, **changes):
+    """Build a heartbeat of a host that reaches the store."""
+    state = {
+        "version": 1,
+        "sure": True,
+        "store": True,
+        "stopping": False,
+        "planning": 0,
+    }
     return Heartbeat(
-        node=node, incarnation="1", address="127.0.0.1:1", **{**said, **more}
+        node=node, incarnation="1", address="127.0.0.1:1", **{**state, **changes}
     )
 
 
 class Host:
-    """Hold one host of a fleet; what it tells is kept, not sent."""
+    """One host of a fleet; its messages are collected in `outbox`, not sent."""
 
     def __init__(self, name="a", data_centre="a", cores=0.0):
         self.clock, self.source = FakeClock(), FakeSource()
@@ -73,10 +79,10 @@
             address="127.0.0.1:1",
             table=MemoryTable(),
             clock=self.clock,
-            make_heartbeat=lambda: beat(name),
+            make_heartbeat=lambda: heartbeat_of(name),
         )
-        self.told = []
-        self.peers._send = lambda message, addresses: self.told.append(message)
+        self.outbox = []
+        self.peers._send = lambda message, addresses: self.outbox.append(message)
         self.configuration = ConfigurationFollower(
             source=self.source, clock=self.clock, revoke_seconds=5.0
         )
@@ -106,18 +112,18 @@
             configuration=self.configuration,
         )
 
-    def hear(self, *messages):
-        """Take messages of other hosts."""
+    def receive(self, *messages):
+        """Deliver messages of other hosts."""
         for message in messages:
             self.peers._handle_message(message)
 
-    def told_of(self, kind):
-        """Return what was told of one kind."""
-        return [message for message in self.told if isinstance(message, kind)]
+    def outbox_of(self, kind):
+        """Return the collected messages of one kind."""
+        return [message for message in self.outbox if isinstance(message, kind)]
 
 
 async def follower(*targets):
-    """Build a host that follows others and has read the list and version 1."""
+    """Build a follower that has read the list and version 1."""
     names = (f"n{number}" for number in range(50))
     host = Host()
     host.source.configurations.append(configuration_of(1))
@@ -125,18 +131,18 @@
     host.source.listed.append(listing(*targets, revision=10))
     await host.directory.refresh()
     while host.readers.is_reader:
-        host.hear(beat(next(names)))
-    host.hear(digest(last_change=10))
+        host.receive(heartbeat_of(next(names)))
+    host.receive(digest(last_change=10))
     return host
 
 
-def digest(*, last_change, number=1):
-    """Write a reader's digest."""
-    return Digest(node="n0", version=number, last_change=last_change)
+def digest(*, last_change, version=1):
+    """Build a reader's digest."""
+    return Digest(node="n0", version=version, last_change=last_change)
 
 
 def change(*targets, previous, revision, removed=()):
-    """Write a change of the list as a reader passes it on."""
+    """Build a change of the list as a reader broadcasts it."""
     return ListChange(
         node="n0",
         previous=previous,
@@ -151,7 +157,7 @@
     chosen = []
     for name in names:
         host = Host(name)
-        host.hear(*(beat(other) for other in names if other != name))
+        host.receive(*(heartbeat_of(other) for other in names if other != name))
         chosen.append(host.readers.names)
     assert all(found == chosen[0] for found in chosen)
     assert len(chosen[0]) == READER_COUNT
@@ -159,22 +165,21 @@
 
 def test_hosts_that_the_store_turns_away_or_that_stop_do_not_read_for_others():
     host = Host()
-    host.hear(beat("b", store=False), beat("c", stopping=True))
+    host.receive(heartbeat_of("b", store=False), heartbeat_of("c", stopping=True))
     assert host.readers.names == ["a"]
 
 
 def test_in_a_large_fleet_only_hosts_that_read_or_plan_next_are_heard_often():
-    """Symptom: every host of a fleet of 88 hears 60 heartbeats a second, and still a
-    dead planner is noticed after six seconds only.
+    """Guard against detecting the failure of a planner only after six seconds.
 
-    Sequence: each host tells each other one how it is, all at the same pace.
-    Cause: the pace did not follow from what the others need to know.
+    All hosts of a fleet of 88 send heartbeats at the same rate, so that each host
+    receives 60 a second. The rate did not depend on what the others need to know.
     """
     pauses = {}
     names = [f"n{number}" for number in range(88)]
     for name in names:
         host = Host(name)
-        host.hear(*(beat(other) for other in names if other != name))
+        host.receive(*(heartbeat_of(other) for other in names if other != name))
         host.readers.step()
         pauses[name] = host.peers.interval
     assert sum(pause < 0.5 for pause in pauses.values()) == CANDIDATE_COUNT
@@ -183,75 +188,74 @@
 
 def test_a_host_that_tells_seldom_is_not_taken_for_gone():
     host = Host()
-    host.hear(beat("b", interval=4.0), beat("c", interval=0.4))
+    host.receive(heartbeat_of("b", interval=4.0), heartbeat_of("c", interval=0.4))
     host.clock.time += 6.0
     assert [p.heartbeat.node for p in host.peers.live] == ["b"]
 
 
 async def test_a_follower_takes_a_change_without_a_call():
     host = await follower(*open_group("g"))
-    host.hear(change(member("x", "h", 0), previous=10, revision=12))
-    host.hear(digest(last_change=12))
+    host.receive(change(member("x", "h", 0), previous=10, revision=12))
+    host.receive(digest(last_change=12))
     assert "x" in host.directory.targets
     assert not host.directory._must_read()
     assert len(host.source.asked) == 1
 
 
 async def test_a_follower_that_missed_a_change_reads_the_list():
-    """Symptom: a host sends to an engine that has left for seconds.
+    """Guard against sending to an engine for seconds after it left.
 
-    Sequence: the datagram with its leaving gets lost; the next change arrives.
-    Cause: a change was applied on a list that lacked the one before.
+    The datagram that reports its leaving is lost, and the next change arrives. That
+    change was applied to a list that lacked the previous one.
     """
     host = await follower(*open_group("g"))
-    host.hear(change(member("x", "h", 0), previous=12, revision=14))
+    host.receive(change(member("x", "h", 0), previous=12, revision=14))
     assert "x" not in host.directory.targets
-    host.hear(digest(last_change=14))
+    host.receive(digest(last_change=14))
     host.clock.time += MISSED_CHANGE_SECONDS + 0.01
-    host.hear(digest(last_change=14))
+    host.receive(digest(last_change=14))
     assert host.directory._must_read()
 
 
 async def test_a_missed_change_is_read_within_a_moment():
-    """Symptom: an engine that leaves gets requests for longer than it may.
+    """Guard against requests to a leaving engine for longer than allowed.
 
-    Sequence: the datagram with its leaving gets lost.
-    Cause: a host looked only twice a second whether it had missed a change.
+    The datagram that reports its leaving is lost, and hosts checked only twice a second
+    whether they had missed a change.
     """
     host = await follower(*open_group("g"))
     host.source.listed.append(listing(revision=14, whole=False))
-    following = asyncio.create_task(host.directory.run())
+    running = asyncio.create_task(host.directory.run())
     began = host.clock.time
     while len(host.source.asked) < 2:
-        host.hear(digest(last_change=14))
+        host.receive(digest(last_change=14))
         await asyncio.sleep(0)
     assert host.clock.time - began < MISSED_CHANGE_SECONDS + 0.25
-    following.cancel()
-    await asyncio.gather(following, return_exceptions=True)
+    running.cancel()
+    await asyncio.gather(running, return_exceptions=True)
 
 
 async def test_an_older_change_that_arrives_late_is_ignored():
     host = await follower(*open_group("g"))
-    left = change(previous=10, revision=14, removed=("x",))
-    host.hear(change(member("x", "h", 0), previous=10, revision=12), left)
-    host.hear(change(member("x", "h", 0), previous=10, revision=12))
+    removal = change(previous=10, revision=14, removed=("x",))
+    host.receive(change(member("x", "h", 0), previous=10, revision=12), removal)
+    host.receive(change(member("x", "h", 0), previous=10, revision=12))
     assert host.directory.targets.get("x") is None or host.directory.targets["x"].lapsed
 
 
 async def test_an_answer_that_a_change_overtook_is_ignored():
-    """Symptom: the planner orders members into groups that the list shows as gone; a
-    host's list stays old for seconds.
+    """Guard against a list that stays old for seconds and misleads the planner.
 
-    Sequence: a host asks the store; before the answer a reader's change arrives, which
-    is newer than the answer.
-    Cause: the answer's rows replaced the newer ones, and no later read mended them.
+    A host asks the store, and before the answer arrives, it gets a reader's change that
+    is newer than the answer. The answer's rows replaced the newer ones, and no later
+    read corrected them, so the planner ordered members into groups that were gone.
     """
     host = await follower(*open_group("g"))
     newer = change(member("x", "h", 0), previous=10, revision=13)
     older = listing(member("x", "old", 0), revision=12, whole=False)
 
     async def overtaken(since):
-        host.hear(newer)
+        host.receive(newer)
         return older
 
     host.source.targets = overtaken
@@ -271,21 +275,21 @@
     host.directory.is_reader = lambda: False
     for seconds in (1.0, FOLLOWER_FULL_READ_SECONDS):
         host.clock.time += seconds
-        host.hear(digest(last_change=10))
+        host.receive(digest(last_change=10))
         assert host.directory._must_read() == (seconds > 1.0)
 
 
 async def test_a_follower_that_cannot_read_what_it_missed_asks_at_a_pace():
-    """Symptom: a store that is down gets ten calls a second from every host.
+    """Guard against ten calls a second from every host to a store that is down.
 
-    Sequence: a follower misses a change, and the store does not answer it.
-    Cause: each look asked again, since the change was still missing.
+    A follower misses a change, and the store does not answer it. Every check called the
+    store again, as the change was still missing.
     """
     host = await follower(*open_group("g"))
     host.source.cut = True
-    host.hear(digest(last_change=14))
+    host.receive(digest(last_change=14))
     host.clock.time += MISSED_CHANGE_SECONDS + 0.01
-    host.hear(digest(last_change=14))
+    host.receive(digest(last_change=14))
     assert host.directory._must_read()
     assert not await host.directory.refresh()
     host.clock.time += 0.1
@@ -295,26 +299,25 @@
 
 
 async def test_a_follower_whose_own_way_to_the_store_is_cut_goes_by_the_readers():
-    """Symptom: a host takes every entry that lapses for one that may return, for as
-    long as its way to the store is cut.
+    """Guard against keeping every lapsed entry while a host is cut off from the store.
 
-    Sequence: the readers fall silent for a moment, the host reads for itself and gets
-    no answer; the readers are heard again.
-    Cause: only an answer of the store ended the loss of the list.
+    The readers are silent for a moment, and the host reads the list itself but gets no
+    answer. Then the readers' digests arrive again, but only an answer of the store
+    ended the state in which lapsed entries are expected to return.
     """
     host = await follower(*open_group("g"))
     host.source.cut = True
     assert not await host.directory.refresh()
     assert host.directory.is_list_lost
-    host.hear(digest(last_change=10))
+    host.receive(digest(last_change=10))
     assert not host.directory.is_list_lost
 
 
 async def test_the_readers_sums_do_not_count_a_hosts_own_work_twice():
-    """Symptom: a group looks twice as full to the hosts that use it most.
+    """Guard against a group that looks twice as full to the hosts that use it most.
 
-    Sequence: a host tells the readers its three streams; their sum of eight comes back.
-    Cause: the sum was added to the host's own three.
+    A host reports its three streams to the readers, whose sum of eight comes back. The
+    sum was added to the host's own three.
     """
     host = await follower(*open_group("g"))
     key = ("g", 1)
@@ -326,7 +329,7 @@
 
 
 async def reader_of(*reads):
-    """Build a host that reads, and have it make these reads of the list."""
+    """Build a reader that has read these answers of the list."""
     host = Host()
     host.source.configurations.append(configuration_of(1))
     await host.configuration.step()
@@ -338,60 +341,63 @@
 
 
 async def test_a_large_change_is_passed_on_in_parts():
-    """Symptom: 13,059 calls to the store in 28 s, most of them reads of the list.
+    """Guard against thousands of reads of the list (13,059 calls to the store in 28 s).
 
-    Sequence: a fleet's first groups form; each read of a reader holds hundreds of
-    changed entries; each of 195 hosts hears that it lacks them.
-    Cause: a change beyond one datagram was not passed on, and each host read it itself.
+    While a fleet's first groups form, each read of a reader holds hundreds of changed
+    entries, and each of 195 hosts learns that it lacks them. A change that exceeds one
+    datagram was not broadcast, so each host read it from the store.
     """
-    many = [member(f"x{n}", "h", n) for n in range(2 * MAX_TARGETS_PER_PART + 1)]
+    members = [member(f"x{n}", "h", n) for n in range(2 * MAX_TARGETS_PER_PART + 1)]
     first = listing(*open_group("g"), revision=10)
-    host = await reader_of(first, listing(*many, revision=12, whole=False))
-    told = host.told_of(ListChange)
-    assert [(t.part, t.parts) for t in told] == [(0, 3), (1, 3), (2, 3)]
-    assert max(len(t.targets) for t in told) == MAX_TARGETS_PER_PART
-    following = await follower(*open_group("g"))
-    following.hear(told[2], told[0])
-    assert "x0" not in following.directory.targets
-    following.hear(told[1], digest(last_change=12))
-    assert following.directory.targets.keys() >= {target.id for target in many}
-    assert not following.directory._must_read()
+    host = await reader_of(first, listing(*members, revision=12, whole=False))
+    changes = host.outbox_of(ListChange)
+    assert [(c.part, c.parts) for c in changes] == [(0, 3), (1, 3), (2, 3)]
+    assert max(len(c.targets) for c in changes) == MAX_TARGETS_PER_PART
+    receiver = await follower(*open_group("g"))
+    receiver.receive(changes[2], changes[0])
+    assert "x0" not in receiver.directory.targets
+    receiver.receive(changes[1], digest(last_change=12))
+    assert receiver.directory.targets.keys() >= {target.id for target in members}
+    assert not receiver.directory._must_read()
 
 
 async def test_a_change_beyond_all_parts_is_read_by_each_host():
-    many = [
+    members = [
         member(f"x{n}", "h", n) for n in range(MAX_PARTS * MAX_TARGETS_PER_PART + 1)
     ]
     first = listing(*open_group("g"), revision=10)
-    host = await reader_of(first, listing(*many, revision=12, whole=False))
-    assert host.told_of(ListChange) == []
+    host = await reader_of(first, listing(*members, revision=12, whole=False))
+    assert host.outbox_of(ListChange) == []
     host.readers.step()
-    assert host.told_of(Digest)[-1].last_change == 12
+    assert host.outbox_of(Digest)[-1].last_change == 12
 
 
 async def test_parts_that_cannot_be_of_one_change_are_not_kept():
     host = await follower(*open_group("g"))
     part = change(member("x", "h", 0), previous=10, revision=12)
-    host.hear(replace(part, part=7, parts=3), replace(part, parts=10**9))
+    host.receive(replace(part, part=7, parts=3), replace(part, parts=10**9))
     assert len(host.readers._parts) == 0
 
 
 async def test_what_a_whole_read_finds_is_passed_on():
-    """Symptom: each host of a fleet reads the whole list twice a minute.
+    """Guard against hosts that each read the full list twice a minute.
 
-    Sequence: a feed tells nothing of a change; the reader's next whole read shows it.
-    Cause: whole reads were not passed on, so each host had to make its own.
+    The feed of changes misses one, which the reader's next full read shows. Changes
+    found by full reads were not broadcast, so each host had to make its own.
     """
     group = open_group("g")
     found = listing(*group, member("x", "h", 0), revision=12)
     host = await reader_of(listing(*group, revision=10), found)
-    (told,) = host.told_of(ListChange)
-    assert [target.id for target in told.targets] == ["x"]
-    assert (told.previous, told.removed) == (10, ())
+    (sent,) = host.outbox_of(ListChange)
+    assert [target.id for target in sent.targets] == ["x"]
+    assert (sent.previous, sent.removed) == (10, ())
 
 
 def large_fleet(name, centres=("a", "b", "c"), each=20):
-    """Build a host of a fleet over several data centres, with what it sends to whom."""
+    """Build a host of a fleet over several data centres, which records what it sends.
+
+    `sent` holds each message with the names of its receivers.
+    """
     host = Host(name, data_centre=name[0], cores=0.5 if int(name[1:]) > 2 else 2.0)
     host.sent = []
     host.peers.send_to = lambda message, nodes: host.sent.append(
@@ -402,16 +408,16 @@
             node = f"{centre}{number}"
             if node != name:
                 cores = 2.0 if number < 3 else 0.5
-                host.hear(beat(node, data_centre=centre, cores=cores))
+                host.receive(heartbeat_of(node, data_centre=centre, cores=cores))
     host.sent.clear()
     return host
 
 
 def test_a_reader_of_a_large_fleet_tells_other_data_centres_once():
-    """Symptom: a reader's link is full, and its heartbeats are lost.
+    """Guard against a reader whose link is full, so that its heartbeats are lost.
 
-    Sequence: five times a second it tells each of 195 hosts the work of 75 groups.
-    Cause: each host of another data centre was told by itself.
+    Five times a second it sends the load of 75 groups to each of 195 hosts. Each host
+    of another data centre got a datagram of its own.
     """
     host = large_fleet("a0")
     message = digest(last_change=10)
@@ -421,17 +427,17 @@
     assert near_nodes == sorted(f"a{number}" for number in range(1, 20))
     assert len(far_nodes) == 2
     assert {node[0] for node in far_nodes} == {"b", "c"}
-    # One of the hosts that can bear it.
+    # Relays are among the hosts with more processor time.
     assert all(int(node[1:]) < 3 for node in far_nodes)
 
 
 def test_a_host_that_is_asked_to_tells_its_own_data_centre():
     host = large_fleet("b0")
-    host.hear(replace(digest(last_change=10), node="a0", pass_on=True))
+    host.receive(replace(digest(last_change=10), node="a0", pass_on=True))
     ((message, nodes),) = host.sent
     assert not message.pass_on
     assert nodes == sorted(f"b{number}" for number in range(1, 20))
-    host.hear(replace(digest(last_change=10), node="a0"))
+    host.receive(replace(digest(last_change=10), node="a0"))
     assert len(host.sent) == 1
 
 
@@ -442,37 +448,37 @@
     host.clock.time += RELAY_SILENCE_SECONDS + 0.1
     for node in nodes:
         if node != first:
-            host.hear(Work(node=node, loads=encode_loads({})))
+            host.receive(Work(node=node, loads=encode_loads({})))
     assert host.fanout.choose_relay(nodes) not in (first, None)
 
 
 def test_the_strongest_hosts_read_and_plan():
-    """Symptom: a planner with half of a core is itself overloaded.
+    """Guard against a planner that is overloaded with half a core.
 
-    Sequence: 15 hosts of 195 have four times the processor time of the others.
-    Cause: the planner was drawn by its name alone.
+    15 hosts of 195 have four times the processor time of the others, but the planner
+    was chosen by its name alone.
     """
     host = large_fleet("a5")
     assert all(int(name[1:]) < 3 for name in host.readers.names)
 
 
 async def test_a_follower_reads_a_newer_version_whole():
-    """Symptom: a new version takes two calls, and is in force half a second later.
+    """Guard against a second call for a new version, which delays it by half a second.
 
-    Sequence: a follower asked the store long ago; it hears of a newer version, and asks
-    for the changes since then, which the store has forgotten.
-    Cause: a follower's last revision is mostly older than the store's history.
+    A follower that last asked the store long ago learns of a newer version, and asks
+    for the changes since its last revision. That is usually older than the store's
+    history, so the store cannot answer.
     """
     host = await follower()
     asked = []
     read = host.source.configuration
 
-    async def noted(since, wait_seconds):
+    async def recorded(since, wait_seconds):
         asked.append(since)
         return await read(since, wait_seconds)
 
-    host.source.configuration = noted
-    host.hear(digest(last_change=10, number=2))
+    host.source.configuration = recorded
+    host.receive(digest(last_change=10, version=2))
     await host.configuration.step()
     assert asked == [FROM_START]
 
@@ -491,25 +497,25 @@
     )
     for _ in range(3):
         await host.directory.refresh()
-    (told,) = host.told_of(ListChange)
-    assert (told.previous, told.revision) == (10, 12)
+    (sent,) = host.outbox_of(ListChange)
+    assert (sent.previous, sent.revision) == (10, 12)
     host.readers.step()
-    assert host.told_of(Digest)[-1].last_change == 12
+    assert host.outbox_of(Digest)[-1].last_change == 12
 
 
 async def test_a_readers_answer_counts_from_before_the_question():
-    """Symptom: a key works seconds after it was taken away.
+    """Guard against a key that works for seconds after it was revoked.
 
-    Sequence: a host asks, stands still for four seconds, and finds the answer.
-    Cause: the answer's age was counted from its arrival.
+    A host sends a question, is paused for four seconds, and then reads the answer. The
+    age in the answer was counted from its arrival.
     """
     host = await follower()
     host.clock.time += 1.0
     asked_at = host.clock.time
     host.configuration._ask()
-    (question,) = host.told_of(VersionQuestion)
+    (question,) = host.outbox_of(VersionQuestion)
     host.clock.time += 4.0
-    host.hear(VersionAnswer(node="n0", number=question.number, version=1, age=0.4))
+    host.receive(VersionAnswer(node="n0", number=question.number, version=1, age=0.4))
     assert host.configuration.confirmation.confirmed_at == asked_at - 0.4
 
 
@@ -519,14 +525,14 @@
     host.configuration._ask()
     host.clock.time += 1.0
     host.configuration._ask()
-    host.hear(VersionAnswer(node="n0", number=1, version=1, age=0.0))
+    host.receive(VersionAnswer(node="n0", number=1, version=1, age=0.0))
     assert host.configuration.confirmation.confirmed_at == confirmed_at
 
 
 async def test_a_follower_that_hears_of_a_newer_version_reads_it():
     host = await follower()
     assert host.configuration._may_ask_readers()
-    host.hear(digest(last_change=10, number=2))
+    host.receive(digest(last_change=10, version=2))
     assert not host.configuration._may_ask_readers()
     host.source.configurations.append(configuration_of(2))
     await host.configuration.step()
@@ -549,52 +555,55 @@
     host.source.configurations.append(configuration_of(3))
     await host.configuration.step()
     host.clock.time += 0.7
-    host.hear(VersionQuestion(node="b", number=5))
-    (told,) = host.told_of(VersionAnswer)
-    assert (told.number, told.version) == (5, 3)
-    assert abs(told.age - 0.7) < 1e-6
+    host.receive(VersionQuestion(node="b", number=5))
+    (answer,) = host.outbox_of(VersionAnswer)
+    assert (answer.number, answer.version) == (5, 3)
+    assert abs(answer.age - 0.7) < 1e-6
 
 
-async def calls_in_outage(host, beats, seconds):
-    """Let the store be away for a whole fleet, and count one host's calls."""
+async def calls_in_outage(host, heartbeats, seconds):
+    """Count the calls of one host during an outage of the store for all hosts."""
     asked = 0
 
     async def configuration(since, wait_seconds):
         nonlocal asked
         asked += 1
-        host.hear(*beats)
+        host.receive(*heartbeats)
         await asyncio.sleep(0)
         return Unavailable(reason="busy")
 
     host.source.configuration = configuration
     host.source.cut = True
-    following = asyncio.create_task(host.configuration.run())
+    running = asyncio.create_task(host.configuration.run())
     until = host.clock.time + seconds
     while host.clock.time < until:
         await asyncio.sleep(0)
-    await cancel_task(following)
+    await cancel_task(running)
     return asked
 
 
 async def test_a_store_that_is_away_for_all_is_called_by_few():
-    """Symptom: an outage of the store brings it thousands of calls.
+    """Guard against thousands of calls to a store during its outage.
 
-    Sequence: the store refuses every host of a fleet for some seconds.
-    Cause: with no host left that reaches it, every host took itself for a reader, and
-    asked five times a second.
+    The store refuses every host of a fleet for some seconds. As no host reached it,
+    every host took itself for a reader, and called the store five times a second.
     """
     names = [f"n{number}" for number in range(65)]
     ranked = ranked_owners(READERS_KEY, names)
     calls = {}
     for name in (*ranked[:READER_COUNT], *ranked[READER_COUNT : READER_COUNT + 4]):
         host = Host(name)
-        beats = [beat(other, store=False) for other in names if other != name]
-        host.hear(*beats)
-        calls[name] = await calls_in_outage(host, beats, 8.0)
-    few = [calls[name] for name in ranked[:READER_COUNT]]
-    many = [calls[name] for name in calls if name not in ranked[:READER_COUNT]]
-    assert min(few) > 20
-    assert max(many) <= 8.0 / SLOW_RETRY_SECONDS + 2
+        heartbeats = [
+            heartbeat_of(other, store=False) for other in names if other != name
+        ]
+        host.receive(*heartbeats)
+        calls[name] = await calls_in_outage(host, heartbeats, 8.0)
+    reader_calls = [calls[name] for name in ranked[:READER_COUNT]]
+    follower_calls = [
+        calls[name] for name in calls if name not in ranked[:READER_COUNT]
+    ]
+    assert min(reader_calls) > 20
+    assert max(follower_calls) <= 8.0 / SLOW_RETRY_SECONDS + 2
 
 
 async def test_all_hosts_try_again_as_soon_as_one_reaches_the_store():
@@ -602,43 +611,43 @@
     host.source.configurations.append(configuration_of(1))
     await host.configuration.step()
     names = [f"n{number}" for number in range(9) if number != 5]
-    host.hear(*(beat(other, store=False) for other in names))
+    host.receive(*(heartbeat_of(other, store=False) for other in names))
     host.source.cut = True
     await host.configuration.step()
     assert not host.configuration.is_store_reachable
-    host.hear(beat(names[0], store=False))
+    host.receive(heartbeat_of(names[0], store=False))
     assert not host.configuration._is_store_back.is_set()
-    host.hear(beat(names[0], store=True))
+    host.receive(heartbeat_of(names[0], store=True))
     assert host.configuration._is_store_back.is_set()
     assert not host.configuration._may_ask_readers()
-    host.hear(beat(names[1], store=True))
+    host.receive(heartbeat_of(names[1], store=True))
     host.source.cut = False
     await host.configuration.step()
     assert host.configuration.is_store_reachable
-    host.hear(beat(names[2], store=True))
+    host.receive(heartbeat_of(names[2], store=True))
     assert not host.configuration._is_store_back.is_set()
 
 
 def test_a_host_that_only_it_cannot_reach_the_store_tries_often():
-    """Symptom: a host that has just started serves nobody for 1.5 s.
+    """Guard against a newly started host that serves nobody for 1.5 s.
 
-    Sequence: its first question to the store fails, or the store turns it away for a
-    moment, while it serves the other hosts.
-    Cause: the pause that is meant for an outage for all.
+    Its first call to the store fails, or the store rejects it for a moment, while it
+    serves the other hosts. The host then waited for the retry interval that is meant
+    for an outage for all hosts.
     """
     names = [f"n{number}" for number in range(9)]
     last = ranked_owners(READERS_KEY, names)[-1]
     others = [name for name in names if name != last]
     host = Host(last)
     host.configuration._failures = 1
-    host.hear(*(beat(other, store=False) for other in others))
+    host.receive(*(heartbeat_of(other, store=False) for other in others))
     assert not host.readers.should_retry_often
-    host.hear(beat(others[0], store=True))
+    host.receive(heartbeat_of(others[0], store=True))
     assert host.readers.should_retry_often
 
 
-async def holder_of(number, document):
-    """Build a host that reads, and has read this version."""
+async def reader_with(number, document):
+    """Build a reader that has read this version."""
     host = Host("n0")
     read = ConfigurationRead(
         revision=5,
@@ -652,55 +661,57 @@
 
 
 async def test_a_version_is_passed_on_and_taken_without_a_call():
-    """Symptom: each version of the configuration brings the store 195 calls.
+    """Guard against 195 calls to the store for each version of the configuration.
 
-    Sequence: a reader finds a newer version, and tells its number.
-    Cause: the number was told, and each host had to read the rest itself.
+    A reader that found a newer version broadcast only its number, so each host had to
+    read the configuration itself.
     """
-    reader = await holder_of(2, b"2")
+    reader = await reader_with(2, b"2")
     host = await follower()
     asked = len(host.source.configurations)
     sure_since = host.configuration.confirmation.confirmed_at
     host.clock.time += 1.0
-    host.hear(digest(last_change=10, number=2), *reader.told_of(ConfigurationPart))
+    host.receive(
+        digest(last_change=10, version=2), *reader.outbox_of(ConfigurationPart)
+    )
     assert host.configuration.configuration.version == 2
     assert host.configuration._may_ask_readers()
     assert len(host.source.configurations) == asked
-    # No surer than before: nothing tells when the datagram was sent.
+    # The confirmation is as old as before: the datagram has no time of sending.
     assert host.configuration.confirmation.confirmed_at == sure_since
     assert host.configuration.is_confirmed
 
 
 async def test_a_host_without_a_configuration_gets_it_from_a_peer():
-    """Symptom: a host that starts while the store is away refuses all for seconds.
+    """Guard against a host that refuses all requests for seconds after its start.
 
-    Sequence: the store turns it away; its peers have the configuration.
-    Cause: only the store was asked.
+    The store rejects it during an outage. Its peers have the configuration, but the
+    host asked only the store.
     """
-    holder = await holder_of(3, b"3")
+    reader = await reader_with(3, b"3")
     host = Host("n9")
-    host.hear(beat("n0"), beat("n1"))
+    host.receive(heartbeat_of("n0"), heartbeat_of("n1"))
     host.source.cut = True
     await host.configuration.step()
-    (question,) = host.told_of(ConfigurationQuestion)
-    holder.hear(beat("n9"), question)
-    host.hear(*holder.told_of(ConfigurationPart)[-1:])
+    (question,) = host.outbox_of(ConfigurationQuestion)
+    reader.receive(heartbeat_of("n9"), question)
+    host.receive(*reader.outbox_of(ConfigurationPart)[-1:])
     assert host.configuration.configuration.version == 3
     assert not host.configuration.is_confirmed
-    (asked,) = host.told_of(VersionQuestion)
-    host.hear(VersionAnswer(node="n0", number=asked.number, version=3, age=0.2))
+    (asked,) = host.outbox_of(VersionQuestion)
+    host.receive(VersionAnswer(node="n0", number=asked.number, version=3, age=0.2))
     assert host.configuration.is_confirmed
 
 
 async def test_a_configuration_that_got_lost_on_its_way_is_read_from_the_store():
     host = await follower()
     host.source.configurations.append(configuration_of(2))
-    following = asyncio.create_task(host.configuration.run())
+    running = asyncio.create_task(host.configuration.run())
     began = host.clock.time
-    host.hear(digest(last_change=10, number=2))
+    host.receive(digest(last_change=10, version=2))
     while host.configuration.configuration.version < 2:
         await asyncio.sleep(0)
-    await cancel_task(following)
+    await cancel_task(running)
     assert host.clock.time - began < 2.0
 
 
@@ -709,20 +720,20 @@
     document = b"4" + b"".join(
         b" " if random.random() < 0.5 else b"\n" for _ in range(20 * PART_BYTES)
     )
-    reader = await holder_of(4, document)
-    parts = reader.told_of(ConfigurationPart)
+    reader = await reader_with(4, document)
+    parts = reader.outbox_of(ConfigurationPart)
     assert len(parts) > 1
     host = await follower()
-    host.hear(*parts[:-1])
+    host.receive(*parts[:-1])
     assert host.configuration.configuration.version == 1
-    host.hear(parts[-1])
+    host.receive(parts[-1])
     assert host.configuration.configuration.version == 4
 
 
 async def test_bytes_that_are_no_configuration_change_nothing():
     host = await follower()
     for data in (b"", b"junk", zlib.compress(b"2")[:-3], zlib.compress(b"7")):
-        host.hear(ConfigurationPart(node="n0", version=2, data=data))
+        host.receive(ConfigurationPart(node="n0", version=2, data=data))
     assert host.configuration.configuration.version == 1
 
 
@@ -730,8 +741,8 @@
     host = large_fleet("a5")
     for _ in range(30):
         host.readers.step()
-    told = [message for message, _ in host.sent if isinstance(message, Work)]
-    assert 8 <= len(told) <= 12
+    works = [message for message, _ in host.sent if isinstance(message, Work)]
+    assert 8 <= len(works) <= 12
     host.directory.loads.work(("g", 1)).running = 2
     host.readers.step()
     assert isinstance(host.sent[-1][0], Work)
