--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -22,7 +22,7 @@
 from mallowpond.coordination.store import (
     TableView,
     TypedPut,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
 from mallowpond.state.assurance import (
@@ -31,7 +31,7 @@
     HeadRead,
     NotAssured,
     PeerAnswer,
-    assess,
+    assess_assurance,
 )
 from mallowpond.state.codec import to_plain
 from mallowpond.state.declarations import Declaration
@@ -121,14 +121,16 @@
 
     def history(self) -> list[VersionRow]:
         """Return the accepted versions, latest first."""
-        rows = [v.value for v in self._shared.below(VERSIONS, VersionRow).values()]
+        rows = [
+            v.value for v in self._shared.with_prefix(VERSIONS, VersionRow).values()
+        ]
         return sorted(rows, key=lambda r: -r.version)
 
     def assurance(self) -> Assured | NotAssured:
         """Tell whether the version in force is known now, and applied here."""
         cell = self._membership.known_cell
         members = cell.members if cell else ()
-        verdict = assess(
+        verdict = assess_assurance(
             member=self._membership.identity.name,
             now=self._clock.now(),
             limit_seconds=self._assurance_seconds,
@@ -172,7 +174,7 @@
         put = TypedPut(key=SHARED + PROPOSAL, value=proposal, expect=0)
         check = Check(key=SHARED + HEAD, version=head.version if head else 0)
         change = transaction(proposal.proposal, put, checks=(check,))
-        match await commit_settled(self._table, change):
+        match await commit_and_resolve(self._table, change):
             case Committed():
                 return Proposed(version=proposal.version, proposal=proposal.proposal)
             case Conflict():
@@ -184,7 +186,7 @@
                 detail = "the table's answer was lost; see the history before retrying"
                 return ProposalRefused(reason="outcome_unknown", detail=detail)
 
-    async def drive(self) -> None:
+    async def advance_proposal(self) -> None:
         """Accept or abort the open proposal, whoever proposed it.
 
         A proposer may die at any step, so every controller drives; the head's
@@ -196,7 +198,7 @@
             return
         now = self._clock.now()
         opened = self._first_seen.setdefault(row.value.proposal, now)
-        cells = self._shared.below(CELLS, CellRow)
+        cells = self._shared.with_prefix(CELLS, CellRow)
         decision = decide_proposal(
             proposal=row.value,
             cells=tuple(c.value for c in cells.values()),
@@ -212,7 +214,7 @@
 
     async def _accept(self, proposal: ProposalRow, row_version: int) -> None:
         head = self._shared.get(HEAD, HeadRow)
-        cells = self._shared.below(CELLS, CellRow)
+        cells = self._shared.with_prefix(CELLS, CellRow)
         checks = [
             Check(key=SHARED + HEAD, version=head.version if head else 0),
             Check(key=SHARED + PROPOSAL, version=row_version),
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -185,8 +185,8 @@
             return
         self.configuration.after_read(asked_at)
         await self.renew()
-        await self.membership.move_epoch()
-        await self.configuration.drive()
+        await self.membership.advance_epoch()
+        await self.configuration.advance_proposal()
 
     async def renew(self) -> None:
         """Renew the member row."""
@@ -207,7 +207,7 @@
         vouch, cell = peer.vouch(asked_at), peer.membership.known_cell
         self.clock.time += delay
         if cell is not None:
-            self.membership.note_cell(cell)
+            self.membership.adopt_cell(cell)
         self.configuration.record_peer_answer(vouch)
 
     def vouch(self, asked_at: float) -> PeerAnswer:
@@ -223,7 +223,7 @@
         )
 
 
-def make_node(
+def make_controller(
     name: str,
     table: MemoryTable,
     clock: FakeClock,
@@ -282,7 +282,7 @@
         nodes[0].clock.time += 0.5
 
 
-def document(*deployments: Deployment) -> str:
+def configuration_text(*deployments: Deployment) -> str:
     """Return a configuration text that declares these deployments."""
     lines = []
     for one in deployments:
