--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -70,9 +70,9 @@
         checks_fencing: bool,
         can_plan: Callable[[], bool],
         cores: float = 0.0,
-        notes: UnreadableLog | None = None,
+        unreadable_log: UnreadableLog | None = None,
     ) -> None:
-        self._notes = notes or UnreadableLog()
+        self._notes = unreadable_log or UnreadableLog()
         self._name = name
         self._cores = cores
         self._incarnation = incarnation
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -122,9 +122,9 @@
         table: TableService,
         clock: Clock,
         make_heartbeat: Callable[[], Heartbeat],
-        notes: UnreadableLog | None = None,
+        unreadable_log: UnreadableLog | None = None,
     ) -> None:
-        self._notes = notes or UnreadableLog()
+        self._notes = unreadable_log or UnreadableLog()
         self._name = name
         self._incarnation = incarnation
         self._address = address
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -88,7 +88,7 @@
         clock: Clock,
         store_clock: StoreClock,
         rng: random.Random,
-        notes: UnreadableLog,
+        unreadable_log: UnreadableLog,
     ) -> None:
         self._name = name
         self._quarantine = quarantine
@@ -97,7 +97,7 @@
         self._clock = clock
         self._store_clock = store_clock
         self._rng = rng
-        self._notes = notes
+        self._notes = unreadable_log
         self._news: ResendSchedule[str] = ResendSchedule(
             clock=clock, pauses=TELL_PAUSES, at_once=RECORDS_AT_ONCE
         )
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -80,7 +80,7 @@
         self._budgets: dict[str, RetryWindow] = {}
         self._traffic = TrafficSeen(seen=not settings.first_start)
         self.metrics = metrics or NodeMetrics()
-        notes = UnreadableLog(counter=self.metrics.unreadable)
+        unreadable_log = UnreadableLog(counter=self.metrics.unreadable)
         self.configuration = ConfigurationFollower(
             source=ports.source, clock=clock, revoke_seconds=settings.bounds.revoke
         )
@@ -92,7 +92,7 @@
             table=ports.table,
             clock=clock,
             make_heartbeat=self._describe,
-            notes=notes,
+            unreadable_log=unreadable_log,
         )
         quarantine = Quarantine(clock=clock, metrics=self.metrics)
         self.quarantine_sharing = QuarantineSharing(
@@ -103,7 +103,7 @@
             clock=clock,
             store_clock=self.configuration.store_clock,
             rng=self._rng,
-            notes=notes,
+            unreadable_log=unreadable_log,
         )
         self.rate_limits = RateLimits(
             name=settings.name,
@@ -156,7 +156,7 @@
             checks_fencing=settings.bounds.checks_fencing,
             cores=settings.cores,
             can_plan=self._can_plan,
-            notes=notes,
+            unreadable_log=unreadable_log,
         )
         self.planner = GroupPlanner(
             configuration=self.configuration,
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -79,7 +79,7 @@
             clock=fleet.clock,
             store_clock=store_clock,
             rng=random.Random(1),
-            notes=UnreadableLog(),
+            unreadable_log=UnreadableLog(),
         )
 
     def beat(self):
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -46,9 +46,11 @@
 class PlatformEngines:
     """Speak to engines and plain services."""
 
-    def __init__(self, *, http: HttpClient, notes: UnreadableLog | None = None) -> None:
+    def __init__(
+        self, *, http: HttpClient, unreadable_log: UnreadableLog | None = None
+    ) -> None:
         self._http = http
-        self._notes = notes or UnreadableLog()
+        self._notes = unreadable_log or UnreadableLog()
 
     async def send(
         self,
--- a/mallowpond/platform/program.py
+++ b/mallowpond/platform/program.py
@@ -56,13 +56,15 @@
     """Run a node until it is told to stop."""
     http = HttpClient(connect_seconds=CONNECT_SECONDS)
     metrics = NodeMetrics()
-    notes = UnreadableLog(counter=metrics.unreadable)
+    unreadable_log = UnreadableLog(counter=metrics.unreadable)
     counts = CallCounts(clock=BootClock(), metric=metrics.store_calls)
-    store = PlatformStore(http=http, address=settings.store, notes=notes, counts=counts)
+    store = PlatformStore(
+        http=http, address=settings.store, unreadable_log=unreadable_log, counts=counts
+    )
     ports = NodePorts(
         callers=PlatformCallers(),
         source=store,
-        targets=PlatformEngines(http=http, notes=notes),
+        targets=PlatformEngines(http=http, unreadable_log=unreadable_log),
         table=store,
     )
     node = build(
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -54,13 +54,13 @@
         *,
         http: HttpClient,
         address: str,
-        notes: UnreadableLog | None = None,
+        unreadable_log: UnreadableLog | None = None,
         counts: CallCounts | None = None,
     ) -> None:
         self._http = http
         self._counts = counts or CallCounts(clock=BootClock())
         self._address = address
-        self._notes = notes or UnreadableLog()
+        self._notes = unreadable_log or UnreadableLog()
 
     # -- the configuration and the list of targets --------------------------
 
--- a/mallowpond/platform/tests/test_store.py
+++ b/mallowpond/platform/tests/test_store.py
@@ -329,8 +329,10 @@
     counter = NodeMetrics().unreadable
     rows = [{**GOOD, "key": "i-1", "value": "%%%"}, row("i-3", {**ENTRY, "slots": -1})]
     body = json.dumps({"rows": rows, "ver": 4}).encode()
-    notes = UnreadableLog(counter=counter)
-    store = PlatformStore(http=FixedHttp(body), address="", notes=notes)
+    unreadable_log = UnreadableLog(counter=counter)
+    store = PlatformStore(
+        http=FixedHttp(body), address="", unreadable_log=unreadable_log
+    )
     await store.targets(5)
     assert counter.labels("target", "bytes")._value.get() == 1
     assert counter.labels("target", "range")._value.get() == 1
