--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -72,7 +72,7 @@
         cores: float = 0.0,
         unreadable_log: UnreadableLog | None = None,
     ) -> None:
-        self._notes = unreadable_log or UnreadableLog()
+        self._unreadable_log = unreadable_log or UnreadableLog()
         self._name = name
         self._cores = cores
         self._incarnation = incarnation
@@ -192,7 +192,7 @@
         if self._unchanged_since is None or self._unchanged_since[0] != version:
             self._unchanged_since = (version, now)
             if isinstance(lease, Unreadable):
-                self._notes.record("lease", LEASE_KEY, lease)
+                self._unreadable_log.record("lease", LEASE_KEY, lease)
             return False
         return now - self._unchanged_since[1] > limit
 
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -97,7 +97,7 @@
         self._clock = clock
         self._store_clock = store_clock
         self._rng = rng
-        self._notes = unreadable_log
+        self._unreadable_log = unreadable_log
         self._news: ResendSchedule[str] = ResendSchedule(
             clock=clock, pauses=TELL_PAUSES, at_once=RECORDS_AT_ONCE
         )
@@ -259,7 +259,7 @@
         request = row.key.removeprefix(PREFIX)
         found = decode(row.value, QuarantineRow)
         if isinstance(found, Unreadable):
-            self._notes.record("quarantine", request, found)
+            self._unreadable_log.record("quarantine", request, found)
             return True
         age = 0.0
         if found.ended_at is not None:
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -50,7 +50,7 @@
         self, *, http: HttpClient, unreadable_log: UnreadableLog | None = None
     ) -> None:
         self._http = http
-        self._notes = unreadable_log or UnreadableLog()
+        self._unreadable_log = unreadable_log or UnreadableLog()
 
     async def send(
         self,
@@ -147,7 +147,7 @@
         if not isinstance(found, Unreadable):
             found = documents.report(target, found)
         if isinstance(found, Unreadable):
-            self._notes.record("report", target.id, found)
+            self._unreadable_log.record("report", target.id, found)
             return Unavailable(reason=str(found))
         return found
 
@@ -176,7 +176,7 @@
             return Unavailable(reason="another engine answered")
         born = documents.born_of(parse_json(answer.body))
         if isinstance(born, Unreadable):
-            self._notes.record("health", target.id, born)
+            self._unreadable_log.record("health", target.id, born)
             return Unavailable(reason=str(born))
         if None not in (born, target.born) and born != target.born:
             return Unavailable(reason="another process of the engine answered")
