--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -178,14 +178,14 @@
     configurations: deque = field(default_factory=deque)
     reads: deque = field(default_factory=deque)
     listed: deque = field(default_factory=deque)
-    cut: bool = False
+    is_cut_off: bool = False
     asked: list = field(default_factory=list)
     waits: list = field(default_factory=list)
 
     async def configuration(self, since, wait_seconds):
         """Answer with the next configuration."""
         self.waits.append(wait_seconds)
-        if self.cut:
+        if self.is_cut_off:
             return Unavailable(reason="cut off")
         if self.reads:
             return self.reads.popleft()
@@ -205,7 +205,7 @@
     async def targets(self, since):
         """Answer with the next list."""
         self.asked.append(since)
-        if self.cut:
+        if self.is_cut_off:
             return Unavailable(reason="cut off")
         return self.listed.popleft()
 
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -46,9 +46,9 @@
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
-    source.cut = True
+    source.is_cut_off = True
     await directory.refresh()
-    source.cut = False
+    source.is_cut_off = False
     clock.time += 8.0
     source.listed.append(listing(revision=9, whole=True))
     await directory.refresh()
@@ -148,9 +148,9 @@
 async def test_an_unreadable_entry_counts_also_right_after_an_outage():
     head, other = open_group("g")
     directory, source, clock = await directory_of(listing(head, other))
-    source.cut = True
+    source.is_cut_off = True
     await directory.refresh()
-    source.cut = False
+    source.is_cut_off = False
     unreadable = replace(listing(revision=9, whole=False), unreadable=("g0",))
     source.listed.append(unreadable)
     await directory.refresh()
@@ -342,7 +342,7 @@
     directory.apply_change(change(2, *reformed), previous=1)
     before = dict(directory.targets)
     for is_lost in (False, True):
-        source.cut = is_lost
+        source.is_cut_off = is_lost
         await directory.refresh() if is_lost else None
         directory.apply_report(group[1])
         assert directory.targets == before
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -232,7 +232,7 @@
     rig = Rig(free("a"), free("b"))
     await rig.steps(2)
     first = {join.group for join in rig.of_kind(Join)}
-    rig.source.cut = True
+    rig.source.is_cut_off = True
     await rig.directory.refresh()
     for _ in range(80):
         await rig.steps()
@@ -252,7 +252,7 @@
         group=join.group, epoch=join.epoch, rank=0, phase=GroupPhase.READY
     )
     await rig.show(replace(free("a"), model="m", membership=joined))
-    rig.source.cut = True
+    rig.source.is_cut_off = True
     await rig.directory.refresh()
     rig.targets.reports = {"a": EngineReport(orders=1, target=free("a"))}
     target = rig.directory.targets["a"]
@@ -616,7 +616,7 @@
     probe = asyncio.ensure_future(rig.planner._probes.probe(asked))
     await asyncio.sleep(0)
     await rig.show(restarted("g1"))
-    rig.source.cut = True
+    rig.source.is_cut_off = True
     await rig.directory.refresh()
     ended.set()
     await probe
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -277,7 +277,7 @@
     longer than the time that is kept for closing.
     """
     monkeypatch.setattr(http_server, "FLUSH_SECONDS", 1.0)
-    node = node_over(MonotonicClock(), source=FakeSource(cut=True))
+    node = node_over(MonotonicClock(), source=FakeSource(is_cut_off=True))
 
     async def much(request, exchange):
         await exchange.respond(200, b"x" * 8_000_000)
@@ -308,7 +308,7 @@
     Sequence: the store goes away; the planner's host is stopped.
     Cause: it gave up planning at once, and no other node could take the lease.
     """
-    source = FakeSource(cut=True)
+    source = FakeSource(is_cut_off=True)
     node = node_over(FakeClock(), source=source)
     await node.leadership._acquire()
     await node.configuration.step()
@@ -316,7 +316,7 @@
     for _ in range(3):
         await asyncio.sleep(0)
     assert node.leadership.fence
-    source.cut = False
+    source.is_cut_off = False
     source.configurations.append(SITE)
     await node.configuration.step()
     await stopping
