--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -179,7 +179,7 @@
     reads: deque = field(default_factory=deque)
     listed: deque = field(default_factory=deque)
     is_cut_off: bool = False
-    asked: list = field(default_factory=list)
+    requested_revisions: list = field(default_factory=list)
     waits: list = field(default_factory=list)
 
     async def configuration(self, since, wait_seconds):
@@ -204,7 +204,7 @@
 
     async def targets(self, since):
         """Answer with the next list."""
-        self.asked.append(since)
+        self.requested_revisions.append(since)
         if self.is_cut_off:
             return Unavailable(reason="cut off")
         return self.listed.popleft()
