--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -90,12 +90,12 @@
     directory, source, _ = await directory_of(listing(*group))
     source.listed.append(HistoryLost())
     assert not await directory.refresh()
-    assert source.asked == [0, 1]
+    assert source.requested_revisions == [0, 1]
     other = open_group("h")
     source.listed.append(listing(*group, *other, revision=5))
     await directory.refresh()
     assert serving(directory) == {"g", "h"}
-    assert source.asked == [0, 1, 0]
+    assert source.requested_revisions == [0, 1, 0]
 
 
 async def test_a_group_that_was_slow_is_tried_again():
@@ -224,7 +224,7 @@
     source.listed.append(listing(*group, revision=2))
     directory._full_read_at = float("-inf")
     await directory.refresh()
-    assert source.asked[-1] == 0
+    assert source.requested_revisions[-1] == 0
     assert serving(directory) == set()
     directory.apply_change(
         TargetsRead(revision=3, targets=(group[0],)), previous=directory.last_change
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -199,7 +199,7 @@
     host.receive(digest(last_change=12))
     assert "x" in host.directory.targets
     assert not host.directory._must_read()
-    assert len(host.source.asked) == 1
+    assert len(host.source.requested_revisions) == 1
 
 
 async def test_a_follower_that_missed_a_change_reads_the_list():
@@ -227,7 +227,7 @@
     host.source.listed.append(listing(revision=14, whole=False))
     running = asyncio.create_task(host.directory.run())
     began = host.clock.time
-    while len(host.source.asked) < 2:
+    while len(host.source.requested_revisions) < 2:
         host.receive(digest(last_change=14))
         await asyncio.sleep(0)
     assert host.clock.time - began < MISSED_CHANGE_SECONDS + 0.25
