--- a/mallowpond/node/tests/test_leadership.py
+++ b/mallowpond/node/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who plans, when planners die, freeze, or lose the store."""
+"""Election of the planner when planners crash, pause or lose the store."""
 
 import random
 from dataclasses import dataclass, field
@@ -22,20 +22,20 @@
 
 @dataclass(kw_only=True)
 class FakePeers:
-    """Hold the peers that are heard of."""
+    """Peers whose heartbeats arrive; hosts in `unknown` have never sent any."""
 
     live: list = field(default_factory=list)
     last_planner: Peer | None = None
-    unheard: frozenset = frozenset()
+    unknown: frozenset = frozenset()
 
     def has_stopped_planning(self, node, incarnation):
-        """Tell whether a host that was heard of plans no more."""
-        return node not in self.unheard
+        """Return whether a known host no longer plans."""
+        return node not in self.unknown
 
 
-def heartbeat(name, planning=0, store=True, stopping=False):
-    """Write a peer."""
-    beat = Heartbeat(
+def make_peer(name, planning=0, store=True, stopping=False):
+    """Return a peer that sent such a heartbeat."""
+    heartbeat = Heartbeat(
         node=name,
         incarnation="1",
         address="",
@@ -45,11 +45,11 @@
         stopping=stopping,
         planning=planning,
     )
-    return Peer(heartbeat=beat, heard_at=0.0)
+    return Peer(heartbeat=heartbeat, heard_at=0.0)
 
 
 def leadership_of(name, table, clock, peers=None, checks_fencing=True):
-    """Build a node's leadership that has listened long enough."""
+    """Build a node's leadership and let its discovery time pass."""
     leadership = Leadership(
         name=name,
         incarnation=f"{name}/1",
@@ -93,10 +93,10 @@
 
 
 async def test_a_successor_has_a_higher_number_and_the_old_one_steps_down():
-    """Symptom: two planners give orders at the same time.
+    """Guards against two planners that order at the same time.
 
-    Sequence: a planner is cut off from its peers; another takes over; the cut heals.
-    Cause: the old one went on by what it remembered.
+    A planner was cut off from its peers, another one took over, and when the connection
+    returned, the old one continued to plan without checking its lease.
     """
     clock, table = FakeClock(), MemoryTable()
     old = leadership_of("a", table, clock)
@@ -114,17 +114,16 @@
     clock, table, peers = FakeClock(), MemoryTable(), FakePeers()
     leadership = leadership_of("a", table, clock, peers)
     await leadership.step()
-    peers.live = [heartbeat("b", planning=2)]
+    peers.live = [make_peer("b", planning=2)]
     await leadership.step()
     assert leadership.fence == 0
 
 
 async def test_without_fencing_a_woken_planner_gives_no_order():
-    """Symptom: engines that check no fence take orders of two planners.
+    """Guards against engines that accept orders of two planners without fencing checks.
 
-    Sequence: a planner freezes; its lease lapses and another takes it; the first
-    wakes and acts before it has asked the store.
-    Cause: its lease had no age.
+    A planner paused, its lease expired and another node acquired it. The first planner
+    resumed and sent orders before its next renewal, because its lease did not expire.
     """
     clock, table = FakeClock(), MemoryTable()
     leadership = leadership_of("a", table, clock, checks_fencing=False)
@@ -172,7 +171,7 @@
 
 async def test_nobody_takes_over_from_a_planner_that_is_heard_of():
     clock, table = FakeClock(), MemoryTable()
-    peers = FakePeers(live=[heartbeat("b", planning=4)])
+    peers = FakePeers(live=[make_peer("b", planning=4)])
     leadership = leadership_of("a", table, clock, peers)
     await leadership.step()
     assert leadership.fence == 0
@@ -180,19 +179,19 @@
 
 async def test_a_planner_without_the_store_is_replaced():
     clock, table = FakeClock(), MemoryTable()
-    peers = FakePeers(live=[heartbeat("b", planning=4, store=False)])
+    peers = FakePeers(live=[make_peer("b", planning=4, store=False)])
     leadership = leadership_of("a", table, clock, peers)
     await leadership.step()
     assert leadership.fence == 1
 
 
-def spoil(table, value):
-    """Let another writer put a row in the lease's place."""
+def overwrite_lease(table, value):
+    """Write a value over the lease row, as another writer would."""
     put = Put(key=LEASE_KEY, value=value)
     return table.apply(Transaction(transaction="x", puts=(put,))).version
 
 
-NO_LEASES = [
+INVALID_LEASES = [
     {},
     {"holder": "b", "incarnation": "b/1"},
     {"holder": "b", "incarnation": "b/1", "fence": "3"},
@@ -200,25 +199,26 @@
     {"holder": "b", "incarnation": "b/1", "fence": -1},
     {"holder": "b", "incarnation": "b/1", "fence": 2**60},
     {"holder": 7, "incarnation": "b/1", "fence": 3},
-    # Each holder takes the next number, in a change of its own: no number can be
-    # higher than the version of the row that holds it.
+    # Each holder writes the next number in a transaction of its own, so no number can
+    # be higher than the version of its row.
     {"holder": "b", "incarnation": "b/1", "fence": 40},
 ]
 
 
-@pytest.mark.parametrize("value", NO_LEASES)
+@pytest.mark.parametrize("value", INVALID_LEASES)
 @pytest.mark.parametrize("checks_fencing", [True, False])
 async def test_a_lease_that_cannot_be_read_is_not_free(value, checks_fencing):
-    """Symptom: no node plans any more; or two do, with numbers that engines refuse.
+    """Guards against a fleet without a planner after the lease row was overwritten.
 
-    Sequence: another writer replaces the lease's row by one that is no lease.
-    Cause: its decoding raised in the task that takes the lease, which ended; taken
-    for an absent lease, the next number would have begun at one again.
+    Another writer replaced the row with an invalid one. Its decoding raised an error
+    that ended the task that acquires the lease. Treated as an absent lease instead, the
+    next fencing number would start at 1 again and engines would refuse it, or two nodes
+    would plan.
     """
     clock, table = FakeClock(), MemoryTable()
     for _ in range(6):
         table.apply(Transaction(transaction="y", puts=(Put(key="k/k", value={}),)))
-    version = spoil(table, value)
+    version = overwrite_lease(table, value)
     leadership = leadership_of("a", table, clock, checks_fencing=checks_fencing)
     await leadership.step()
     clock.time += LEASE_SECONDS + RENEW_SECONDS - 0.1
@@ -231,11 +231,11 @@
 
 async def test_a_lease_that_is_spoilt_anew_is_waited_out_anew():
     clock, table = FakeClock(), MemoryTable()
-    spoil(table, {})
+    overwrite_lease(table, {})
     leadership = leadership_of("a", table, clock)
     await leadership.step()
     clock.time += LEASE_SECONDS + RENEW_SECONDS + 0.1
-    spoil(table, {})
+    overwrite_lease(table, {})
     await leadership.step()
     assert leadership.fence == 0
 
@@ -244,7 +244,7 @@
     clock, table = FakeClock(), MemoryTable()
     old = leadership_of("a", table, clock)
     await old.step()
-    spoil(table, {"holder": None})
+    overwrite_lease(table, {"holder": None})
     clock.time += RENEW_SECONDS
     await old.step()
     assert old.fence == 0
@@ -256,14 +256,14 @@
 
 
 async def test_a_row_whose_value_cannot_be_read_at_all_is_not_free():
-    class SpoiltTable(MemoryTable):
+    class UnreadableTable(MemoryTable):
         async def read(self, key):
             return UnreadableRow(key=key, version=7, reason="bytes")
 
-    clock, table = FakeClock(), SpoiltTable()
+    clock, table = FakeClock(), UnreadableTable()
     for _ in range(6):
         table.apply(Transaction(transaction="y", puts=(Put(key="k/k", value={}),)))
-    assert spoil(table, {}) == 7
+    assert overwrite_lease(table, {}) == 7
     leadership = leadership_of("a", table, clock)
     await leadership.step()
     assert leadership.fence == 0
@@ -273,10 +273,10 @@
 
 
 async def test_a_lease_is_confirmed_only_by_its_own_row():
-    """Symptom: two nodes order the same targets.
+    """Guards against two nodes that order the same targets.
 
-    Sequence: a planner stands still, another takes the lease; or the store is away.
-    Cause: the lease was believed in without a look at its row.
+    A planner paused while another one acquired the lease, or while the store was
+    unreachable, and then trusted its lease without checking the row.
     """
     clock, table = FakeClock(), MemoryTable()
     first, second = (leadership_of(name, table, clock) for name in "ab")
@@ -292,18 +292,18 @@
 
 
 async def test_a_host_that_has_not_heard_the_planner_does_not_replace_it():
-    """Symptom: at a fleet's start the lease changes hands five times in a second, and
-    ends with a host of half of a core.
+    """Guards against a lease that changes its holder over and over at a fleet's start.
 
-    Sequence: the strongest host takes the lease; a weaker one, which has just started,
-    has not heard of it yet and finds itself the first of those that it knows.
-    Cause: only heartbeats told it that another one plans; the row was there to read.
+    The strongest host held the lease. A weaker host had just started, had no heartbeat
+    of it yet, and ranked first among the hosts that it knew, so it took the lease
+    without checking the row. The lease changed hands five times in a second and ended
+    with a host that had half a core.
     """
     clock, table = FakeClock(), MemoryTable()
     holder = leadership_of("a", table, clock)
     await holder.step()
     assert holder.fence == 1
-    other = leadership_of("b", table, clock, FakePeers(unheard={"a"}))
+    other = leadership_of("b", table, clock, FakePeers(unknown={"a"}))
     for _ in range(40):
         clock.time += 0.2
         await holder.step()
@@ -322,7 +322,7 @@
 async def test_a_lease_that_nobody_renews_is_taken_from_a_host_that_is_not_known():
     clock, table = FakeClock(), MemoryTable()
     await leadership_of("a", table, clock).step()
-    other = leadership_of("b", table, clock, FakePeers(unheard={"a"}))
+    other = leadership_of("b", table, clock, FakePeers(unknown={"a"}))
     await other.step()
     assert other.fence == 0
     clock.time += UNRENEWED_SECONDS + 0.1
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The parts of a node together, over fakes."""
+"""The components of a node together, over fakes of its ports."""
 
 import asyncio
 import socket
@@ -55,7 +55,7 @@
 
 
 def rig_over(node, clock, targets, source):
-    """Let streams be served by a node over fakes."""
+    """Return a rig that serves streams through a node over fakes."""
     return Rig(
         clock=clock,
         targets=targets,
@@ -66,7 +66,7 @@
 
 
 def heartbeat(running):
-    """Write a peer's heartbeat with so many streams on the only group."""
+    """Return a peer's heartbeat with this many streams on the only group."""
     return Heartbeat(
         node="b",
         incarnation="1",
@@ -81,10 +81,10 @@
 
 
 async def test_a_waiting_stream_starts_when_a_peer_frees_a_place():
-    """Symptom: streams wait for a second although groups have places.
+    """Guards against streams that wait for a second although groups have free slots.
 
-    Sequence: all places are taken by other hosts' streams, which end.
-    Cause: only the end of this host's own streams woke the ones that wait.
+    All slots were used by streams of other hosts. When those ended, nothing woke the
+    waiting streams: only the end of this host's own streams did.
     """
     clock, targets = FakeClock(), FakeTargets()
     source = FakeSource(listed=deque([listing(*open_group("g"))]))
@@ -105,10 +105,10 @@
 
 
 async def test_a_stop_tells_callers_when_this_host_ends():
-    """Symptom: a stopping host takes streams until its last moment and cuts them.
+    """Guards against a stopping host that admits streams it then has to cut off.
 
-    Sequence: a stop begins; the host serves on while the balancer takes it out.
-    Cause: what is taken did not depend on how long the host still runs.
+    While the balancer removed the host, it admitted streams until its shutdown, without
+    comparing their length with the time left.
     """
     clock = FakeClock()
     node = node_over(clock)
@@ -119,35 +119,34 @@
 
 
 @dataclass(kw_only=True)
-class GatedClock(FakeClock):
-    """Stand still for sleepers from a time on, until the test moves it."""
+class PausableClock(FakeClock):
+    """Blocks sleepers once the time is past `pauses_at`, until the test raises it."""
 
-    until: float = float("inf")
+    pauses_at: float = float("inf")
 
     async def sleep(self, seconds):
-        """Move the time on, and wait while it is past the gate."""
+        """Advance the time, and block while it is past `pauses_at`."""
         await super().sleep(seconds)
-        while self.time > self.until:
+        while self.time > self.pauses_at:
             await asyncio.sleep(0.001)
 
 
 def get(path):
-    """Write a request on a connection that is kept."""
+    """Return the bytes of a request that keeps its connection open."""
     return f"GET {path} HTTP/1.1\r\nhost: h\r\n\r\n".encode()
 
 
 async def test_connections_of_before_a_stop_bring_no_requests_to_its_end():
-    """A caller's stream was cut in the middle when its host ended after a planned stop.
-
-    The host had been told to stop 5.6 s and 7.2 s before it took the two streams that
-    it cut, and the balancer had sent it no new connection for 3.9 s: at 16.756 s its
-    readiness failed, at 20.633 s and 22.152 s the streams came, at 22.352 s, the end of
-    its grace time, both were closed. They came on connections that had been open before
-    the stop. Such a connection was idle, or carried an answer that began before the
-    stop and so did not say that it would close, and it brought requests to the host
-    until its last moment.
+    """Guards against streams cut off by a planned stop because they arrive too late.
+
+    Two streams arrived 5.6 s and 7.2 s after their host was told to stop, although the
+    balancer had sent it no new connection for 3.9 s: its readiness failed at 16.756 s,
+    the streams arrived at 20.633 s and 22.152 s, and both were closed at 22.352 s, the
+    end of its grace time. They used connections opened before the stop, which were idle
+    or carried a response that began before the stop and so did not announce that the
+    connection would close. Such connections brought requests until the shutdown.
     """
-    clock = GatedClock()
+    clock = PausableClock()
     node = node_over(clock)
     ends = {"/first": asyncio.Event(), "/last": asyncio.Event()}
 
@@ -171,14 +170,14 @@
             writer.write(get(path))
             await reader.readuntil(b"\r\n\r\n")
         await idle.readuntil(b"0\r\n\r\n")
-        clock.until = clock.now() + LAME_DUCK_SECONDS + 0.5
+        clock.pauses_at = clock.now() + LAME_DUCK_SECONDS + 0.5
         stopping = asyncio.create_task(node.drain())
         assert await idle.read() == b""
         ends["/first"].set()
         assert await first.read() == b"0\r\n\r\n"
         assert not stopping.done()
         ends["/last"].set()
-        clock.until = float("inf")
+        clock.pauses_at = float("inf")
         assert await last.read() == b"0\r\n\r\n"
         await stopping
     for _, writer in connections:
@@ -187,14 +186,14 @@
 
 
 async def test_a_stop_waits_for_a_request_that_was_read_in_its_last_moment():
-    """A call was passed on and cut off 3 ms later, when its host ended as planned.
+    """Guards against a call that is forwarded and cut off 3 ms later by a planned stop.
 
     The host was told to stop at 24.000 s; the call reached its target at 27.238 s, and
-    its connection closed at 27.241 s. A request counted only from the first step of its
-    handler, one pass of the loop after it was read, so one that was read as the host
-    looked for requests in progress was not seen.
+    its connection closed at 27.241 s. A request counted as in progress only from the
+    first step of its handler, one iteration of the event loop after it was read. One
+    that was read just before the host checked for requests in progress was missed.
     """
-    clock = GatedClock()
+    clock = PausableClock()
     node = node_over(clock)
     server, end = node.ingress.server, asyncio.Event()
 
@@ -209,13 +208,13 @@
     async with asyncio.timeout(5.0):
         while not server._busy:
             await asyncio.sleep(0.001)
-        clock.until = clock.now() + LAME_DUCK_SECONDS + 0.5
+        clock.pauses_at = clock.now() + LAME_DUCK_SECONDS + 0.5
         stopping = asyncio.create_task(node.drain())
-        while clock.now() < clock.until and not stopping.done():
+        while clock.now() < clock.pauses_at and not stopping.done():
             await asyncio.sleep(0.001)
         assert not stopping.done()
         end.set()
-        clock.until = float("inf")
+        clock.pauses_at = float("inf")
         await stopping
         await server.close()
         assert (await reader.read()).startswith(b"HTTP/1.1 200")
@@ -224,13 +223,13 @@
 
 @pytest.mark.parametrize("frees", [False, True])
 async def test_a_stop_ends_no_request_that_waits_for_a_place_without_an_answer(frees):
-    """A request that no engine had seen got a closed connection at a planned stop.
+    """Guards against a closed connection for a request that no engine has received.
 
-    It waited for a place while its host stopped, and the host closed at the end of its
-    grace time with the request in its line. Where a place came free just before, the
-    stream was sent to an engine although nothing but its cut was left to come.
+    The request waited for a slot while its host was stopping, and was still queued when
+    the host closed at the end of its grace time. If a slot was freed just before, the
+    stream was sent to an engine although it could only be cut off.
     """
-    clock, targets = GatedClock(), FakeTargets()
+    clock, targets = PausableClock(), FakeTargets()
     source = FakeSource(listed=deque([listing(*open_group("g"))]))
     node = node_over(clock, source=source, targets=targets)
     await node.directory.refresh()
@@ -253,14 +252,14 @@
     async with asyncio.timeout(5.0):
         while not server._busy:
             await asyncio.sleep(0.001)
-        clock.until = clock.now() + SETTINGS.bounds.grace - CLOSING_SECONDS - 0.2
+        clock.pauses_at = clock.now() + SETTINGS.bounds.grace - CLOSING_SECONDS - 0.2
         stopping = asyncio.create_task(node.drain())
-        while clock.now() < clock.until:
+        while clock.now() < clock.pauses_at:
             await asyncio.sleep(0.001)
         if frees:
             node._on_heartbeat(heartbeat(0))
             await asyncio.sleep(0.05)
-        clock.until = float("inf")
+        clock.pauses_at = float("inf")
         await stopping
         await server.close()
         got = await reader.read()
@@ -270,11 +269,11 @@
 
 
 async def test_a_node_closes_its_servers_at_the_same_time(monkeypatch):
-    """The end of an answer was dropped when its host was killed while it closed.
+    """Guards against the loss of an answer's end when the host is killed while closing.
 
-    Each server waits for what still goes out, and a node closed them one after another,
-    the callers' last: with a reader of its metrics that had stopped reading, that took
-    longer than the time that is kept for closing.
+    Each server waits until its last bytes are sent, and a node closed its servers one
+    after another, the callers' server last. With a metrics client that had stopped
+    reading, this took longer than the time reserved for closing.
     """
     monkeypatch.setattr(http_server, "FLUSH_SECONDS", 1.0)
     node = node_over(MonotonicClock(), source=FakeSource(is_cut_off=True))
@@ -303,10 +302,10 @@
 
 
 async def test_a_planner_that_stops_while_the_store_is_away_plans_to_its_end():
-    """Symptom: groups that lose a member in a store outage stay down until its end.
+    """Guards against groups that lose a member in a store outage and stay down.
 
-    Sequence: the store goes away; the planner's host is stopped.
-    Cause: it gave up planning at once, and no other node could take the lease.
+    The planner's host was stopped while the store was unreachable. It stopped planning
+    at once, although no other node could acquire the lease before the outage ended.
     """
     source = FakeSource(is_cut_off=True)
     node = node_over(FakeClock(), source=source)
@@ -324,11 +323,11 @@
 
 
 async def test_callers_that_wait_at_a_start_meet_a_host_that_knows_its_routes():
-    """Symptom: a host that has just started refuses the callers that waited for it.
+    """Guards against a host that refuses the callers that waited for its start.
 
-    Sequence: callers connect while a host loads its program; it serves them at once,
-    some milliseconds before the store has told it the configuration.
-    Cause: nothing kept them for the two answers of the store that are under way.
+    Callers connected while the host loaded its program. It served them at once, some
+    milliseconds before the two answers of the store that bring the configuration and
+    the targets.
     """
     source = FakeSource(
         configurations=deque([SITE]), listed=deque([listing(*open_group("g"))] * 99)
@@ -369,9 +368,10 @@
 
 
 async def test_callers_of_a_host_that_has_just_started_wait_for_its_first_read():
-    """Guard against refusing, for good, whoever comes again after a loss of all hosts.
+    """Guards against refusing the only retry of callers after a loss of all hosts.
 
-    The first read of a large configuration by many hosts takes longer than a start.
+    When many hosts read a large configuration at once, the read takes longer than a
+    start.
     """
     source = FakeSource(configurations=deque([SITE]))
     node = node_over(FakeClock(), source=source)
@@ -383,12 +383,12 @@
     assert not exchange.started
     await node.configuration.step()
     await handling
-    # It is refused for want of a route, which only a configuration tells.
+    # The refusal for a missing route shows that the configuration was used.
     assert exchange.status == 404
 
 
 async def test_a_place_that_another_host_frees_goes_to_who_waits_at_the_dispatcher():
-    """Guard against a line that is looked at only when this host's own streams end."""
+    """Guards against a queue that only the end of this host's own streams wakes."""
     clock, targets = FakeClock(), FakeTargets()
     source = FakeSource(listed=deque([listing(*open_group("g"))]))
     node = node_over(clock, source=source, targets=targets)
@@ -407,16 +407,16 @@
 
 
 async def test_a_host_tells_the_dispatcher_at_once_that_a_stream_has_ended():
-    """Guard against places that stay taken until a host tells its work next."""
+    """Guards against slots that count as used until the host's next periodic report."""
     clock, targets = FakeClock(), FakeTargets()
     source = FakeSource(listed=deque([listing(*open_group("g"))]))
     node = node_over(clock, source=source, targets=targets)
     await node.directory.refresh()
     targets.script("g0", answer(1))
-    told = []
-    node.readers.send_work_to_dispatcher = lambda: told.append(
+    sent = []
+    node.readers.send_work_to_dispatcher = lambda: sent.append(
         node.directory.loads.own_loads()
     )
     rig = rig_over(node, clock, targets, source)
     await node.streams.serve(rig.work(FakeExchange()))
-    assert told == [{}]
+    assert sent == [{}]
