--- a/mallowpond/coordination/claims.py
+++ b/mallowpond/coordination/claims.py
@@ -114,7 +114,7 @@
 
 
 class ClaimCommitter:
-    """Decide claim operations against the stored rows and commit them in batches."""
+    """Decides claim operations by the stored rows and commits them in batches."""
 
     def __init__(
         self,
@@ -138,8 +138,8 @@
     def unanswered(self) -> int:
         """Return the number of operations without an answer.
 
-        The length of the queue would not do: it leaves out the operations whose
-        transaction is under way, which a stop would then cancel.
+        This includes operations that have left the queue but whose transaction is still
+        under way; a stop that did not wait for them would cancel it.
         """
         return self._unanswered
 
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -61,9 +61,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProposalRefused:
-    """The change was not proposed; after `outcome_unknown`, it may have been.
+    """The change was not proposed, or with `outcome_unknown` it may have been.
 
-    `reason` is one of the reasons that operators get.
+    `reason` is a reason code for operators.
     """
 
     reason: str
--- a/mallowpond/coordination/group_rows.py
+++ b/mallowpond/coordination/group_rows.py
@@ -170,7 +170,7 @@
         deletes: tuple[str, ...] = (),
         checks: tuple[Check, ...] = (),
     ) -> bool:
-        """Commit changes unless a row changed since it was read; return the success."""
+        """Commit changes if their rows are unchanged; return whether it took effect."""
         unchanged = (Check(key=SHARED + k, version=v) for k, (_, v) in changes.items())
         rows = ((SHARED + key, row) for key, (row, _) in changes.items())
         change = Transaction(
--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -140,7 +140,8 @@
         }
         self._state_since = {key: self._state_since.get(key, now) for key in present}
 
-    def _age(self, group: GroupRow) -> float:
+    def _state_age(self, group: GroupRow) -> float:
+        """Return the seconds since the group entered its state."""
         key = (group.group, group.state, group.generation)
         return self._clock.now() - self._state_since.get(key, self._clock.now())
 
@@ -195,7 +196,7 @@
             await self._rows.commit(changes)
 
     def _is_drained(self, group: GroupRow) -> bool:
-        age = self._age(group)
+        age = self._state_age(group)
         if age >= self._timings.drain_limit:
             return True
         # Gateways learn of the draining within the settle time. An engine that is idle
@@ -266,7 +267,7 @@
         )
 
     def _is_lost(self, member: GroupMember, group: GroupRow) -> bool:
-        """Return whether a member is silent, restarted, left, or loads for too long."""
+        """Return whether a member is silent, restarted, unloaded or slow to load."""
         status = self._watch.recent_status(member.host)
         if status is None:
             return True
@@ -274,7 +275,7 @@
             return True
         if group.state is not GroupState.LOADING:
             return not confirms_member(status, member, group)
-        return self._age(group) >= self._timings.forming_limit
+        return self._state_age(group) >= self._timings.forming_limit
 
     def _has_carried_out_order(self, row: HostRow) -> bool:
         status = self._watch.recent_status(row.host)
@@ -350,9 +351,7 @@
         """Send the stored orders that are not carried out; a repetition is harmless."""
         addresses = {host.name: host.address for host in hosts}
         deployments = {d.name: d for d in declaration.deployments}
-        open_rows = [
-            await self._adopt(n, r) for n, r in self._unfinished_orders(addresses)
-        ]
+        open_rows = [await self._adopt(n, r) for n, r in self._rows_to_order(addresses)]
         # The lease is checked after all commits and right before sending, since an
         # engine that ignores fencing obeys a holder whose lease has expired.
         lease = self._lease.current
@@ -365,7 +364,7 @@
         ]
         await self._orders.send(orders)
 
-    def _unfinished_orders(
+    def _rows_to_order(
         self, addresses: dict[str, str]
     ) -> list[tuple[str, Versioned[HostRow]]]:
         """Return the rows of reachable hosts whose engines do not match them yet."""
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -83,7 +83,7 @@
 
     @property
     def identity(self) -> MemberIdentity:
-        """Return who this controller is."""
+        """Return the name, cell, addresses and incarnation of this controller."""
         return self._identity
 
     @property
@@ -161,10 +161,14 @@
             self._peer_cell = cell
 
     async def refresh(self) -> bool:
-        """Read the cell's rows and record new heartbeats; return the success."""
+        """Read the cell's rows and record new heartbeats.
+
+        Return whether the rows could be read.
+        """
         if not await self._cell_view.refresh():
             return False
         now = self._clock.now()
+        # A time between two reads of more than half a lease counts as an outage.
         if self._read_at is not None:
             outage = now - self._read_at - self._lease_seconds / 2
             if outage > 0:
--- a/mallowpond/coordination/orders.py
+++ b/mallowpond/coordination/orders.py
@@ -78,9 +78,9 @@
         return replace(row, earlier=remaining) if remaining != row.earlier else None
 
     def with_withdrawn_orders(self, row: HostRow) -> HostRow | None:
-        """Return the row without this process's orders that can no longer arrive.
+        """Return the row after withdrawing the own orders that can no longer arrive.
 
-        Return None if there are none. The last order is marked as withdrawn instead.
+        Earlier ones are dropped, the last one is marked. Return None if there are none.
         """
         earlier = tuple(o for o in row.earlier if not self._cannot_arrive(o, row))
         changed = replace(row, earlier=earlier)
--- a/mallowpond/coordination/ports.py
+++ b/mallowpond/coordination/ports.py
@@ -100,7 +100,7 @@
 
 
 class TableService(Protocol):
-    """Read and change rows of the platform's transactional table service.
+    """Reads and changes rows of the platform's transactional table service.
 
     A row can be unreadable only in tables that other programs can write to.
     """
--- a/mallowpond/coordination/tests/test_claims.py
+++ b/mallowpond/coordination/tests/test_claims.py
@@ -10,8 +10,8 @@
 async def test_work_counts_as_waiting_until_its_transaction_has_ended():
     """A planned stop of a controller must not leave a claim without a verdict.
 
-    The stop waits until no claim is unfinished. A claim whose transaction was under
-    way had left the queue and was not counted, so the stop cancelled its transaction.
+    The stop waits until no operation is unanswered. One whose transaction is under way
+    has left the queue; if it were not counted, the stop would cancel its transaction.
     """
     reading, read = asyncio.Event(), asyncio.Event()
 
--- a/mallowpond/coordination/tests/test_configuration.py
+++ b/mallowpond/coordination/tests/test_configuration.py
@@ -138,7 +138,7 @@
     """Gateways must not refuse requests for as long as the table is unreachable.
 
     A member joins, one controller reads the new epoch, and the table becomes
-    unreachable. The others stayed an epoch behind, so they agreed with no peer.
+    unreachable. The others are an epoch behind and would agree with no peer.
     """
     table, clock, controllers = await three_controllers()
     fourth = make_controller("d", table, clock)
--- a/mallowpond/coordination/tests/test_groups.py
+++ b/mallowpond/coordination/tests/test_groups.py
@@ -118,8 +118,9 @@
 async def test_lost_member_is_replaced_and_the_group_waits_for_all(fault, phase):
     """A group must not serve with a member that has nothing loaded.
 
-    A member dies or restarts while its group forms, loads or serves. READY depended on
-    the number of hosts and not on what each member confirmed.
+    A member dies or restarts while its group forms, loads or serves. The group would
+    serve without it if READY depended on the number of hosts and not on what each
+    member confirmed.
     """
     site = await Site().start()
     await site.tick_until_ordered()
@@ -167,8 +168,8 @@
 async def test_group_that_waits_for_its_lost_member_is_not_ready():
     """A group with a dead member must count as down and not as serving.
 
-    A member dies and its domain has no replacement. The row stayed READY until a repair
-    could be planned.
+    A member dies and its domain has no replacement. The group counts as serving if its
+    row stays READY until a repair can be planned.
     """
     site = await ready_site(size=5)
     (group,) = site.groups
@@ -195,7 +196,7 @@
     """A planner must not delete every group at once, since all must then load again.
 
     The planner has not read the host list yet, or is cut off from the engines. A group
-    with no visible member was treated as one without members.
+    with no visible member must not be treated as one without members.
     """
     site = await ready_site()
     before = site.groups
@@ -238,7 +239,7 @@
     """Two planners must not send orders to the same hosts.
 
     The owner is paused for longer than the lease and resumes in the middle of a step.
-    It relied on the lease row, which it had not read again.
+    It must not rely on the lease row, which it has not read again.
     """
     site = await Site(controllers="ab").start()
     await site.tick_until_ordered()
@@ -269,8 +270,8 @@
 async def test_older_holder_cannot_bind_hosts_that_nobody_touched():
     """Two planners must not form more groups together than declared.
 
-    The former holder resumes, considers its lease valid, and finds unassigned hosts.
-    Only the rows of the hosts were checked, not the row of the lease.
+    The former holder resumes, considers its lease valid, and finds unassigned hosts. It
+    succeeds if only the rows of the hosts are checked and not the row of the lease.
     """
     site = await Site(controllers="ab", size=2).start()
     await site.tick_until_ordered()
@@ -291,8 +292,8 @@
     """A former holder must not form more groups than declared on unassigned hosts.
 
     A holder is paused before its first plan; another takes over and plans. The first
-    one resumes, considers its lease valid, and sees only unassigned hosts. Nothing in
-    its transaction depended on the lease.
+    one resumes, considers its lease valid, and sees only unassigned hosts. It succeeds
+    if nothing in its transaction depends on the lease.
     """
     site = await Site(controllers="ab", size=2).start()
     while not any(n.lease.current for n in site.controllers):
@@ -313,8 +314,8 @@
     """A host must not be in two groups of one planner.
 
     The answer to a commit is lost and the table cannot be read afterwards, so the
-    planner plans again from the rows that it read before. The host's row was written
-    without a check of its version.
+    planner plans again from the rows that it read before. The host gets a second group
+    if its row is written without a check of its version.
     """
     site = await Site(size=2).start()
     (controller,) = site.controllers
@@ -414,7 +415,7 @@
     """A host with an earlier holder's open order must not join another group.
 
     A controller starts, takes the planner's lease, and plans before it has read the
-    platform's list. A holder's host missing from an empty list counted as gone.
+    platform's list. A holder's host missing from an empty list must not count as gone.
     """
     site, paused, other, late_orders = await pause_owner_before_sending(
         checks_fencing=False
