--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -182,9 +182,9 @@
         if peer is None:
             return False
         heartbeat = peer.heartbeat
-        is_able = heartbeat.store and not heartbeat.stopping
+        can_plan = heartbeat.store and not heartbeat.stopping
         return heartbeat.incarnation != incarnation or not (
-            is_able and peer.is_live(self._clock.now())
+            can_plan and peer.is_live(self._clock.now())
         )
 
     @property
@@ -232,7 +232,7 @@
             self._transport.close()
 
     async def run_heartbeats(self) -> None:
-        """Send heartbeats until cancelled."""
+        """Send heartbeats to all peers until cancelled."""
         while True:
             self.send_heartbeat()
             await self._clock.sleep(self.interval)
@@ -240,7 +240,7 @@
     async def run_candidate_heartbeats(self) -> None:
         """Send heartbeats among the candidates of a large fleet until cancelled."""
         while True:
-            if self._uses_candidate_pace:
+            if self._sends_candidate_heartbeats:
                 heartbeat = replace(
                     self._make_heartbeat(), interval=CANDIDATE_HEARTBEAT_SECONDS
                 )
@@ -248,20 +248,20 @@
             await self._clock.sleep(CANDIDATE_HEARTBEAT_SECONDS)
 
     @property
-    def _uses_candidate_pace(self) -> bool:
+    def _sends_candidate_heartbeats(self) -> bool:
         return self.is_large_fleet and self.is_candidate
 
     def send_heartbeat(self) -> None:
         """Send a heartbeat to all peers but those that get more frequent ones."""
         heartbeat = self._make_heartbeat()
-        if not self._uses_candidate_pace:
+        if not self._sends_candidate_heartbeats:
             self.broadcast(heartbeat)
             return
         others = self._addresses.keys() - self.candidates
         self.send_to(heartbeat, others)
 
     async def run_node_rows(self) -> None:
-        """Write this node's row once, and read those of others, until cancelled."""
+        """Write this node's row, then read the others' at intervals until cancelled."""
         written = False
         while True:
             written = written or await self._write_row()
@@ -305,7 +305,7 @@
         )
 
     def ask_group_progress(self, key: GroupKey, silent: float) -> None:
-        """Ask every peer whether a group makes progress, after `silent` seconds."""
+        """Ask every peer whether a group makes progress that is silent here."""
         self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
         )
@@ -377,8 +377,8 @@
                 _notify(self.on_group_broken, message)
             case Vouch(targets=targets):
                 for target in targets:
-                    for notify in self.on_target_healthy:
-                        notify(target)
+                    for record_healthy in self.on_target_healthy:
+                        record_healthy(target)
             case SilenceQuestion(node=asker, group=group, epoch=epoch):
                 address = self._addresses.get(asker)
                 if address and any(
@@ -443,7 +443,7 @@
         else:
             known.heartbeat, known.heard_at = heartbeat, now
         _notify(self.on_heartbeat, heartbeat)
-        if is_new and self._uses_candidate_pace:
+        if is_new and self._sends_candidate_heartbeats:
             # A host that has just started must learn which hosts read and plan before
             # the next regular heartbeat, which comes seconds later.
             self.send_to(self._make_heartbeat(), (heartbeat.node,))
