--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -122,9 +122,9 @@
         table: TableService,
         clock: Clock,
         make_heartbeat: Callable[[], Heartbeat],
-        notes: UnreadableLog | None = None,
+        unreadable_log: UnreadableLog | None = None,
     ) -> None:
-        self._notes = notes or UnreadableLog()
+        self._unreadable_log = unreadable_log or UnreadableLog()
         self._name = name
         self._incarnation = incarnation
         self._address = address
@@ -358,7 +358,7 @@
         """Decode a datagram and pass the message to its listeners."""
         message = read_message(data)
         if isinstance(message, Unreadable):
-            self._notes.record("datagram", addr[0], message)
+            self._unreadable_log.record("datagram", addr[0], message)
             return
         try:
             self._handle_message(message)
@@ -481,7 +481,7 @@
             name = row.key.removeprefix(NODES_PREFIX)
             node = decode(row.value, NodeRow)
             if isinstance(node, Unreadable):
-                self._notes.record("node", name, node)
+                self._unreadable_log.record("node", name, node)
             elif name != self._name:
                 self._addresses.setdefault(name, node.address)
         return True
--- a/mallowpond/node/tests/test_configuration.py
+++ b/mallowpond/node/tests/test_configuration.py
@@ -32,11 +32,11 @@
     assert not follower.is_confirmed
     await follower.step()
     assert follower.is_confirmed
-    source.cut = True
+    source.is_cut_off = True
     clock.time += 5.0
     await follower.step()
     assert not follower.is_confirmed
-    source.cut = False
+    source.is_cut_off = False
     await follower.step()
     assert follower.is_confirmed
 
@@ -132,7 +132,7 @@
 async def test_a_store_that_does_not_answer_ends_the_wait_for_the_first_version():
     """Guard against keeping callers waiting who cannot be served soon."""
     follower, source, _ = follower_of(3)
-    source.cut = True
+    source.is_cut_off = True
     waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
     await follower.step()
     async with asyncio.timeout(1.0):
--- a/mallowpond/node/tests/test_directory.py
+++ b/mallowpond/node/tests/test_directory.py
@@ -46,9 +46,9 @@
     """
     group = open_group("g")
     directory, source, clock = await directory_of(listing(*group))
-    source.cut = True
+    source.is_cut_off = True
     await directory.refresh()
-    source.cut = False
+    source.is_cut_off = False
     clock.time += 8.0
     source.listed.append(listing(revision=9, whole=True))
     await directory.refresh()
@@ -90,12 +90,12 @@
     directory, source, _ = await directory_of(listing(*group))
     source.listed.append(HistoryLost())
     assert not await directory.refresh()
-    assert source.asked == [0, 1]
+    assert source.requested_revisions == [0, 1]
     other = open_group("h")
     source.listed.append(listing(*group, *other, revision=5))
     await directory.refresh()
     assert serving(directory) == {"g", "h"}
-    assert source.asked == [0, 1, 0]
+    assert source.requested_revisions == [0, 1, 0]
 
 
 async def test_a_group_that_was_slow_is_tried_again():
@@ -148,9 +148,9 @@
 async def test_an_unreadable_entry_counts_also_right_after_an_outage():
     head, other = open_group("g")
     directory, source, clock = await directory_of(listing(head, other))
-    source.cut = True
+    source.is_cut_off = True
     await directory.refresh()
-    source.cut = False
+    source.is_cut_off = False
     unreadable = replace(listing(revision=9, whole=False), unreadable=("g0",))
     source.listed.append(unreadable)
     await directory.refresh()
@@ -224,7 +224,7 @@
     source.listed.append(listing(*group, revision=2))
     directory._full_read_at = float("-inf")
     await directory.refresh()
-    assert source.asked[-1] == 0
+    assert source.requested_revisions[-1] == 0
     assert serving(directory) == set()
     directory.apply_change(
         TargetsRead(revision=3, targets=(group[0],)), previous=directory.last_change
@@ -342,7 +342,7 @@
     directory.apply_change(change(2, *reformed), previous=1)
     before = dict(directory.targets)
     for is_lost in (False, True):
-        source.cut = is_lost
+        source.is_cut_off = is_lost
         await directory.refresh() if is_lost else None
         directory.apply_report(group[1])
         assert directory.targets == before
--- a/mallowpond/node/tests/test_readers.py
+++ b/mallowpond/node/tests/test_readers.py
@@ -199,7 +199,7 @@
     host.receive(digest(last_change=12))
     assert "x" in host.directory.targets
     assert not host.directory._must_read()
-    assert len(host.source.asked) == 1
+    assert len(host.source.requested_revisions) == 1
 
 
 async def test_a_follower_that_missed_a_change_reads_the_list():
@@ -227,7 +227,7 @@
     host.source.listed.append(listing(revision=14, whole=False))
     running = asyncio.create_task(host.directory.run())
     began = host.clock.time
-    while len(host.source.asked) < 2:
+    while len(host.source.requested_revisions) < 2:
         host.receive(digest(last_change=14))
         await asyncio.sleep(0)
     assert host.clock.time - began < MISSED_CHANGE_SECONDS + 0.25
@@ -286,7 +286,7 @@
     store again, as the change was still missing.
     """
     host = await follower(*open_group("g"))
-    host.source.cut = True
+    host.source.is_cut_off = True
     host.receive(digest(last_change=14))
     host.clock.time += MISSED_CHANGE_SECONDS + 0.01
     host.receive(digest(last_change=14))
@@ -306,7 +306,7 @@
     ended the state in which lapsed entries are expected to return.
     """
     host = await follower(*open_group("g"))
-    host.source.cut = True
+    host.source.is_cut_off = True
     assert not await host.directory.refresh()
     assert host.directory.is_list_lost
     host.receive(digest(last_change=10))
@@ -573,7 +573,7 @@
         return Unavailable(reason="busy")
 
     host.source.configuration = configuration
-    host.source.cut = True
+    host.source.is_cut_off = True
     running = asyncio.create_task(host.configuration.run())
     until = host.clock.time + seconds
     while host.clock.time < until:
@@ -612,7 +612,7 @@
     await host.configuration.step()
     names = [f"n{number}" for number in range(9) if number != 5]
     host.receive(*(heartbeat_of(other, store=False) for other in names))
-    host.source.cut = True
+    host.source.is_cut_off = True
     await host.configuration.step()
     assert not host.configuration.is_store_reachable
     host.receive(heartbeat_of(names[0], store=False))
@@ -621,7 +621,7 @@
     assert host.configuration._is_store_back.is_set()
     assert not host.configuration._may_ask_readers()
     host.receive(heartbeat_of(names[1], store=True))
-    host.source.cut = False
+    host.source.is_cut_off = False
     await host.configuration.step()
     assert host.configuration.is_store_reachable
     host.receive(heartbeat_of(names[2], store=True))
@@ -691,7 +691,7 @@
     reader = await reader_with(3, b"3")
     host = Host("n9")
     host.receive(heartbeat_of("n0"), heartbeat_of("n1"))
-    host.source.cut = True
+    host.source.is_cut_off = True
     await host.configuration.step()
     (question,) = host.outbox_of(ConfigurationQuestion)
     reader.receive(heartbeat_of("n9"), question)
