--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""What the planner orders, and what it holds back, over fakes."""
+"""Orders that the planner sends or withholds, over fakes."""
 
 import asyncio
 from collections import deque
@@ -34,64 +34,64 @@
 
 
 class FakeLeadership:
-    """Hold the lease."""
+    """A planner's lease that is held until `holds_lease` or `fence` is changed."""
 
     def __init__(self):
         self.fence = 3
         self.renewal_age = 0.0
         self.on_acquired = []
-        self.confirms = True
-        self.asked = 0
+        self.holds_lease = True
+        self.confirm_count = 0
 
     async def confirm(self):
-        """Tell whether the lease is still held."""
-        self.asked += 1
-        return self.confirms
+        """Count the call and return `holds_lease`."""
+        self.confirm_count += 1
+        return self.holds_lease
 
 
 class FakeWatch:
-    """Remember what was retired and cleared."""
+    """Records the groups whose suspicion was cleared."""
 
     def __init__(self):
         self.on_suspect = []
         self.cleared = []
 
     def exclude_closing(self, key):
-        """Send nothing new to a group."""
+        """Do nothing."""
 
     def clear(self, key):
-        """Trust a group again."""
+        """Record the group."""
         self.cleared.append(key)
 
 
 class FakePeers:
-    """Remember what was vouched for; other hosts answer as `finds` says."""
+    """Records targets reported as healthy; other hosts answer from `liveness`."""
 
     def __init__(self):
-        self.vouched = []
+        self.reported_healthy = []
         self.live = []
-        self.finds = {}
-        self.asked = []
+        self.liveness = {}
+        self.queried = []
         self.on_liveness_question = []
         self.on_liveness_answer = []
 
     def broadcast_suspicion(self, key, *, cleared=False, closing=False):
-        """Tell nobody."""
+        """Do nothing."""
 
     def broadcast_target_healthy(self, target):
-        """Remember the target."""
-        self.vouched.append(target)
+        """Record the target."""
+        self.reported_healthy.append(target)
 
     def ask_liveness(self, node, number, target):
-        """Have another host answer."""
-        self.asked.append(target)
-        answer = LivenessAnswer(node=node, number=number, alive=self.finds[target])
-        for note in self.on_liveness_answer:
-            note(answer)
+        """Answer at once in another host's place."""
+        self.queried.append(target)
+        answer = LivenessAnswer(node=node, number=number, alive=self.liveness[target])
+        for callback in self.on_liveness_answer:
+            callback(answer)
 
 
 def free(name):
-    """Write a target without a group that has the weights."""
+    """Return a target that has the weights and is in no group."""
     return Target(
         id=name,
         service="engines",
@@ -105,7 +105,7 @@
 
 
 class Rig:
-    """Run a planner step by step."""
+    """Runs a planner step by step over fakes and a fake clock."""
 
     def __init__(self, *targets, profile=PROFILE):
         self.clock, self.targets = FakeClock(), FakeTargets()
@@ -136,7 +136,7 @@
         )
 
     async def steps(self, count=1):
-        """Plan, and let the orders end."""
+        """Plan `count` times, and let the orders finish after each plan."""
         if self.configuration.configuration is None:
             await self.configuration.step()
         for _ in range(count):
@@ -145,23 +145,23 @@
                 await asyncio.sleep(0)
             self.clock.time += 0.1
 
-    async def show(self, *targets, removed=()):
-        """Let the list show these targets."""
+    async def update_list(self, *targets, removed=()):
+        """Change the list to contain these targets, and have it read."""
         self.source.listed = deque(
             [listing(*targets, revision=9, removed=removed, whole=False)]
         )
         await self.directory.refresh()
 
-    def of_kind(self, kind):
-        """Return the orders of one kind."""
+    def orders_of(self, kind):
+        """Return the steps of one kind that were ordered."""
         return [order[0] for order in self.targets.orders if isinstance(order[0], kind)]
 
 
 async def test_a_new_planner_reads_the_list_before_it_orders():
-    """Symptom: a new planner takes apart what the last one has just formed.
+    """Guards against a new planner that dissolves a group formed just before.
 
-    Sequence: a node that read the list before a group was formed becomes planner.
-    Cause: it planned on the list that it had.
+    The node had read the list before the previous planner formed the group, and planned
+    on that outdated list.
     """
     rig = Rig(free("g0"), free("g1"))
     await rig.directory.refresh()
@@ -179,7 +179,7 @@
 async def test_targets_with_weights_become_a_group_and_open():
     rig = Rig(free("a"), free("b"))
     await rig.steps(2)
-    joins = rig.of_kind(Join)
+    joins = rig.orders_of(Join)
     assert {join.target.id for join in joins} == {"a", "b"}
     (group,) = {join.group for join in joins}
     (epoch,) = {join.epoch for join in joins}
@@ -193,9 +193,9 @@
         )
         for rank, name in enumerate(joins[0].members)
     ]
-    await rig.show(*ready)
+    await rig.update_list(*ready)
     await rig.steps()
-    (order,) = rig.of_kind(Open)
+    (order,) = rig.orders_of(Open)
     assert order.target.id == joins[0].members[0]
 
 
@@ -209,49 +209,49 @@
 
 
 async def test_no_order_goes_to_a_target_whose_place_has_changed_since():
-    """Symptom: a host stands in two groups after a change of planners.
+    """Guards against a host that is in two groups after a change of planners.
 
-    Sequence: the old planner's join is taken just after the new one has read the
-    list; the new one asks for the count of orders, which includes that join.
-    Cause: the count let an order through that was planned without the join.
+    The old planner's join was accepted just after the new planner had read the list.
+    The new one then fetched the count of orders, which included that join, so the host
+    accepted an order that was planned without it.
     """
     rig = Rig(free("a"), free("b"))
     joined = member("a", "old", 0)
     rig.targets.reports = {"a": EngineReport(orders=1, target=joined)}
     await rig.steps(2)
-    assert {order.target.id for order in rig.of_kind(Join)} == {"b"}
+    assert {order.target.id for order in rig.orders_of(Join)} == {"b"}
 
 
 async def test_a_join_that_the_list_shows_late_is_not_followed_by_another():
-    """Symptom: a host joins a second group while its first one is open.
+    """Guards against a host that joins a second group while its first one is open.
 
-    Sequence: a join is taken; the store is away, so the list shows the target free;
-    after the time in which orders show, it looks free for another group.
-    Cause: what was ordered was forgotten before the list could show it.
+    A join was accepted while the store was unreachable, so the list still showed the
+    target as free. The accepted order was discarded after the usual time for its effect
+    to be listed, and the target was used for another group.
     """
     rig = Rig(free("a"), free("b"))
     await rig.steps(2)
-    first = {join.group for join in rig.of_kind(Join)}
+    first = {join.group for join in rig.orders_of(Join)}
     rig.source.is_cut_off = True
     await rig.directory.refresh()
     for _ in range(80):
         await rig.steps()
-    assert {join.group for join in rig.of_kind(Join)} == first
+    assert {join.group for join in rig.orders_of(Join)} == first
 
 
 async def test_a_report_says_nothing_of_an_order_that_it_may_not_show_yet():
-    """Symptom: a host joins a second group during a store outage.
+    """Guards against a host that joins a second group during a store outage.
 
-    Sequence: a join is taken; the target's report, which lags, shows it free.
-    Cause: the report was taken for what the target holds now.
+    A join was accepted, but the target's report, which lags behind, still showed it as
+    free and was used as its current state.
     """
     rig = Rig(free("a"), free("b"))
     await rig.steps(2)
-    (join, *_) = rig.of_kind(Join)
+    (join, *_) = rig.orders_of(Join)
     joined = Membership(
         group=join.group, epoch=join.epoch, rank=0, phase=GroupPhase.READY
     )
-    await rig.show(replace(free("a"), model="m", membership=joined))
+    await rig.update_list(replace(free("a"), model="m", membership=joined))
     rig.source.is_cut_off = True
     await rig.directory.refresh()
     rig.targets.reports = {"a": EngineReport(orders=1, target=free("a"))}
@@ -276,7 +276,7 @@
     rig.targets.report = silent
     rig.watch.on_suspect[0](("g", 1))
     await rig.steps(3)
-    assert {order.target.id for order in rig.of_kind(Leave)} == {"g0"}
+    assert {order.target.id for order in rig.orders_of(Leave)} == {"g0"}
 
 
 async def test_a_suspicion_is_cleared_when_all_members_answer():
@@ -302,75 +302,75 @@
 
     rig.targets.order = lossy
     await rig.steps(2)
-    (first,) = [join for join in rig.of_kind(Join) if join.target.id == "b"]
+    (first,) = [join for join in rig.orders_of(Join) if join.target.id == "b"]
     joined = Membership(
         group=first.group, epoch=first.epoch, rank=1, phase=GroupPhase.READY
     )
-    await rig.show(free("a"), replace(free("b"), model="m", membership=joined))
+    await rig.update_list(free("a"), replace(free("b"), model="m", membership=joined))
     await rig.steps(10)
-    joins = rig.of_kind(Join)
+    joins = rig.orders_of(Join)
     assert [join.target.id for join in joins].count("a") == 2
     assert len({(join.group, join.epoch) for join in joins}) == 1
 
 
-def placed(name, join, rank, phase=GroupPhase.READY):
-    """Write a target as the list shows it after it has joined."""
+def joined_target(name, join, rank, phase=GroupPhase.READY):
+    """Return a target as it is listed after it has joined a group."""
     place = Membership(group=join.group, epoch=join.epoch, rank=rank, phase=phase)
     return replace(free(name), model="m", membership=place)
 
 
 async def test_members_that_left_a_group_do_not_join_it_again():
-    """Symptom: two hosts stand in a group of three for the rest of the day, and serve
-    nobody; a third group waits for them.
+    """Guards against members that stay in a group that can never be complete.
 
-    Sequence: a group is formed; a member falls out of the list and the group is closed;
-    the members leave, and are ordered to join the same formation again.
-    Cause: the formation was kept for its first seconds although its group was over.
+    A group was formed, a member dropped out of the list, and the group was closed. Its
+    members left and were ordered to join the same formation again, because the
+    formation was kept for its first seconds although its group had ended. Two hosts
+    stayed in a group of three for the rest of the day and served no requests, while
+    another group lacked members.
     """
     rig = Rig(free("a"), free("b"))
     await rig.steps(2)
-    first = rig.of_kind(Join)[0]
+    first = rig.orders_of(Join)[0]
     head, other = first.members
-    await rig.show(placed(head, first, 0), placed(other, first, 1))
+    await rig.update_list(joined_target(head, first, 0), joined_target(other, first, 1))
     rig.planner._closed.add((first.group, first.epoch))
     rig.planner._probes._lost[rig.directory.targets[other].process] = rig.clock.now()
     await rig.steps(1)
-    assert [order.target.id for order in rig.of_kind(Leave)] == [head]
+    assert [order.target.id for order in rig.orders_of(Leave)] == [head]
     rig.planner._probes._lost.clear()
-    await rig.show(free(head))
+    await rig.update_list(free(head))
     await rig.steps(5)
-    assert [j for j in rig.of_kind(Join)[2:] if j.group == first.group] == []
+    assert [j for j in rig.orders_of(Join)[2:] if j.group == first.group] == []
 
 
 async def test_a_target_that_joined_again_does_not_count_as_free():
-    """Symptom: the planner orders a target into another group over and over, and holds
-    each of these orders back.
+    """Guards against joins that are planned and withheld over and over.
 
-    Sequence: a target leaves a group and joins it again.
-    Cause: the leave was remembered beyond the join.
+    A target left a group and joined it again, but the planner still took it to have
+    left, and planned to have it join another group.
     """
     rig = Rig(free("a"), free("b"))
     await rig.steps(2)
-    join = rig.of_kind(Join)[0]
+    join = rig.orders_of(Join)[0]
     leave = Leave(target=join.target, group=join.group, epoch=join.epoch)
     rig.planner._book.record_taken(leave, rig.clock.now())
     rig.planner._book.record_taken(join, rig.clock.now())
-    shown = placed(join.target.id, join, 0)
+    shown = joined_target(join.target.id, join, 0)
     assert rig.planner._with_latest_state(shown).membership == shown.membership
 
 
 def restarted(name, born=2):
-    """Write the next process of a target: no group, and no weights in use."""
+    """Return a target's next process, which is in no group and uses no weights."""
     return replace(free(name), born=born)
 
 
 async def test_the_count_of_an_earlier_process_is_not_the_next_ones():
-    """Symptom: orders to a target that started again are refused; or one is carried
-    out that was planned before a late order of the earlier process arrived.
+    """Guards against using the order count of an earlier process for the next one.
 
-    Sequence: a target with 7 orders takes a join and starts again under its id; it is
-    ordered into a group once more.
-    Cause: the count of orders was kept by the id alone.
+    A target with 7 orders accepted a join and restarted under its id, and was ordered
+    into a group again. The count was kept by the id alone, so the order was refused, or
+    one was accepted that was planned before a delayed order for the earlier process
+    arrived.
     """
     rig = Rig(free("a"), free("b"))
     rig.targets.reports = {
@@ -379,7 +379,7 @@
     await rig.steps(2)
     rig.targets.reports["a"] = EngineReport(orders=0, target=restarted("a"))
     rig.targets.orders.clear()
-    await rig.show(restarted("a"), free("c"))
+    await rig.update_list(restarted("a"), free("c"))
     await rig.steps(60)
     counts = [count for step, _, count in rig.targets.orders if step.target.id == "a"]
     assert counts
@@ -387,12 +387,11 @@
 
 
 async def test_a_late_answer_of_an_earlier_process_changes_nothing():
-    """Symptom: a target that holds nothing counts as a member, and nothing is ordered
-    of it until that is given up.
+    """Guards against a restarted target that counts as a member and gets no orders.
 
-    Sequence: a join is under way when its target starts again; the answer of the
-    earlier process comes after the list has shown the new one.
-    Cause: the answer was noted for whatever process has the id.
+    The target restarted while a join was in progress, and the earlier process's answer
+    arrived after the list showed the new process. It was recorded for the target's id,
+    whichever process that was.
     """
     rig = Rig(free("a"), free("b"))
     take, answers = rig.targets.order, asyncio.Event()
@@ -404,7 +403,7 @@
 
     rig.targets.order = late
     await rig.steps(2)
-    await rig.show(restarted("a"))
+    await rig.update_list(restarted("a"))
     await rig.steps()
     rig.targets.order = take
     answers.set()
@@ -413,7 +412,7 @@
     assert "a" not in rig.planner._book.busy
     rig.targets.reports["a"] = EngineReport(orders=0, target=restarted("a"))
     rig.targets.orders.clear()
-    await rig.show(free("c"))
+    await rig.update_list(free("c"))
     await rig.steps(60)
     counts = [count for step, _, count in rig.targets.orders if step.target.id == "a"]
     assert counts
@@ -421,59 +420,59 @@
 
 
 async def test_a_load_ends_with_its_process():
-    """Symptom: a target without weights is not told to load any for a minute.
+    """Guards against a target without weights that gets no load order for a minute.
 
-    Sequence: a cold target is told to load and starts again before it has.
-    Cause: the load was remembered by the id, for the longest time of a load.
+    A cold target was ordered to load and restarted before it had finished. The load
+    was recorded by the target's id and kept for the longest time that a load may take.
     """
     cold = replace(free("a"), staged=())
     rig = Rig(cold, profile=replace(PROFILE, loads_per_second=4.5))
     await rig.steps(2)
-    assert len(rig.of_kind(Stage)) == 1
-    await rig.show(replace(cold, born=2))
+    assert len(rig.orders_of(Stage)) == 1
+    await rig.update_list(replace(cold, born=2))
     await rig.steps(15)
-    assert len(rig.of_kind(Stage)) == 2
+    assert len(rig.orders_of(Stage)) == 2
 
 
 async def formed(rig):
-    """Have two free targets form a group; return it as its members show it, ready."""
+    """Have two free targets form a group; return its members, listed as ready."""
     await rig.steps(2)
-    join = rig.of_kind(Join)[0]
-    ready = [placed(name, join, rank) for rank, name in enumerate(join.members)]
-    await rig.show(*ready)
+    join = rig.orders_of(Join)[0]
+    ready = [joined_target(name, join, rank) for rank, name in enumerate(join.members)]
+    await rig.update_list(*ready)
     return ready
 
 
 async def test_a_formation_ends_when_a_member_starts_again():
-    """Symptom: a target is ordered into a group that cannot be whole, over and over,
-    while the others wait in it.
+    """Guards against repeated joins of a group that can never be complete.
 
-    Sequence: two joins are taken; one target starts again before it shows that.
-    Cause: a formation lists ids, and the id was still there.
+    Two joins were accepted, and one target restarted before its membership was listed.
+    A formation lists ids, and the id was still there, so the target was ordered to join
+    again and again while the other members waited.
     """
     rig = Rig(free("a"), free("b"))
     await rig.steps(2)
-    join = rig.of_kind(Join)[0]
-    await rig.show(placed("b", join, join.members.index("b")))
+    join = rig.orders_of(Join)[0]
+    await rig.update_list(joined_target("b", join, join.members.index("b")))
     rig.targets.orders.clear()
-    await rig.show(restarted("a"))
+    await rig.update_list(restarted("a"))
     with structlog.testing.capture_logs() as lines:
         await rig.steps(2)
     ended = [ln for ln in lines if ln["event"] == "planner: member started again"]
     assert [line["group"] for line in ended] == [join.group]
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == ["b"]
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == ["b"]
     await rig.steps(20)
-    again = rig.of_kind(Join)
+    again = rig.orders_of(Join)
     assert {join.target.id for join in again} == {"a", "b"}
     assert {join.epoch for join in again}.isdisjoint({join.epoch for join in [join]})
 
 
 async def test_a_ready_group_is_not_opened_once_a_member_has_started_again():
-    """Symptom: a request begins in a group of which a member holds nothing.
+    """Guards against opening a group of which a member has no weights loaded.
 
-    Sequence: all members show ready; the head's report is awaited for the open, and
-    meanwhile the list shows that a member has started again.
-    Cause: what the plan went by was not looked at again before the order.
+    All members were listed as ready, and the open order waited for the head's report.
+    Meanwhile the list showed that a member had restarted, but the conditions of the
+    plan were not checked again before the order was sent.
     """
     rig = Rig(free("a"), free("b"))
     ready = await formed(rig)
@@ -487,19 +486,19 @@
 
     rig.targets.report = slow
     await rig.steps()
-    await rig.show(restarted(ready[1].id))
+    await rig.update_list(restarted(ready[1].id))
     answer.set()
     await rig.steps(6)
-    assert rig.of_kind(Open) == []
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == [ready[0].id]
+    assert rig.orders_of(Open) == []
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == [ready[0].id]
 
 
 async def test_a_group_is_taken_apart_when_a_member_answers_as_another_process():
-    """Symptom: a group that serves nobody is cleared of suspicion again and again.
+    """Guards against a broken group whose suspicion is cleared again and again.
 
-    Sequence: a member that the list cannot hear crashes and starts again; its group
-    falls silent and is suspected; all members answer the probes.
-    Cause: the probes went by the id, under which the new process answers.
+    A member that was cut off from the list crashed and restarted. Its group fell silent
+    and was suspected, but all members answered the probes: these checked only the id,
+    under which the new process answered.
     """
     rig = Rig(*open_group("g"))
     await rig.steps(2)
@@ -507,30 +506,29 @@
     rig.watch.on_suspect[0](("g", 1))
     await rig.steps(3)
     assert rig.watch.cleared == []
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == ["g0"]
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == ["g0"]
 
 
 async def test_a_target_that_the_list_shows_as_its_earlier_process_joins_nothing():
-    """Symptom: a group waits for a member whose joining no list shows.
+    """Guards against a group that waits for a member whose join is never listed.
 
-    Sequence: a target starts again and cannot tell the list so; its report is asked
-    for before it is ordered to join.
-    Cause: the order went by the list's process and the report's count.
+    A target restarted and could not update its list entry. Its join was planned for the
+    listed process but used the order count that the new process reported.
     """
     rig = Rig(free("a"), free("b"))
     rig.targets.reports["a"] = EngineReport(orders=0, target=restarted("a"))
     await rig.steps(30)
-    assert "a" not in {join.target.id for join in rig.of_kind(Join)}
-    await rig.show(restarted("a"))
+    assert "a" not in {join.target.id for join in rig.orders_of(Join)}
+    await rig.update_list(restarted("a"))
     await rig.steps(20)
-    assert "a" in {join.target.id for join in rig.of_kind(Join)}
+    assert "a" in {join.target.id for join in rig.orders_of(Join)}
 
 
 async def test_no_load_is_ordered_of_a_process_that_the_list_does_not_show():
-    """Symptom: a load is counted against a process that is gone.
+    """Guards against a load that is recorded for a process that has ended.
 
-    Sequence: a cold target starts again; its report is asked for before the load.
-    Cause: the order went to whatever process answers under the id.
+    A cold target restarted, and its report was fetched before the load order. The order
+    was sent to whichever process answered under the id.
     """
     cold = replace(free("a"), staged=())
     rig = Rig(cold, profile=replace(PROFILE, loads_per_second=4.5))
@@ -540,44 +538,42 @@
 
 
 async def test_a_lapsed_target_that_started_again_is_not_vouched_for():
-    """Symptom: streams are sent to a head that holds nothing.
+    """Guards against streams to a restarted head that is in no group.
 
-    Sequence: a head is cut off from the list, crashes and starts again; a health
-    check finds it well.
-    Cause: health is of the new process; the group went with the earlier one.
+    A head was cut off from the list, crashed and restarted, and a health check found it
+    healthy. The check reached the new process, which is not in the earlier one's group.
     """
     rig = Rig(*open_group("g"))
     await rig.steps(2)
     rig.targets.reports["g0"] = EngineReport(orders=0, target=restarted("g0"))
-    await rig.show(removed=("g0",))
+    await rig.update_list(removed=("g0",))
     await rig.steps(5)
-    assert rig.peers.vouched == []
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == ["g1"]
+    assert rig.peers.reported_healthy == []
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == ["g1"]
 
 
 async def test_a_lost_target_that_starts_again_is_free_at_once():
-    """Symptom: a restarted target stays out of use until it is probed again.
+    """Guards against a restarted target that stays unused until its next probe.
 
-    Sequence: two probes of a dead target fail; the list shows its next process.
-    Cause: the loss was remembered by the id.
+    Two probes of a dead target failed, and the list then showed its next process. The
+    loss was recorded by the target's id.
     """
     rig = Rig(free("a"), free("b"))
     rig.targets.reports["a"] = Unavailable(reason="refused")
     await rig.steps(4)
     assert rig.planner._probes.lost == {"a"}
     rig.targets.reports["a"] = EngineReport(orders=0, target=restarted("a"))
-    await rig.show(restarted("a"))
+    await rig.update_list(restarted("a"))
     rig.targets.orders.clear()
     await rig.steps(1)
     assert rig.planner._probes.lost == set()
 
 
 async def test_a_probe_that_fails_late_does_not_lose_the_next_process():
-    """Symptom: a target that has just started is taken for dead.
+    """Guards against a target that counts as lost although it has just started.
 
-    Sequence: a probe is under way when the list shows the target's next process; the
-    probe of the earlier one then ends unanswered.
-    Cause: the answer was noted for whatever process has the id.
+    A probe was in progress when the list showed the target's next process, and then
+    failed. The failure was recorded for the target's id, whichever process that was.
     """
     rig = Rig(*open_group("g"))
     await rig.steps(2)
@@ -591,18 +587,18 @@
     asked = rig.directory.targets["g1"]
     probe = asyncio.ensure_future(rig.planner._probes.probe(asked))
     await asyncio.sleep(0)
-    await rig.show(restarted("g1"))
+    await rig.update_list(restarted("g1"))
     ended.set()
     assert not await probe
     assert rig.planner._probes.lost == set()
 
 
 async def test_a_late_report_of_an_earlier_process_teaches_nothing():
-    """Symptom: a target that holds nothing counts as a member during a store outage.
+    """Guards against a restarted target that counts as a member in a store outage.
 
-    Sequence: a question is under way when the list shows the next process and is then
-    lost; the earlier process's report comes after that.
-    Cause: while the list is lost, a report was taken for whatever process has the id.
+    A report was being fetched when the list showed the target's next process and then
+    became unreadable. The earlier process's report arrived after that and was applied
+    to the target's id, whichever process that was.
     """
     rig = Rig(*open_group("g"))
     await rig.steps(2)
@@ -615,7 +611,7 @@
     rig.targets.report = late
     probe = asyncio.ensure_future(rig.planner._probes.probe(asked))
     await asyncio.sleep(0)
-    await rig.show(restarted("g1"))
+    await rig.update_list(restarted("g1"))
     rig.source.is_cut_off = True
     await rig.directory.refresh()
     ended.set()
@@ -623,59 +619,58 @@
     assert rig.directory.targets["g1"] == restarted("g1")
 
 
-async def suspect_after_answer(seconds, *, answers_for="g1"):
-    """Suspect a group of which a member answers that it stands nowhere."""
+async def suspect_after_report(seconds, *, reporter="g1"):
+    """Suspect a group of which a member reports that it is in no group."""
     rig = Rig(*open_group("g"))
     await rig.steps(round(10 * seconds))
-    rig.targets.reports[answers_for] = EngineReport(orders=0, target=free(answers_for))
+    rig.targets.reports[reporter] = EngineReport(orders=0, target=free(reporter))
     rig.watch.on_suspect[0](("g", 1))
     await rig.steps(3)
     return rig
 
 
 async def test_a_group_is_taken_apart_when_a_member_answers_that_it_stands_nowhere():
-    """Symptom: a group that serves nobody is cleared of suspicion, and its other
-    members stay in it until the list shows what its head knew for seconds.
+    """Guards against clearing the suspicion of a group that has lost a member.
 
-    Sequence: a member that the list cannot hear starts again under its id, on a
-    platform whose targets tell no start; its group refuses streams, is suspected, and
-    all members answer the probes.
-    Cause: only another start told that a member had lost its place.
+    A member that was cut off from the list restarted under its id, on a platform whose
+    targets report no start time. Its group refused streams and was suspected, but all
+    members answered the probes, and only another start time counted as a lost
+    membership. The other members stayed in the group until the list showed what its
+    head had known for seconds.
     """
-    rig = await suspect_after_answer(1.5)
+    rig = await suspect_after_report(1.5)
     assert rig.watch.cleared == []
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == ["g0"]
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == ["g0"]
 
 
 async def test_an_answer_that_may_be_older_than_the_list_takes_no_group_apart():
-    rig = await suspect_after_answer(0.3)
+    rig = await suspect_after_report(0.3)
     assert rig.watch.cleared == [("g", 1)]
-    assert rig.of_kind(Leave) == []
+    assert rig.orders_of(Leave) == []
 
 
 async def test_a_lapsed_head_that_answers_that_it_stands_nowhere_is_not_vouched_for():
-    """Symptom: streams go to a head that turns each of them away.
+    """Guards against streams to a head that refuses all of them.
 
-    Sequence: a head is cut off from the list, starts again, and is found healthy.
-    Cause: health says nothing of the place in a group.
+    A head was cut off from the list, restarted, and passed a health check, which says
+    nothing about its membership in a group.
     """
     rig = Rig(*open_group("g"))
     await rig.steps(15)
     rig.targets.reports["g0"] = EngineReport(orders=0, target=free("g0"))
-    await rig.show(removed=("g0",))
+    await rig.update_list(removed=("g0",))
     await rig.steps(5)
-    assert rig.peers.vouched == []
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == ["g1"]
+    assert rig.peers.reported_healthy == []
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == ["g1"]
 
 
 async def test_a_join_that_another_process_refuses_ends_its_formation_at_once():
-    """Symptom: three targets stand idle for three seconds while groups are missing.
+    """Guards against three targets that are idle for three seconds for no reason.
 
-    Sequence: a target crashes and another process comes at its address while the list
-    shows it on; it is ordered to join, and the answer is that it is not that target.
-    Cause: the formation waited for the join as for one that got lost. The target's
-    report, which another process gives, had fewer orders than were known, so it was
-    taken for late and the join was not even given again.
+    A target crashed and another process started at its address while the target was
+    still listed. Ordered to join, that process answered that it is not the target. The
+    formation waited as for a lost order. The other process also reported fewer orders
+    than were known, so its report counted as outdated and the join was not repeated.
     """
     rig = Rig(*map(free, "abc"))
     take = rig.targets.order
@@ -690,22 +685,24 @@
     rig.targets.order = order
     await rig.steps(2)
     assert len(refused) == 1
-    (join,) = rig.of_kind(Join)
-    await rig.show(placed(join.target.id, join, join.members.index(join.target.id)))
+    (join,) = rig.orders_of(Join)
+    await rig.update_list(
+        joined_target(join.target.id, join, join.members.index(join.target.id))
+    )
     rig.targets.orders.clear()
     await rig.steps(1)
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == [join.target.id]
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == [join.target.id]
     await rig.steps(10)
     assert len(refused) == 1
-    assert {join.target.id for join in rig.of_kind(Join)} == {"b", "c"}
+    assert {join.target.id for join in rig.orders_of(Join)} == {"b", "c"}
 
 
 async def test_no_order_of_an_earlier_term_is_given_under_a_later_number():
-    """Symptom: a target is ordered into a group of which a member has started again.
+    """Guards against a join of a group of which a member has restarted.
 
-    Sequence: joins wait for reports; the node loses the lease and takes it anew, and
-    forgets what it planned; the reports come.
-    Cause: a waiting order took the number of the moment at which it was given.
+    Joins waited for reports while the node lost the lease, acquired it again and
+    discarded its plans. When the reports arrived, the waiting orders were sent under
+    the new fencing number.
     """
     rig = Rig(free("a"), free("b"))
     answer, ask = asyncio.Event(), rig.targets.report
@@ -726,30 +723,30 @@
 
 
 async def test_a_new_planner_knows_which_members_started_again_before_its_term():
-    """Symptom: a group serves nobody until its head says that it is broken.
+    """Guards against a broken group that is kept until its head reports it as broken.
 
-    Sequence: a member starts again and registers; another node becomes planner.
-    Cause: the new planner knew only the processes that its first list showed.
+    A member restarted and registered, and another node became the planner. It knew only
+    the processes of the first list that it read as planner.
     """
     rig = Rig(*open_group("g"))
     rig.leadership.fence = 0
     await rig.directory.refresh()
     await rig.steps()
-    await rig.show(restarted("g1"))
+    await rig.update_list(restarted("g1"))
     rig.leadership.fence = 5
     for notify in rig.leadership.on_acquired:
         notify()
     rig.source.listed.append(listing(revision=10, whole=False))
     await rig.steps(3)
-    assert [leave.target.id for leave in rig.of_kind(Leave)] == ["g0"]
+    assert [leave.target.id for leave in rig.orders_of(Leave)] == ["g0"]
 
 
 async def test_no_target_joins_a_formation_that_is_over():
-    """Symptom: a target stands in a group that nobody else is ordered into.
+    """Guards against a target that joins a group that no other target will join.
 
-    Sequence: a join waits for a report for longer than its formation is kept; a second
-    group is planned meanwhile; the report comes.
-    Cause: a waiting join was given whatever had become of its formation.
+    A join waited for a report for longer than its formation is kept, and a second group
+    was planned meanwhile. When the report arrived, the join was sent without a check
+    that its formation still existed.
     """
     rig = Rig(free("a"), free("b"))
     answer, ask = asyncio.Event(), rig.targets.report
@@ -762,7 +759,7 @@
     await rig.steps(60)
     answer.set()
     await rig.steps(3)
-    joins = rig.of_kind(Join)
+    joins = rig.orders_of(Join)
     assert {(join.group, join.epoch) for join in joins} == set(rig.planner._formations)
 
 
@@ -770,18 +767,19 @@
 async def test_a_planner_that_stood_still_asks_for_its_lease_before_it_orders(
     is_planned,
 ):
-    """Symptom: a target joins a group while the head of its own is open.
-
-    Sequence: a planner has ordered a group and stands still for 1.4 s; another one
-    takes the lease after 0.9 s, adopts the group and opens its head, the only one that
-    learns the new number. The first one wakes and orders the members, which it takes
-    for free, into another group: seen in a run of 41 processes, where two members took
-    the join 11 ms after their planner woke, 0.35 s after their head had been opened.
-    Cause: a number guards only those who have seen it, and no pause was looked for.
+    """Guards against a target that joins a group while the head of its own is open.
+
+    A planner ordered a group and paused for 1.4 s. Another node acquired the lease
+    after 0.9 s, adopted the group and opened its head, the only member that received
+    the new fencing number. The first planner resumed, considered the members free and
+    ordered them into another group. In a run of 41 processes, two members accepted that
+    join 11 ms after their planner resumed and 0.35 s after their head was opened. A
+    fencing number protects only members that have received it, and a planner did not
+    check whether it had paused.
     """
     rig = Rig(free("a"), free("b"))
     if is_planned:
-        # The count of a target is being asked for as the process stops.
+        # The process pauses while it fetches a target's order count.
         answer, ask = asyncio.Event(), rig.targets.report
 
         async def slow(target):
@@ -799,25 +797,25 @@
         await rig.planner.step()
         rig.clock.time += 1.4
     assert rig.targets.orders == []
-    rig.planner._leadership.confirms = False
+    rig.planner._leadership.holds_lease = False
     await rig.steps(5)
     assert rig.targets.orders == []
-    rig.planner._leadership.confirms = True
-    # A formation of which nothing shows is given up after 4 s.
+    rig.planner._leadership.holds_lease = True
+    # A formation without any listed member is dropped after 4 s.
     await rig.steps(60)
-    assert len(rig.of_kind(Join)) >= 2
+    assert len(rig.orders_of(Join)) >= 2
 
 
 async def test_a_planner_that_runs_on_asks_for_its_lease_no_more():
     rig = Rig(free("a"), free("b"))
     await rig.steps(20)
-    asked = rig.planner._leadership.asked
+    confirm_count = rig.planner._leadership.confirm_count
     await rig.steps(50)
-    assert rig.planner._leadership.asked == asked
+    assert rig.planner._leadership.confirm_count == confirm_count
 
 
 def other_host():
-    """Write another host that lives."""
+    """Return another host as a live peer."""
     beat = Heartbeat(
         node="other",
         incarnation="1",
@@ -832,7 +830,7 @@
 
 
 async def silent_fleet(*, alive):
-    """Have every report fail at a planner of 16 open groups in two domains."""
+    """Have every report fail for a planner of 16 open groups in two domains."""
     groups = [open_group(f"g{number}") for number in range(16)]
     members = [
         replace(t, domain=f"d{number % 2}")
@@ -841,7 +839,7 @@
     ]
     rig = Rig(*members)
     rig.peers.live = [other_host()]
-    rig.peers.finds = dict.fromkeys((t.id for t in members), alive)
+    rig.peers.liveness = dict.fromkeys((t.id for t in members), alive)
     await rig.steps(2)
     for target in members:
         rig.targets.reports[target.id] = Unavailable(reason="timeout")
@@ -851,16 +849,17 @@
 
 
 async def test_a_planner_that_hears_nothing_does_not_take_the_fleet_for_dead():
-    """Symptom: 852 of 1,095 targets are lost within a second, none of which is down.
+    """Guards against taking targets for lost because the planner's host is overloaded.
 
-    Sequence: a planner has more calls under way than its host can read; their answers
-    are late, and their groups are taken apart.
-    Cause: the planner's own trouble was taken for that of each target.
+    A planner had more calls in progress than its host could read. Their answers were
+    late, 852 of 1,095 targets counted as lost within a second although none was down,
+    and their groups were dissolved.
     """
     rig = await silent_fleet(alive=True)
-    # Up to the doubt its own finding counts: so many may well die together.
+    # Until the planner doubts its own findings they count: so many targets may indeed
+    # fail together.
     assert len(rig.planner._probes.lost) < 8
-    assert len(rig.of_kind(Leave)) < 32
+    assert len(rig.orders_of(Leave)) < 32
 
 
 async def test_targets_that_another_host_finds_silent_too_are_lost():
@@ -869,10 +868,10 @@
 
 
 async def test_calls_to_targets_wait_for_their_turn():
-    """Symptom: a planner orders 1,095 joins at once and reads none of the answers.
+    """Guards against a planner that sends 1,095 joins at once and reads no answer.
 
-    Sequence: a fleet starts with its engines free; the first plan is for all of them.
-    Cause: each order began at once, however many were under way.
+    A fleet started with all engines free, and the first plan was for all of them. Each
+    order began at once, however many were in progress.
     """
     targets = [replace(free(f"t{n:03}"), domain=f"d{n % 4}") for n in range(400)]
     rig = Rig(*targets)
@@ -890,7 +889,7 @@
 
     rig.targets.report = slow_report
     await rig.steps(30)
-    assert len(rig.of_kind(Join)) > 300
+    assert len(rig.orders_of(Join)) > 300
     assert most <= 64
 
 
@@ -906,7 +905,7 @@
 
 
 async def test_a_target_whose_answers_say_that_it_leaves_gets_no_new_group():
-    """Guards against groups formed of a target that only its answers tell leaves."""
+    """Guards against groups with a target that is leaving but not listed so."""
     rig = Rig(free("e0"), free("e1"))
     await rig.directory.refresh()
     notice = TargetNotice(is_leaving=True)
@@ -920,13 +919,13 @@
     "notice", [TargetNotice(rate_limit=0.1), TargetNotice(backoff_seconds=9.0)]
 )
 async def test_a_target_that_wants_no_request_gets_no_health_check(notice):
-    """Guards against health checks that take a slot of a target in need."""
+    """Guards against health checks that take a slot of an overloaded target."""
     rig = Rig(*open_group("g"))
     await rig.steps(2)
     rig.availability.record_notice(rig.directory.targets["g0"], notice, rig.clock.now())
-    await rig.show(removed=("g0",))
+    await rig.update_list(removed=("g0",))
     await rig.steps(5)
-    assert rig.peers.vouched == []
+    assert rig.peers.reported_healthy == []
 
 
 async def test_a_health_check_counts_against_a_rate_limit():
@@ -936,7 +935,7 @@
     rig.availability.record_notice(head, TargetNotice(rate_limit=1.0), rig.clock.now())
     rig.clock.time += 1.0
     assert rig.availability.can_send(head)
-    await rig.show(removed=("g0",))
+    await rig.update_list(removed=("g0",))
     await rig.steps(2)
-    assert rig.peers.vouched == ["g0"]
+    assert rig.peers.reported_healthy == ["g0"]
     assert not rig.availability.can_send(head)
