--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -25,8 +25,8 @@
 from mallowpond.state.fleet import BreakCause, GroupKey, Process, Target
 from mallowpond.state.rate_limit import TargetLimit
 
-# Interval between heartbeats, in seconds: the loads known of a peer are at most about
-# two passes of a group old.
+# Interval between heartbeats, in seconds. The loads known of a peer are at most as old
+# as about two passes of a group's engines.
 HEARTBEAT_SECONDS = 0.1
 # Longest heartbeat interval that a peer may announce, in seconds: above that of the
 # largest fleet. With a longer one a dead peer would count as live for too long.
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Vouch:
-    """Report that probes found targets healthy that are missing from the list."""
+    """Report that probes found targets healthy that the target list lacks."""
 
     node: Name
     targets: tuple[Identifier, ...]
