--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -1,4 +1,4 @@
-"""Let calls wait for their turn while as many are under way as this host can read."""
+"""Limit concurrent calls to as many as this host can read the answers of in time."""
 
 import asyncio
 from collections import deque
@@ -10,7 +10,7 @@
 
 
 class CallGate:
-    """Admit calls in their order, as many at once as the window allows."""
+    """Admits calls in order of arrival, as many at once as the window allows."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
@@ -20,12 +20,12 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many calls wait for their turn."""
+        """Return how many calls wait for admission."""
         return len(self._waiting)
 
     @asynccontextmanager
     async def admit(self) -> AsyncIterator[None]:
-        """Wait for a turn and hold it."""
+        """Wait until the call is admitted, and count it until the context ends."""
         if self._waiting or self._running >= self._window.limit:
             await self._wait()
         else:
@@ -37,29 +37,29 @@
             self._admit_waiting()
 
     def record_result(self, *, answered: bool) -> None:
-        """Count how a call ended."""
+        """Adapt the window to a call that was answered or not."""
         if answered:
             self._window.record_success()
         else:
             self._window.record_timeout(self._clock.now())
 
     async def _wait(self) -> None:
-        turn = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
+        admitted = asyncio.get_running_loop().create_future()
+        self._waiting.append(admitted)
         try:
-            await turn
+            await admitted
         except asyncio.CancelledError:
-            if turn in self._waiting:
-                self._waiting.remove(turn)
-            elif turn.done() and not turn.cancelled():
-                # The turn was given just before: it goes to the next one.
+            if admitted in self._waiting:
+                self._waiting.remove(admitted)
+            elif admitted.done() and not admitted.cancelled():
+                # Admitted just before it was cancelled: the next call takes its place.
                 self._running -= 1
                 self._admit_waiting()
             raise
 
     def _admit_waiting(self) -> None:
         while self._waiting and self._running < self._window.limit:
-            turn = self._waiting.popleft()
-            if not turn.done():
+            admitted = self._waiting.popleft()
+            if not admitted.done():
                 self._running += 1
-                turn.set_result(None)
+                admitted.set_result(None)
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -1,4 +1,7 @@
-"""Serve requests of plain services: whole answers, at most once where declared."""
+"""Serve requests of plain services, whose answers are sent to the caller complete.
+
+A request may run once or more than once, as its route declares.
+"""
 
 import asyncio
 from collections import defaultdict
@@ -18,33 +21,39 @@
 
 log = structlog.get_logger()
 
-# Time for which a target that failed gets work only when no other is there, in
-# seconds: a target that fails part of its requests mostly fails the next one too.
+# Time for which a target that failed is chosen only when there is no other, in seconds:
+# a target that fails part of its requests mostly fails the next one too.
 AVOID_SECONDS = 2.0
-# Share of the time left that a first send of an idempotent request may take before
-# it is sent to another target.
+# Share of the time left that a send of an idempotent request may take, unless it is the
+# last one allowed, before the request is sent to another target.
 FIRST_SEND_SHARE = 0.45
-# Time left below which a request is not sent any more, in seconds.
-LEAST_SECONDS = 0.01
-# Time to come back when no target of the service is listed, in seconds.
+# Time left below which a request is no longer sent, in seconds.
+MIN_SECONDS_LEFT = 0.01
+# Base of the Retry-After of a refusal when no target of the service is listed, in
+# seconds.
 NO_TARGET_RETRY_SECONDS = 0.5
-# Sends that were proved not to have run, at most, for one request.
-MAX_NOT_RUN = 4
+# Maximum number of repeats after sends that provably did not run, for one request.
+MAX_NOT_RUN_REPEATS = 4
 
 
 @dataclass(kw_only=True)
 class TargetRecord:
-    """Count the work of a target's process here and remember its failures."""
+    """Requests in flight from this host to a target's process, and its failures."""
 
-    running: int = 0
+    in_flight: int = 0
     avoided_until: float = 0.0
-    # The entry at whose address another target answered.
+    # The listed entry at whose address another target answered.
     misdirected: Target | None = None
 
 
 @dataclass(kw_only=True)
 class CallWork:
-    """Hold the state of one request while it is served."""
+    """State of one request while it is served.
+
+    deadline: on the node's clock, in seconds.
+    sent_to: processes where the request runs, ran, or may have run.
+    rejected_by: processes that provably did not run it, once for each send.
+    """
 
     request: CallerRequest
     route: Route
@@ -53,17 +62,17 @@
     deadline: float
     exchange: Exchange
     sent_to: list[Process] = field(default_factory=list)
-    turned_away: list[Process] = field(default_factory=list)
+    rejected_by: list[Process] = field(default_factory=list)
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what the request shares with its returns."""
+        """Return the fingerprint that the request shares with its retries."""
         return self.request.fingerprint(self.workspace)
 
 
 @dataclass(frozen=True, kw_only=True)
-class WholeReply:
-    """A target answered; the answer is whole."""
+class CompleteReply:
+    """Complete answer of a target."""
 
     status: int
     headers: Headers
@@ -72,14 +81,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoReply:
-    """A target gave no whole answer; `may_have_run` is False only on proof."""
+    """Send without a complete answer; `may_have_run` is False only on proof."""
 
     reason: Reason
     may_have_run: bool
 
 
 class CallService:
-    """Serve requests on the targets of plain services."""
+    """Serves requests on the targets of plain services."""
 
     def __init__(self, *, parts: ServingParts) -> None:
         self._directory = parts.directory
@@ -93,31 +102,34 @@
         self._quarantine = parts.quarantine
         self._availability = parts.availability
         self._records: dict[Process, TargetRecord] = defaultdict(TargetRecord)
-        parts.directory.on_change.append(self._forget_ended)
+        parts.directory.on_change.append(self._drop_ended)
 
     async def serve(self, work: CallWork) -> ServeOutcome:
-        """Serve one request to its end."""
+        """Serve one request, and return its answer's status or why it is refused.
+
+        An answer is sent to the caller here; a returned refusal is not.
+        """
         self._budget(work.service).record_first_send(self._clock.now())
-        held = self._quarantine.refuse(work.fingerprint, work.request.id)
-        if held is not None:
-            return held
-        failed: WholeReply | None = None
+        refusal = self._quarantine.refuse(work.fingerprint, work.request.id)
+        if refusal is not None:
+            return refusal
+        failed: CompleteReply | None = None
         while True:
-            target = self._choose(work)
+            target = self._choose_target(work)
             if target is None:
-                return await self._end(work, failed, self._why_no_target(work))
+                return await self._finish(work, failed, self._no_target_reason(work))
             reply = await self._send(work, target)
             match reply:
-                case WholeReply(status=status) if status < 500:
+                case CompleteReply(status=status) if status < 500:
                     self._quarantine.record_answer(work.fingerprint)
                     await _respond(work, reply)
                     return Answered(status=status, target=target.id)
-                case WholeReply():
+                case CompleteReply():
                     failed, reason = reply, Reason.TARGET_FAILED
                 case NoReply(reason=reason):
                     pass
-            if not self._may_send_again(work, reply):
-                return await self._end(work, failed, reason)
+            if not self._can_retry(work, reply):
+                return await self._finish(work, failed, reason)
             self._metrics.retries.labels(reason.value).inc()
             log.info(
                 "call: sent once more",
@@ -126,8 +138,8 @@
                 target=target.id,
             )
 
-    def _choose(self, work: CallWork) -> Target | None:
-        used = set(work.sent_to) | set(work.turned_away)
+    def _choose_target(self, work: CallWork) -> Target | None:
+        used = set(work.sent_to) | set(work.rejected_by)
         targets = [
             target
             for target in self._directory.usable_targets(work.service)
@@ -141,30 +153,35 @@
 
         def rank(target: Target) -> tuple[bool, float]:
             record = self._records[target.process]
-            is_doubtful = record.avoided_until > now
-            is_doubtful = is_doubtful or self._quarantine.has_ended(target.process)
-            return (is_doubtful, record.running + self._rng.random())
+            is_suspect = record.avoided_until > now
+            is_suspect = is_suspect or self._quarantine.has_ended(target.process)
+            return (is_suspect, record.in_flight + self._rng.random())
 
         return min(left, key=rank, default=None)
 
-    def _why_no_target(self, work: CallWork) -> Reason:
-        return self._availability.refusal_reason(self._unused(work)) or Reason.NO_TARGET
+    def _no_target_reason(self, work: CallWork) -> Reason:
+        return (
+            self._availability.refusal_reason(self._unsent_targets(work))
+            or Reason.NO_TARGET
+        )
 
-    def _unused(self, work: CallWork) -> list[Target]:
-        """Return the targets to which a request was not sent."""
+    def _unsent_targets(self, work: CallWork) -> list[Target]:
+        """Return the targets where the request provably did not run."""
         targets = self._directory.usable_targets(work.service)
         return [target for target in targets if target.process not in work.sent_to]
 
-    async def _send(self, work: CallWork, target: Target) -> WholeReply | NoReply:
+    async def _send(self, work: CallWork, target: Target) -> CompleteReply | NoReply:
         now = self._clock.now()
         left = work.deadline - now
-        if left < LEAST_SECONDS:
+        if left < MIN_SECONDS_LEFT:
             return NoReply(reason=Reason.TIMEOUT, may_have_run=False)
         limit = left
-        if self._is_repeatable(work) and len(work.sent_to) + 1 < self._attempts(work):
+        if self._is_repeatable(work) and len(work.sent_to) + 1 < self._max_attempts(
+            work
+        ):
             limit = FIRST_SEND_SHARE * left
         record = self._records[target.process]
-        record.running += 1
+        record.in_flight += 1
         self._availability.record_sent(target)
         work.sent_to.append(target.process)
         log.info(
@@ -172,7 +189,7 @@
             request=work.request.id,
             fingerprint=work.fingerprint,
             target=target.id,
-            running=record.running,
+            running=record.in_flight,
             left=round(left, 3),
         )
         try:
@@ -182,17 +199,17 @@
             reason = Reason.TIMEOUT if limit == left else Reason.SLOW_TARGET
             reply = NoReply(reason=reason, may_have_run=True)
         finally:
-            record.running -= 1
+            record.in_flight -= 1
         if isinstance(reply, NoReply) and reply.reason is Reason.MAYBE_RUN:
             self._quarantine.record_ending(work.fingerprint, target.process, now)
-        elif isinstance(reply, WholeReply):
+        elif isinstance(reply, CompleteReply):
             self._quarantine.record_alive(target.process)
-        self._judge(work, target, reply)
+        self._record_failure(work, target, reply)
         return reply
 
     async def _exchange(
         self, work: CallWork, target: Target, left: float, sent_at: float
-    ) -> WholeReply | NoReply:
+    ) -> CompleteReply | NoReply:
         response = await self._targets.send(
             target,
             work.request,
@@ -216,10 +233,10 @@
         if isinstance(body, CallFailed):
             return NoReply(reason=Reason.MAYBE_RUN, may_have_run=True)
         headers = self._callers.answer_headers(response)
-        return WholeReply(status=response.status, headers=headers, body=body)
+        return CompleteReply(status=response.status, headers=headers, body=body)
 
-    def _judge(
-        self, work: CallWork, target: Target, reply: WholeReply | NoReply
+    def _record_failure(
+        self, work: CallWork, target: Target, reply: CompleteReply | NoReply
     ) -> None:
         if not isinstance(reply, NoReply):
             return
@@ -227,19 +244,19 @@
         record.avoided_until = self._clock.now() + AVOID_SECONDS
         if not reply.may_have_run:
             work.sent_to.remove(target.process)
-            work.turned_away.append(target.process)
+            work.rejected_by.append(target.process)
         if reply.reason is Reason.MISDIRECTED:
-            # Until the list says something else of it, each send there is one of the
-            # few repeats, and is turned away again.
+            # Until its listed entry changes, each send there would use up one of the
+            # few repeats and be rejected again.
             record.misdirected = target
 
-    def _forget_ended(self) -> None:
-        """Drop what is known of processes that are gone, once their work here ends."""
+    def _drop_ended(self) -> None:
+        """Drop the records of ended processes that have no request in flight here."""
         listed = self._directory.targets
         ended = [
             process
             for process, record in self._records.items()
-            if not record.running
+            if not record.in_flight
             and (process.id not in listed or listed[process.id].process != process)
         ]
         for process in ended:
@@ -248,26 +265,26 @@
     def _is_repeatable(self, work: CallWork) -> bool:
         return work.route.repeat is RepeatPolicy.IDEMPOTENT
 
-    def _attempts(self, work: CallWork) -> int:
+    def _max_attempts(self, work: CallWork) -> int:
         return max(1, work.route.max_attempts)
 
-    def _may_send_again(self, work: CallWork, reply: WholeReply | NoReply) -> bool:
+    def _can_retry(self, work: CallWork, reply: CompleteReply | NoReply) -> bool:
         now = self._clock.now()
-        if work.deadline - now < LEAST_SECONDS:
+        if work.deadline - now < MIN_SECONDS_LEFT:
             return False
         if self._quarantine.refusal(work.fingerprint) is not None:
             return False
         if isinstance(reply, NoReply) and not reply.may_have_run:
-            if len(work.turned_away) > MAX_NOT_RUN:
+            if len(work.rejected_by) > MAX_NOT_RUN_REPEATS:
                 return False
         elif not self._is_repeatable(work):
             return False
-        elif self._directory.count_present(work.sent_to) >= self._attempts(work):
+        elif self._directory.count_present(work.sent_to) >= self._max_attempts(work):
             return False
         return self._budget(work.service).try_repeat(now, self._hosts())
 
-    async def _end(
-        self, work: CallWork, failed: WholeReply | None, reason: Reason
+    async def _finish(
+        self, work: CallWork, failed: CompleteReply | None, reason: Reason
     ) -> ServeOutcome:
         if failed is not None:
             await _respond(work, failed)
@@ -275,13 +292,13 @@
         if work.sent_to:
             status = 504 if reason is Reason.TIMEOUT else 502
             return Refusal(status=status, reason=reason)
-        wait = self._availability.retry_seconds(self._unused(work))
+        wait = self._availability.retry_seconds(self._unsent_targets(work))
         wait = wait or NO_TARGET_RETRY_SECONDS
         after = jittered_retry_after(wait, self._rng.random())
         return Refusal(status=503, reason=reason, retry_after=after)
 
 
-async def _respond(work: CallWork, reply: WholeReply) -> None:
+async def _respond(work: CallWork, reply: CompleteReply) -> None:
     await work.exchange.respond(
         reply.status, reply.body, reply.headers, content_type=None
     )
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -209,7 +209,7 @@
     assert outcome == Refusal(status=502, reason=Reason.MAYBE_RUN)
     anew = replace(a, born=1)
     directory.apply_change(listing(anew, b, revision=2, whole=False), previous=1)
-    service._records[b.process].running = 1
+    service._records[b.process].in_flight = 1
     outcome = await service.serve(work_of(clock, ONCE, FakeExchange()))
     assert outcome == Answered(status=200, target="a")
     assert a.process not in service._records
