--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -1,4 +1,4 @@
-"""Two planners over engines that start again under their id at any moment."""
+"""Stateful test of two planners over engines that restart under their ids."""
 
 import asyncio
 import logging
@@ -40,20 +40,21 @@
     profile=replace(PROFILE, loads_per_second=4.5),
     health_path="/h",
 )
-# Steps until the engines left in peace must serve: some pauses of each kind.
-SETTLING_STEPS, SETTLING_PAUSE = 40, 0.4
+# Steps without faults, and the seconds between them, after which an engine must serve:
+# long enough for each of the planner's delays to pass several times.
+RECOVERY_STEPS, RECOVERY_PAUSE = 40, 0.4
 
 
 class FakeConfiguration:
-    """Hold one configuration."""
+    """A follower with one fixed configuration."""
 
     configuration = SiteConfiguration(
         version=1, routes=(), services={"engines": SERVICE}
     )
 
 
-class CheckedPlanner(GroupPlanner):
-    """Plan, and remember the tasks that raised."""
+class RecordingPlanner(GroupPlanner):
+    """A planner that records the exceptions of its tasks."""
 
     def _on_task_done(self, task):
         super()._on_task_done(task)
@@ -61,8 +62,8 @@
             self.failed.append(repr(task.exception()))
 
 
-class Seat:
-    """Run one node's planner over the fleet."""
+class PlannerNode:
+    """One node's planner over the fleet, with a check of each of its orders."""
 
     def __init__(self, fleet, clock):
         self.fleet = fleet
@@ -70,7 +71,7 @@
         self.directory = Directory(source=self.source, clock=clock)
         self.leadership, self.watch = FakeLeadership(), FakeWatch()
         self.leadership.fence = 0
-        self.planner = CheckedPlanner(
+        self.planner = RecordingPlanner(
             configuration=FakeConfiguration(),
             directory=self.directory,
             targets=self.targets,
@@ -92,15 +93,15 @@
             self._check_free,
             self._check_whole,
         ]
-        self.meant = {}
+        self.intended = {}
         self.seen = defaultdict(set)
-        self.directory.on_change.append(self._note_members)
+        self.directory.on_change.append(self._record_members)
 
     def _listed(self, name):
         target = self.directory.targets.get(name)
         return target and target.process
 
-    def _note_members(self):
+    def _record_members(self):
         listed = {target.process for target in self.directory.targets.values()}
         for process in self.targets.counts_since_listing.keys() - listed:
             del self.targets.counts_since_listing[process]
@@ -110,44 +111,44 @@
         for key, group in groups.items():
             self.seen[key] |= {member.process for member in group.members}
 
-    def _check(self, is_kept, step, rule):
-        if not is_kept:
-            self.fleet.violations.append(f"{rule}: {step}")
+    def _check(self, holds, step, violation):
+        if not holds:
+            self.fleet.violations.append(f"{violation}: {step}")
 
     def _check_count(self, step, expected):
-        """An order goes by the newest count that its own process told."""
-        told = self.targets.reported_counts[step.target.process]
-        self._check(expected in told, step, f"count {expected} of another process")
+        """An order expects the newest count that its own process reported."""
+        reported = self.targets.reported_counts[step.target.process]
+        self._check(expected in reported, step, f"count {expected} of another process")
         newest = max(
             self.targets.counts_since_listing[step.target.process], default=expected
         )
         self._check(expected >= newest, step, f"count {expected}, known {newest}")
 
     def _check_process(self, step, expected):
-        """An order is for the process that is known to be the present one."""
+        """An order is for the process that is known to be the current one."""
         process = step.target.process
-        is_present = self._listed(process.id) == process
-        is_present = is_present and not self.targets.is_superseded(process)
-        self._check(is_present, step, "another process")
+        is_current = self._listed(process.id) == process
+        is_current = is_current and not self.targets.is_superseded(process)
+        self._check(is_current, step, "another process")
 
     def _check_members(self, step, expected):
-        """A formation is one of processes: none of them has started again since."""
+        """An order concerns a formation of which no member has restarted."""
         if not isinstance(step, Join | Open):
             return
         key = (step.group, step.epoch)
         if isinstance(step, Join):
             listed = {name: self._listed(name) for name in step.members}
             members = {name: process for name, process in listed.items() if process}
-            meant = self.meant.setdefault(key, members)
+            intended = self.intended.setdefault(key, members)
         else:
-            meant = self.meant.get(key, {p.id: p for p in self.seen[key]})
-        for name, process in meant.items():
+            intended = self.intended.get(key, {p.id: p for p in self.seen[key]})
+        for name, process in intended.items():
             is_same = self._listed(name) in (process, None)
             is_same = is_same and not self.targets.is_superseded(process)
-            self._check(is_same, step, f"{name} has started again")
+            self._check(is_same, step, f"{name} has restarted")
 
     def _check_free(self, step, expected):
-        """A target joins when no head of an earlier process's group may serve."""
+        """A target joins only if no head of an earlier process's group may serve."""
         if not isinstance(step, Join):
             return
         for key, group in self.directory.groups.items():
@@ -158,10 +159,10 @@
                 continue
             earlier = {p for p in self.seen[key] if p.id == process.id and p != process}
             is_over = self.targets.is_superseded(head.process) or not earlier
-            self._check(is_over, step, f"earlier in {key}")
+            self._check(is_over, step, f"earlier process in {key}")
 
     def _check_whole(self, step, expected):
-        """A group is opened whole, with each member ready in its present process."""
+        """A group is opened only when the current process of each member is ready."""
         if not isinstance(step, Open):
             return
         group = self.directory.groups[(step.group, step.epoch)]
@@ -171,10 +172,10 @@
             and member.membership.phase is GroupPhase.READY
             for member in current
         ]
-        self._check(ready == [True, True], step, "not whole")
+        self._check(ready == [True, True], step, "not all ready")
 
-    def take_lease(self, fence):
-        """Become the planner."""
+    def acquire_lease(self, fence):
+        """Become the planner with this fencing number."""
         self.leadership.fence = fence
         self.targets.counts_since_listing.clear()
         for notify in self.leadership.on_acquired:
@@ -182,7 +183,10 @@
 
 
 class RestartMachine(RuleBasedStateMachine):
-    """Let engines restart beside lost and late orders, and planners change."""
+    """Engines restart, orders are lost or late, and the planner's lease changes hands.
+
+    No order may break a rule, and once the faults end, an engine must serve.
+    """
 
     def __init__(self):
         super().__init__()
@@ -198,13 +202,13 @@
         self.fleet = Fleet(enforces_fences=enforces_fences)
         for name in NAMES:
             self.fleet.add(name, () if name in cold else ("m",))
-        self.seats = [Seat(self.fleet, self.clock) for _ in range(2)]
+        self.nodes = [PlannerNode(self.fleet, self.clock) for _ in range(2)]
         self.take_over()
         for _ in range(2):
             self.plan([], 0)
 
     def run(self, work):
-        """Run a coroutine, and let what it began go on."""
+        """Run a coroutine, and let the tasks that it started proceed."""
 
         async def wait():
             await work
@@ -215,38 +219,38 @@
 
     @rule(
         deliveries=st.lists(st.sampled_from(Delivery), max_size=4),
-        place=st.integers(0, 1),
+        index=st.integers(0, 1),
         wait=st.sampled_from([0.1, 0.1, 0.8, 2.0]),
         steps=st.integers(1, 3),
         slow=st.sampled_from([0, 0, 1, 2]),
     )
-    def plan(self, deliveries, place, wait=0.1, steps=1, slow=0):
-        seat = self.seats[place]
+    def plan(self, deliveries, index, wait=0.1, steps=1, slow=0):
+        node = self.nodes[index]
         self.fleet.deliveries, self.fleet.slow_reports = list(deliveries), slow
         for _ in range(steps):
-            self.run(seat.planner.step())
+            self.run(node.planner.step())
         self.fleet.deliveries, self.fleet.slow_reports = [], 0
         self.clock.time += wait
 
-    def read_list(self, place):
-        self.run(self.seats[place].directory.refresh())
+    def read_list(self, index):
+        self.run(self.nodes[index].directory.refresh())
 
     @rule(names=st.sets(st.sampled_from(NAMES)), readers=st.sets(st.integers(0, 1)))
-    def show(self, names, readers):
-        """Let engines write what they are, and planners read it."""
+    def submit_and_read(self, names, readers):
+        """Have engines publish their entries, and planners read the list."""
         for name in sorted(names):
             self.fleet.publish(name)
-        for place in sorted(readers):
-            self.read_list(place)
+        for index in sorted(readers):
+            self.read_list(index)
 
     @rule(wait=st.sampled_from([0.1, 1.0]))
-    def all_goes_well(self, wait):
-        """Let what was ordered end, show, and be read."""
+    def advance_without_faults(self, wait):
+        """Have orders take effect, and have the effects published and read."""
         for _ in range(2):
             self.fleet.advance()
-            self.show(set(NAMES), {0, 1})
-            for place in (0, 1):
-                self.plan([], place, wait)
+            self.submit_and_read(set(NAMES), {0, 1})
+            for index in (0, 1):
+                self.plan([], index, wait)
 
     @rule()
     def advance(self):
@@ -255,33 +259,33 @@
     @rule(
         name=st.sampled_from(NAMES),
         times=st.integers(1, 2),
-        registers=st.booleans(),
+        publishes=st.booleans(),
     )
-    def restart(self, name, times, registers):
+    def restart(self, name, times, publishes):
         for _ in range(times):
             self.fleet.restart(name)
-        if registers:
+        if publishes:
             self.fleet.publish(name)
 
     @rule(
         name=st.sampled_from(NAMES),
-        place=st.integers(0, 1),
+        index=st.integers(0, 1),
         slow=st.integers(1, 3),
-        registers=st.booleans(),
+        publishes=st.booleans(),
     )
-    def restart_amid_questions(self, name, place, slow, registers):
+    def restart_during_queries(self, name, index, slow, publishes):
         """Restart an engine while the planner waits for reports."""
-        self.plan([], place, slow=slow)
-        self.restart(name, 1, registers)
-        self.read_list(place)
+        self.plan([], index, slow=slow)
+        self.restart(name, 1, publishes)
+        self.read_list(index)
         while self.fleet.pending_answers:
             self.answer_late(0)
 
-    @rule(rounds=st.integers(0, 4), all_anew=st.booleans())
-    def restart_under_late_orders(self, rounds, all_anew):
-        """Have orders carried out late by the process that follows the one meant."""
+    @rule(rounds=st.integers(0, 4), restart_all=st.booleans())
+    def restart_under_late_orders(self, rounds, restart_all):
+        """Have late orders executed by the next process of the intended target."""
         planner = self.fence % 2
-        if all_anew:
+        if restart_all:
             for name in NAMES:
                 self.restart(name, 1, True)
             self.read_list(planner)
@@ -289,16 +293,16 @@
         for order in self.fleet.late_orders:
             self.restart(order.step.target.id, 1, True)
         for _ in range(rounds):
-            self.all_goes_well(0.1)
+            self.advance_without_faults(0.1)
         while self.fleet.late_orders:
             self.carry_out_late(0)
 
     @rule(
-        trouble=st.sampled_from(["lapse", "drain", "stall"]),
+        fault=st.sampled_from(["lapse", "drain", "stall"]),
         name=st.sampled_from(NAMES),
     )
-    def trouble_engines(self, trouble, name):
-        match trouble:
+    def trigger_fault(self, fault, name):
+        match fault:
             case "lapse":
                 self.fleet.expire(name)
             case "drain":
@@ -320,66 +324,66 @@
         waiting.pop(number % len(waiting)).set_result(None)
         self.run(asyncio.sleep(0))
 
-    @rule(place=st.integers(0, 1), number=st.integers(0, 3))
-    def suspect(self, place, number):
-        seat = self.seats[place]
-        keys = sorted(seat.directory.groups)
+    @rule(index=st.integers(0, 1), number=st.integers(0, 3))
+    def suspect(self, index, number):
+        node = self.nodes[index]
+        keys = sorted(node.directory.groups)
         if keys:
-            self.run(self._suspect(seat, keys[number % len(keys)]))
+            self.run(self._suspect(node, keys[number % len(keys)]))
 
-    async def _suspect(self, seat, key):
-        seat.watch.on_suspect[0](key)
+    async def _suspect(self, node, key):
+        node.watch.on_suspect[0](key)
 
-    @rule(place=st.integers(0, 1))
-    def cut_from_list(self, place):
-        source = self.seats[place].source
+    @rule(index=st.integers(0, 1))
+    def cut_off_from_list(self, index):
+        source = self.nodes[index].source
         source.is_cut_off = not source.is_cut_off
 
     @rule()
     def take_over(self):
-        """Let the other planner take the lease.
+        """Have the other planner acquire the lease.
 
-        Where fences are enforced, the earlier planner may go on until it is refused;
-        elsewhere its lease had to lapse first.
+        If engines enforce fencing, the earlier planner may continue until an engine
+        refuses its orders; otherwise its lease must have expired first.
         """
         self.fence += 1
-        new, old = self.seats[self.fence % 2], self.seats[1 - self.fence % 2]
+        new, old = self.nodes[self.fence % 2], self.nodes[1 - self.fence % 2]
         if not self.fleet.enforces_fences:
             old.leadership.fence = 0
-        new.take_lease(self.fence)
+        new.acquire_lease(self.fence)
 
     @invariant()
-    def no_rule_is_broken(self):
+    def no_order_violates_a_rule(self):
         if hasattr(self, "fleet"):
             assert self.fleet.violations == []
 
     def teardown(self):
-        """Engines that are left in peace serve in the end."""
-        if not hasattr(self, "seats"):
+        """Check that an engine serves once the faults have ended."""
+        if not hasattr(self, "nodes"):
             self.loop.close()
             return
         try:
-            self._settle()
+            self._recover()
             assert any(self._is_whole(engine) for engine in self.fleet.engines.values())
         finally:
-            for seat in self.seats:
-                self.loop.run_until_complete(seat.planner.close())
+            for node in self.nodes:
+                self.loop.run_until_complete(node.planner.close())
             self.loop.close()
 
-    def _settle(self):
+    def _recover(self):
         while self.fleet.late_orders:
             self.carry_out_late(0)
         while self.fleet.pending_answers:
             self.answer_late(0)
-        seat = self.seats[self.fence % 2]
-        self.seats[1 - self.fence % 2].leadership.fence = 0
-        seat.source.is_cut_off = False
+        node = self.nodes[self.fence % 2]
+        self.nodes[1 - self.fence % 2].leadership.fence = 0
+        node.source.is_cut_off = False
         for engine in self.fleet.engines.values():
             engine.draining = False
-        for _ in range(SETTLING_STEPS):
+        for _ in range(RECOVERY_STEPS):
             self.fleet.advance()
-            self.show(set(NAMES), {self.fence % 2})
-            self.plan([], self.fence % 2, SETTLING_PAUSE)
+            self.submit_and_read(set(NAMES), {self.fence % 2})
+            self.plan([], self.fence % 2, RECOVERY_PAUSE)
 
     def _is_whole(self, engine):
         if engine.phase not in SERVING:
@@ -389,14 +393,14 @@
 
 
 def setup_module():
-    """Keep thousands of plans from filling the log."""
+    """Suppress the log lines of thousands of plans."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
 
 
 def teardown_module():
-    """Log again."""
+    """Restore logging."""
     structlog.reset_defaults()
 
 
