--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -1,4 +1,4 @@
-"""Hold back requests that end their targets, as far as this host has heard of them."""
+"""Quarantine requests that crash their targets, as far as this host knows of them."""
 
 from collections.abc import Callable
 
@@ -14,108 +14,115 @@
 
 
 class Quarantine:
-    """Know which requests are held back, and tell what is new of them."""
+    """The quarantined requests that this host knows of, by fingerprint.
+
+    Requests are counted as the cause of a crash by `CrashLedger`; this class adds
+    refusals, metrics, logs and callbacks for what is to be shared with other hosts.
+    """
 
     def __init__(self, *, clock: Clock, metrics: NodeMetrics) -> None:
         self._clock = clock
         self._metrics = metrics
         self._ledger = CrashLedger()
-        self._held: frozenset[str] = frozenset()
-        # Called with what this host has seen itself, and with what was decided here
-        # from the records of several hosts.
-        self.on_seen: list[Callable[[str], None]] = []
-        self.on_decided: list[Callable[[str], None]] = []
-
-    def refusal(self, request: str) -> Refusal | None:
-        """Return how a request is refused before it is sent, None if it may be sent."""
-        seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
+        self._quarantined: frozenset[str] = frozenset()
+        # Called with the fingerprint of a request: when this host observed an ending or
+        # an answer of it, and when only the records of several hosts, merged here,
+        # quarantined it.
+        self.on_observed: list[Callable[[str], None]] = []
+        self.on_quarantined_by_merge: list[Callable[[str], None]] = []
+
+    def refusal(self, fingerprint: str) -> Refusal | None:
+        """Return the refusal of a quarantined request, None if it may be sent."""
+        seconds = self._ledger.quarantine_seconds_left(fingerprint, self._clock.now())
         if seconds <= 0.0:
             return None
         return Refusal(status=503, reason=Reason.HELD_BACK, retry_after=seconds)
 
-    def refuse(self, request: str, request_id: str) -> Refusal | None:
-        """Return what `refusal` does, and log it under the request's own id."""
-        refusal = self.refusal(request)
+    def refuse(self, fingerprint: str, request_id: str) -> Refusal | None:
+        """Return `refusal`, and log one under the request's own id."""
+        refusal = self.refusal(fingerprint)
         if refusal is not None:
-            log.info("quarantine: refused", request=request_id, fingerprint=request)
+            log.info("quarantine: refused", request=request_id, fingerprint=fingerprint)
         return refusal
 
     def has_ended(self, process: Process) -> bool:
-        """Tell whether a target ended just now, as far as this host has heard."""
+        """Return whether a target ended recently, as far as this host knows."""
         return self._ledger.has_ended(process, self._clock.now())
 
-    def record_ending(self, request: str, process: Process, sent_at: float) -> bool:
-        """Note that a target broke off while it ran a request.
+    def record_ending(self, fingerprint: str, process: Process, sent_at: float) -> bool:
+        """Record that a target ended while it ran a request sent at `sent_at`.
 
-        False if it had ended before the send, so that the request met nobody there.
+        False if it had ended before the send, so that the request did not run there.
         """
         if self._ledger.had_ended_before(process, sent_at):
             return False
         now = self._clock.now()
         ending = Ending(process=process, ran=now - sent_at)
-        record = self._ledger.record_ending(request, ending, now)
+        record = self._ledger.record_ending(fingerprint, ending, now)
         if record is None:
             return True
         self._metrics.endings.inc()
         log.info(
             "quarantine: target ended",
-            fingerprint=request,
+            fingerprint=fingerprint,
             target=process.id,
             ran=round(ending.ran, 3),
             endings=len(record.endings),
         )
-        self.review()
-        for notify in self.on_seen:
-            notify(request)
+        self.refresh()
+        for notify in self.on_observed:
+            notify(fingerprint)
         return True
 
     def record_alive(self, process: Process) -> None:
-        """Note that a target does something."""
+        """Record that a target is alive."""
         self._ledger.record_alive(process)
 
-    def record_answer(self, request: str) -> None:
-        """Note that a request was answered whole."""
-        if self._ledger.record_answer(request, self._clock.now()) is None:
+    def record_answer(self, fingerprint: str) -> None:
+        """Record that a request was answered completely."""
+        if self._ledger.record_answer(fingerprint, self._clock.now()) is None:
             return
-        self.review()
-        for notify in self.on_seen:
-            notify(request)
+        self.refresh()
+        for notify in self.on_observed:
+            notify(fingerprint)
 
     def merge(self, record: CrashRecord) -> None:
-        """Take what another host or the store knows."""
-        before = self._held
+        """Merge a record of another host or of the store."""
+        before = self._quarantined
         self._ledger.merge(record, self._clock.now())
-        self.review()
-        for request in self._held - before:
-            if request == record.request and record.has_enough_evidence:
-                # Whoever told it has decided it, and tells everybody.
+        self.refresh()
+        for fingerprint in self._quarantined - before:
+            if fingerprint == record.request and record.has_enough_evidence:
+                # The record's sender quarantined the request too, and tells all hosts.
                 continue
-            for notify in self.on_decided:
-                notify(request)
+            for notify in self.on_quarantined_by_merge:
+                notify(fingerprint)
 
-    def is_quarantined(self, request: str) -> bool:
-        """Tell whether a request is held back now."""
-        return self._ledger.quarantine_seconds_left(request, self._clock.now()) > 0.0
+    def is_quarantined(self, fingerprint: str) -> bool:
+        """Return whether a request is quarantined now."""
+        return (
+            self._ledger.quarantine_seconds_left(fingerprint, self._clock.now()) > 0.0
+        )
 
-    def record(self, request: str) -> CrashRecord | None:
-        """Return what is known of a request, None if nothing is."""
-        return self._ledger.record(request, self._clock.now())
+    def record(self, fingerprint: str) -> CrashRecord | None:
+        """Return the crash record of a request, None if there is none."""
+        return self._ledger.record(fingerprint, self._clock.now())
 
     def records(self) -> list[CrashRecord]:
-        """Return all that is known, the most important first."""
+        """Return all records, quarantined requests first, then the newest first."""
         return list(self._ledger.records(self._clock.now()))
 
-    def review(self) -> None:
-        """Log what is held back since the last look, and what is no more."""
-        held = self._ledger.quarantined(self._clock.now())
-        for request in sorted(held - self._held):
-            record = self._ledger.record(request, self._clock.now())
+    def refresh(self) -> None:
+        """Log what was quarantined or released since the last call; set the metric."""
+        quarantined = self._ledger.quarantined(self._clock.now())
+        for fingerprint in sorted(quarantined - self._quarantined):
+            record = self._ledger.record(fingerprint, self._clock.now())
             log.warning(
                 "quarantine: held back",
-                fingerprint=request,
+                fingerprint=fingerprint,
                 targets=[e.process.id for e in record.endings] if record else [],
             )
-        for request in sorted(self._held - held):
-            log.info("quarantine: released", fingerprint=request)
-        self._held = held
-        self._metrics.quarantined.set(len(held))
+        for fingerprint in sorted(self._quarantined - quarantined):
+            log.info("quarantine: released", fingerprint=fingerprint)
+        self._quarantined = quarantined
+        self._metrics.quarantined.set(len(quarantined))
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -1,10 +1,10 @@
-"""Share among hosts, and keep in the store, which requests end their targets.
+"""Share crash records among hosts, and store those of quarantined requests.
 
-The load pattern: a request that ends each target comes again at any host. What one host
-saw goes to a few keepers of that request, which put together what several hosts saw;
-once it is held back, every host is told. So an ordinary crash costs a few datagrams,
-however many hosts there are. What is held back is also kept in the store, as all hosts
-may start anew at the same moment.
+A request that crashes each target may be retried at any host. The crash records of one
+host go to a few owners of that request, which merge the records of several hosts; once
+the request is quarantined, its record goes to every host. So an ordinary crash costs a
+few datagrams, however many hosts there are. Quarantined requests are also stored, as
+all hosts may restart at the same moment.
 """
 
 import asyncio
@@ -37,38 +37,41 @@
 
 log = structlog.get_logger()
 
-# Hosts that put together what is known of a request: all of a small fleet, and in a
-# large one so many that some are left when a data centre is lost.
-KEEPERS = 6
-# Pauses before a record is told once more, in seconds: datagrams get lost, and hosts
-# that have just started know few others. The first lets one target's requests gather.
-TELL_PAUSES = (0.01, 0.5, 1.5)
-# Records that one host tells in one go, at most: when a fabric domain ends, what is
-# told of it must not fill the links.
-RECORDS_AT_ONCE = 20
-# Time after the start until this host asks others and the store, in seconds: until then
-# it may know no peers. Pause between two questions, and the questions without an answer
-# after which nobody is asked any more.
-FIRST_ASK_SECONDS = 0.3
-ASK_SECONDS = 0.5
-MAX_QUESTIONS = 6
-ASKED_PEERS = 3
-# Records that answer a question, at most: a few datagrams.
-ANSWERED_RECORDS = 200
-# Pause after the store did not answer, and between two reads by the hosts that read or
-# plan next, in seconds: these find what the datagrams did not bring, for all.
-AGAIN_SECONDS = 0.5
-READ_SECONDS = 30.0
-# Rows that one change drops, at most: the platform takes a hundred entries a call.
-MAX_DROPPED = 100
+# Hosts that merge the records of one request: all of a small fleet, and in a large one
+# enough that some are left when a data centre is lost.
+OWNERS_PER_REQUEST = 6
+# Delays before each send of a record, in seconds: datagrams get lost, and hosts that
+# have just started know few others. The first one collects the requests that one target
+# ran, so that they share messages.
+SEND_DELAYS = (0.01, 0.5, 1.5)
+# Maximum number of records in one message, and in one round of sends: when a fabric
+# domain fails, its records must not fill the links.
+MAX_RECORDS_PER_MESSAGE = 20
+# Time after the start until this host queries peers and the store, in seconds: before
+# that it may know no peers. Interval between two queries, the number of queries without
+# an answer after which it stops, and the peers that one query goes to.
+INITIAL_DELAY_SECONDS = 0.3
+QUERY_INTERVAL_SECONDS = 0.5
+MAX_QUERIES = 6
+QUERIED_PEERS = 3
+# Maximum number of records in the answer to a query: a few datagrams.
+MAX_ANSWER_RECORDS = 200
+# Pause after the store did not answer, and interval between two reads of the store, in
+# seconds. Only candidates for the roles of reader and planner read it: they find what
+# datagrams did not deliver, and send it to all hosts.
+STORE_RETRY_SECONDS = 0.5
+READ_INTERVAL_SECONDS = 30.0
+# Maximum number of rows that one transaction deletes: the platform accepts 100 entries
+# per call.
+MAX_DELETED_ROWS = 100
 PREFIX = "quarantine/"
 
 
 @dataclass(frozen=True, kw_only=True)
 class QuarantineRow:
-    """Keep what is known of a request; `ended_at` is in seconds of the store's clock.
+    """Stored crash record of a request; `ended_at` is in seconds of the store's clock.
 
-    Without it the last ending counts as of the moment at which the row is read.
+    Without `ended_at` the last ending counts as if it happened when the row is read.
     """
 
     endings: tuple[Ending, ...]
@@ -76,7 +79,7 @@
 
 
 class QuarantineSharing:
-    """Tell others what is new of a quarantine, and take what they tell."""
+    """Sends changes of this host's quarantine to others, and merges theirs."""
 
     def __init__(
         self,
@@ -98,180 +101,185 @@
         self._store_clock = store_clock
         self._rng = rng
         self._unreadable_log = unreadable_log
-        self._news: ResendSchedule[str] = ResendSchedule(
-            clock=clock, pauses=TELL_PAUSES, at_once=RECORDS_AT_ONCE
+        self._resends: ResendSchedule[str] = ResendSchedule(
+            clock=clock, delays=SEND_DELAYS, max_batch=MAX_RECORDS_PER_MESSAGE
         )
-        # What every host was told to hold back, and is to hear the rest of.
-        self._told_to_all: set[str] = set()
+        # Requests whose quarantine was sent to every host, and whose later changes are
+        # sent to every host too.
+        self._sent_to_all: set[str] = set()
         self._unwritten: set[str] = set()
-        self._to_write = asyncio.Event()
+        self._write_requested = asyncio.Event()
         self._is_answered = False
-        quarantine.on_seen.append(self._note_seen)
-        quarantine.on_decided.append(self._note_decided)
-        peers.on_crash_records.append(self._hear)
-        peers.on_crash_question.append(self._answer)
+        quarantine.on_observed.append(self._on_observed)
+        quarantine.on_quarantined_by_merge.append(self._on_quarantined_by_merge)
+        peers.on_crash_records.append(self._on_records)
+        peers.on_crash_question.append(self._on_question)
 
-    # -- telling -------------------------------------------------------------
+    # -- sending -------------------------------------------------------------
 
-    def _note_seen(self, request: str) -> None:
-        self._tell_soon(request)
-        if self._quarantine.is_quarantined(request):
-            self._write_soon(request)
+    def _on_observed(self, fingerprint: str) -> None:
+        self._schedule_send(fingerprint)
+        if self._quarantine.is_quarantined(fingerprint):
+            self._schedule_write(fingerprint)
 
-    def _note_decided(self, request: str) -> None:
-        # Also where the records of two hosts were put together only here.
-        self._tell_soon(request)
-        self._write_soon(request)
+    def _on_quarantined_by_merge(self, fingerprint: str) -> None:
+        # Written even though this host observed no ending of it: the records of other
+        # hosts may have been merged only here.
+        self._schedule_send(fingerprint)
+        self._schedule_write(fingerprint)
 
-    def _tell_soon(self, request: str) -> None:
-        self._news.add(request)
+    def _schedule_send(self, fingerprint: str) -> None:
+        self._resends.add(fingerprint)
 
     async def run_sending(self) -> None:
-        """Tell what is due until cancelled."""
-        await self._news.run(self.send_due)
+        """Send records when they are due, until cancelled."""
+        await self._resends.run(self.send_due)
 
     def send_due(self) -> None:
-        """Tell what is due now."""
+        """Send the records that are due now."""
         by_receivers: dict[frozenset[str], list[CrashRecord]] = {}
-        for request in self._news.take_due():
-            record = self._quarantine.record(request)
+        for fingerprint in self._resends.take_due():
+            record = self._quarantine.record(fingerprint)
             if record is None:
-                self._news.drop(request)
-                self._told_to_all.discard(request)
+                self._resends.drop(fingerprint)
+                self._sent_to_all.discard(fingerprint)
                 continue
-            by_receivers.setdefault(self._receivers(request), []).append(record)
+            by_receivers.setdefault(self._receivers(fingerprint), []).append(record)
         for receivers, records in by_receivers.items():
             message = CrashRecords(node=self._name, records=tuple(records))
             self._peers.send_to(message, receivers)
 
-    def _receivers(self, request: str) -> frozenset[str]:
-        """Return whom a record goes to: all hosts once it was held back."""
+    def _receivers(self, fingerprint: str) -> frozenset[str]:
+        """Return who gets a record: its owners, or all hosts after a quarantine."""
         live = [peer.heartbeat.node for peer in self._peers.live]
-        if self._quarantine.is_quarantined(request):
-            self._told_to_all.add(request)
-        if request in self._told_to_all:
+        if self._quarantine.is_quarantined(fingerprint):
+            self._sent_to_all.add(fingerprint)
+        if fingerprint in self._sent_to_all:
             return frozenset(live)
-        return frozenset(first_owners(request, live, KEEPERS))
+        return frozenset(first_owners(fingerprint, live, OWNERS_PER_REQUEST))
 
-    # -- hearing -------------------------------------------------------------
+    # -- receiving and querying ----------------------------------------------
 
-    def _hear(self, message: CrashRecords) -> None:
+    def _on_records(self, message: CrashRecords) -> None:
         self._is_answered = self._is_answered or message.answer
         for record in message.records:
             self._quarantine.merge(record)
 
-    def _answer(self, question: CrashQuestion) -> None:
-        records = self._quarantine.records()[:ANSWERED_RECORDS]
-        # An empty answer says that there is nothing to know.
-        for at in range(0, max(1, len(records)), RECORDS_AT_ONCE):
-            part = tuple(records[at : at + RECORDS_AT_ONCE])
+    def _on_question(self, question: CrashQuestion) -> None:
+        records = self._quarantine.records()[:MAX_ANSWER_RECORDS]
+        # An empty answer says that there are no records.
+        for at in range(0, max(1, len(records)), MAX_RECORDS_PER_MESSAGE):
+            part = tuple(records[at : at + MAX_RECORDS_PER_MESSAGE])
             answer = CrashRecords(node=self._name, records=part, answer=True)
             self._peers.send_to(answer, (question.node,))
 
     async def run_querying(self) -> None:
-        """Ask some peers what they know, as this process knows nothing yet."""
-        await self._clock.sleep(FIRST_ASK_SECONDS)
-        for _ in range(MAX_QUESTIONS):
+        """Query a few peers for their records, until one answers or the limit."""
+        await self._clock.sleep(INITIAL_DELAY_SECONDS)
+        for _ in range(MAX_QUERIES):
             if self._is_answered:
                 return
-            self.ask()
-            await self._clock.sleep(ASK_SECONDS)
+            self.query_peers()
+            await self._clock.sleep(QUERY_INTERVAL_SECONDS)
 
-    def ask(self) -> None:
-        """Ask some peers once."""
+    def query_peers(self) -> None:
+        """Send one query for their records to a few peers."""
         live = [peer.heartbeat.node for peer in self._peers.live]
-        asked = self._rng.sample(live, min(ASKED_PEERS, len(live)))
-        self._peers.send_to(CrashQuestion(node=self._name), asked)
+        receivers = self._rng.sample(live, min(QUERIED_PEERS, len(live)))
+        self._peers.send_to(CrashQuestion(node=self._name), receivers)
 
     # -- the store -----------------------------------------------------------
 
-    def _write_soon(self, request: str) -> None:
-        self._unwritten.add(request)
-        self._to_write.set()
+    def _schedule_write(self, fingerprint: str) -> None:
+        self._unwritten.add(fingerprint)
+        self._write_requested.set()
 
     async def run_writing(self) -> None:
-        """Keep what is held back in the store until cancelled."""
+        """Write records of quarantined requests to the store until cancelled."""
         while True:
-            await self._to_write.wait()
-            self._to_write.clear()
+            await self._write_requested.wait()
+            self._write_requested.clear()
             if not await self.write():
-                self._to_write.set()
-                await self._clock.sleep(AGAIN_SECONDS)
+                self._write_requested.set()
+                await self._clock.sleep(STORE_RETRY_SECONDS)
 
     async def write(self) -> bool:
-        """Write what the store does not have yet; return False if it did not answer."""
-        for request in sorted(self._unwritten):
-            if not await self._write(request):
+        """Write the records that are due; return False if the store did not answer."""
+        for fingerprint in sorted(self._unwritten):
+            if not await self._write(fingerprint):
                 return False
         return True
 
-    async def _write(self, request: str) -> bool:
-        record = self._quarantine.record(request)
+    async def _write(self, fingerprint: str) -> bool:
+        record = self._quarantine.record(fingerprint)
         if record is None:
-            self._unwritten.discard(request)
+            self._unwritten.discard(fingerprint)
             return True
         ended_at = self._clock.now() - record.age
         row = QuarantineRow(
             endings=record.endings,
             ended_at=self._store_clock.to_store_time(ended_at),
         )
-        put = Put(key=PREFIX + request, value=to_plain(row))
+        put = Put(key=PREFIX + fingerprint, value=to_plain(row))
         change = Transaction(transaction=new_id(self._rng), puts=(put,))
         outcome = await self._table.commit(change)
         match outcome:
             case Unavailable(reason=reason) | Unknown(reason=reason):
                 log.warning("quarantine: row not written", reason=reason)
                 return False
-        self._unwritten.discard(request)
+        self._unwritten.discard(fingerprint)
         return True
 
     async def run_reading(self) -> None:
-        """Read what the store keeps at the start, and at times, until cancelled."""
-        await self._clock.sleep(FIRST_ASK_SECONDS)
+        """Read the stored records at intervals until cancelled."""
+        await self._clock.sleep(INITIAL_DELAY_SECONDS)
         while True:
-            self._quarantine.review()
+            self._quarantine.refresh()
             if not self._peers.is_candidate or await self.read():
-                await self._clock.sleep(READ_SECONDS)
+                await self._clock.sleep(READ_INTERVAL_SECONDS)
             else:
-                await self._clock.sleep(AGAIN_SECONDS)
+                await self._clock.sleep(STORE_RETRY_SECONDS)
 
     async def read(self) -> bool:
-        """Take what the store keeps; return False if it did not answer."""
+        """Merge the stored records; return False if the store did not answer."""
         read = await self._table.scan(PREFIX)
         if isinstance(read, Unavailable):
             log.warning("quarantine: rows not read", reason=read.reason)
             return False
-        await self._take(read)
+        await self._merge_rows(read)
         return True
 
-    async def _take(self, read: Scanned) -> None:
-        """Take every row, and drop those that hold nothing back any more."""
-        ended = [row.key for row in read.rows if not self._is_needed(row)]
+    async def _merge_rows(self, read: Scanned) -> None:
+        """Merge every row, and delete those whose request is no longer quarantined."""
+        ended = [row.key for row in read.rows if not self._merge_row(row)]
         if not ended:
             return
-        ended = ended[:MAX_DROPPED]
+        ended = ended[:MAX_DELETED_ROWS]
         change = Transaction(transaction=new_id(self._rng), deletes=tuple(ended))
         outcome = await self._table.commit(change)
         log.info("quarantine: rows dropped", rows=len(ended), outcome=repr(outcome))
 
-    def _is_needed(self, row: Row) -> bool:
-        """Take a row into the quarantine; tell whether it still holds anything back."""
-        request = row.key.removeprefix(PREFIX)
+    def _merge_row(self, row: Row) -> bool:
+        """Merge a row; return whether its request is still quarantined.
+
+        True also for a row that cannot be decoded, so that it is not deleted.
+        """
+        fingerprint = row.key.removeprefix(PREFIX)
         found = decode(row.value, QuarantineRow)
         if isinstance(found, Unreadable):
-            self._unreadable_log.record("quarantine", request, found)
+            self._unreadable_log.record("quarantine", fingerprint, found)
             return True
         age = 0.0
         if found.ended_at is not None:
             ended_at = self._store_clock.from_store_time(found.ended_at)
             if ended_at is not None:
                 age = max(0.0, self._clock.now() - ended_at)
-        was_quarantined = self._quarantine.is_quarantined(request)
+        was_quarantined = self._quarantine.is_quarantined(fingerprint)
         if age < QUARANTINE_SECONDS:
-            record = CrashRecord(request=request, endings=found.endings, age=age)
+            record = CrashRecord(request=fingerprint, endings=found.endings, age=age)
             self._quarantine.merge(record)
-        is_quarantined = self._quarantine.is_quarantined(request)
+        is_quarantined = self._quarantine.is_quarantined(fingerprint)
         if is_quarantined and not was_quarantined:
-            # Hosts that do not read the store have it from those that do.
-            self._tell_soon(request)
+            # Hosts that do not read the store get it from those that do.
+            self._schedule_send(fingerprint)
         return is_quarantined
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -1,8 +1,8 @@
-"""Keep the rate limits that targets name in their answers, together with other hosts.
+"""Enforce the rate limits that targets name in their answers, on all hosts together.
 
-Only the host that got an answer knows the limit that it names: it tells all others,
-so that those that have no part of the rate stop before they are told by the target.
-Every host keeps the part of the rate that is its own, whether or not others are heard.
+Only the host that got an answer knows the limit that it names: it broadcasts the limit,
+so that hosts without a part of the rate stop before the target refuses them. Every host
+enforces its own part of the rate, whether or not messages of others arrive.
 """
 
 import structlog
@@ -19,18 +19,18 @@
 
 log = structlog.get_logger()
 
-# Pauses before news is told, in seconds: more than once, as datagrams get lost.
-TELL_PAUSES = (0.0, 0.5, 1.5)
-# Pause after which a limit that lasts is told again, in seconds: well within the time
-# after which hosts that only hear of it forget it.
-TELL_AGAIN_SECONDS = 20.0
-# Targets that are told of in one message, at most: a service in need has many such
-# targets at once.
-TOLD_AT_ONCE = 50
+# Delays before each broadcast of a change, in seconds: several, as datagrams get lost.
+SEND_DELAYS = (0.0, 0.5, 1.5)
+# Interval at which a limit that stays in force is broadcast again, in seconds: well
+# within the time after which hosts that only received it drop it.
+REFRESH_SECONDS = 20.0
+# Maximum number of targets in one message: an overloaded service has many targets with
+# limits at once.
+MAX_LIMITS_PER_MESSAGE = 50
 
 
 class RateLimits:
-    """Tell when targets that named a limit may be sent a request."""
+    """Enforces this host's parts of the rate limits that targets have named."""
 
     def __init__(
         self,
@@ -47,39 +47,42 @@
         self._metrics = metrics
         self._peers = peers
         self._shares = RateLimitShares(host=name)
-        self._news: ResendSchedule[Process] = ResendSchedule(
-            clock=clock, pauses=TELL_PAUSES, at_once=TOLD_AT_ONCE
+        self._resends: ResendSchedule[Process] = ResendSchedule(
+            clock=clock, delays=SEND_DELAYS, max_batch=MAX_LIMITS_PER_MESSAGE
         )
-        self._told_at: dict[Process, float] = {}
-        directory.on_change.append(self._forget_ended)
+        self._broadcast_at: dict[Process, float] = {}
+        directory.on_change.append(self._prune)
         if peers is not None:
-            peers.on_rate_limits.append(self._hear_peer)
+            peers.on_rate_limits.append(self._on_peer_limits)
 
     def record_notice(
         self, target: Target, notice: TargetNotice, sent_at: float
     ) -> None:
-        """Take what an answer says that was asked for at a moment."""
+        """Apply the limit, or lack of one, in an answer to a request of `sent_at`."""
         process, limit = target.process, notice.rate_limit
         if limit is None and not self._shares.is_limited(process):
             return
         age = self._clock.now() - sent_at if limit is None else 0.0
-        is_news = self._take(TargetLimit(process=process, limit=limit, age=age))
-        if is_news or self._is_told_long_ago(process):
-            self._news.add(process)
+        is_new = self._apply(TargetLimit(process=process, limit=limit, age=age))
+        if is_new or self._needs_refresh(process):
+            self._resends.add(process)
 
-    def _is_told_long_ago(self, process: Process) -> bool:
-        if process in self._news:
+    def _needs_refresh(self, process: Process) -> bool:
+        if process in self._resends:
             return False
-        told_at = self._told_at.setdefault(process, self._clock.now())
-        return self._clock.now() - told_at > TELL_AGAIN_SECONDS
+        broadcast_at = self._broadcast_at.setdefault(process, self._clock.now())
+        return self._clock.now() - broadcast_at > REFRESH_SECONDS
 
     @property
     def has_limits(self) -> bool:
-        """Tell whether any target names a limit."""
+        """Return whether any limit, or its absence, is recorded."""
         return self._shares.has_entries
 
     def seconds_until_available(self, target: Target) -> float:
-        """Return how long a target may be sent nothing by this host, in seconds."""
+        """Return the seconds until this host may send to a target, 0 if it may now.
+
+        Infinity if it has no part of the rate.
+        """
         if not self._shares.is_limited(target.process):
             return 0.0
         return self._shares.seconds_until(
@@ -87,7 +90,7 @@
         )
 
     def retry_seconds(self, target: Target) -> float:
-        """Return how often any host may send to a target, in seconds; 0 if always."""
+        """Return the seconds between the sends of all hosts, 0 if unlimited."""
         return self._shares.retry_seconds(target.process)
 
     def record_sent(self, target: Target) -> None:
@@ -98,50 +101,52 @@
         others = self._peers.live if self._peers else ()
         return [self._name, *(peer.heartbeat.node for peer in others)]
 
-    def _take(self, said: TargetLimit) -> bool:
-        before = self._shares.limits.get(said.process)
-        if not self._shares.update(said, self._clock.now()):
+    def _apply(self, named: TargetLimit) -> bool:
+        before = self._shares.limits.get(named.process)
+        if not self._shares.update(named, self._clock.now()):
             return False
         self._metrics.rate_limited.set(len(self._shares.limits))
         log.info(
             "target: rate limit",
-            target=said.process.id,
-            limit=said.limit,
+            target=named.process.id,
+            limit=named.limit,
             before=before,
-            age=round(said.age, 3),
+            age=round(named.age, 3),
         )
         return True
 
-    def _forget_ended(self) -> None:
+    def _prune(self) -> None:
         if not self.has_limits:
             return
         listed = {target.process for target in self._directory.targets.values()}
         self._shares.prune(listed, self._clock.now())
-        self._told_at = {p: at for p, at in self._told_at.items() if p in listed}
+        self._broadcast_at = {
+            p: at for p, at in self._broadcast_at.items() if p in listed
+        }
         self._metrics.rate_limited.set(len(self._shares.limits))
 
     # -- other hosts ---------------------------------------------------------
 
-    def _hear_peer(self, news: RateLimitNews) -> None:
-        for said in news.limits:
-            listed = self._directory.targets.get(said.process.id)
-            if listed is not None and listed.process == said.process:
-                self._take(said)
+    def _on_peer_limits(self, message: RateLimitNews) -> None:
+        for named in message.limits:
+            listed = self._directory.targets.get(named.process.id)
+            if listed is not None and listed.process == named.process:
+                self._apply(named)
 
     async def run(self) -> None:
-        """Tell other hosts what is new until cancelled."""
-        await self._news.run(self.send_due)
+        """Broadcast changed limits when they are due, until cancelled."""
+        await self._resends.run(self.send_due)
 
     def send_due(self) -> None:
-        """Tell the other hosts what is due now."""
+        """Broadcast the limits that are due now."""
         now = self._clock.now()
-        told = []
-        for process in self._news.take_due():
-            word = self._shares.latest(process, now)
-            if word is None:
-                self._news.drop(process)
+        limits = []
+        for process in self._resends.take_due():
+            latest = self._shares.latest(process, now)
+            if latest is None:
+                self._resends.drop(process)
                 continue
-            told.append(word)
-            self._told_at[process] = now
-        if told and self._peers is not None:
-            self._peers.broadcast(RateLimitNews(node=self._name, limits=tuple(told)))
+            limits.append(latest)
+            self._broadcast_at[process] = now
+        if limits and self._peers is not None:
+            self._peers.broadcast(RateLimitNews(node=self._name, limits=tuple(limits)))
--- a/mallowpond/node/resend_schedule.py
+++ b/mallowpond/node/resend_schedule.py
@@ -1,4 +1,4 @@
-"""Tell each piece of news several times, as datagrams get lost."""
+"""Schedule repeated sends of each message, as datagrams get lost."""
 
 import asyncio
 from collections.abc import Callable, Hashable
@@ -7,28 +7,29 @@
 from mallowpond.coordination.ports import Clock
 from mallowpond.coordination.tasks import sleep_until_event
 
-# Pause between two tellings, in seconds: what is told in one is bounded.
-TELL_SECONDS = 0.1
+# Pause between two rounds of sends, in seconds. The size of a round is bounded, so this
+# bounds the rate.
+ROUND_SECONDS = 0.1
 
 Key = TypeVar("Key", bound=Hashable)
 
 
 class ResendSchedule(Generic[Key]):
-    """Schedule what is told, and how often it was.
+    """Keys of what is to be sent, each several times, and when it is due next.
 
-    `pauses` are those before each telling of one piece, in seconds, and `at_once` is
-    how many pieces are told together.
+    `delays` are those before each send of one key, in seconds, and `max_batch` is how
+    many keys one round sends at most.
     """
 
     def __init__(
-        self, *, clock: Clock, pauses: tuple[float, ...], at_once: int
+        self, *, clock: Clock, delays: tuple[float, ...], max_batch: int
     ) -> None:
         self._clock = clock
-        self._pauses = pauses
-        self._at_once = at_once
-        # When each piece is told next, and which of its tellings that is.
+        self._delays = delays
+        self._max_batch = max_batch
+        # When each key is sent next, and which of its sends that is, counted from 1.
         self._due: dict[Key, tuple[float, int]] = {}
-        self._news = asyncio.Event()
+        self._added = asyncio.Event()
 
     def __contains__(self, key: Key) -> bool:
         return key in self._due
@@ -37,34 +38,34 @@
         return len(self._due)
 
     def add(self, key: Key) -> None:
-        """Tell a piece of news as often as each, from now on."""
-        self._due[key] = (self._clock.now() + self._pauses[0], 1)
-        self._news.set()
+        """Schedule all sends of a key from now on, in place of those that are left."""
+        self._due[key] = (self._clock.now() + self._delays[0], 1)
+        self._added.set()
 
     def drop(self, key: Key) -> None:
-        """Tell a piece no more."""
+        """Cancel the sends of a key that are left."""
         self._due.pop(key, None)
 
     def take_due(self) -> list[Key]:
-        """Return what is to be told now, and schedule its next telling."""
+        """Return at most one batch of due keys, and schedule their next sends."""
         now = self._clock.now()
         due = [key for key, (at, _) in self._due.items() if at <= now]
-        for key in due[: self._at_once]:
+        for key in due[: self._max_batch]:
             times = self._due.pop(key)[1]
-            if times < len(self._pauses):
-                self._due[key] = (now + self._pauses[times], times + 1)
-        return due[: self._at_once]
+            if times < len(self._delays):
+                self._due[key] = (now + self._delays[times], times + 1)
+        return due[: self._max_batch]
 
     async def run(self, send_due: Callable[[], None]) -> None:
-        """Call `send_due` whenever something is due, until cancelled."""
+        """Call `send_due` whenever a key is due, until cancelled."""
         while True:
-            self._news.clear()
+            self._added.clear()
             if not self._due:
-                await self._news.wait()
+                await self._added.wait()
                 continue
             seconds = min(at for at, _ in self._due.values()) - self._clock.now()
             if seconds > 0.0:
-                await sleep_until_event(self._clock, seconds, self._news)
+                await sleep_until_event(self._clock, seconds, self._added)
                 continue
             send_due()
-            await self._clock.sleep(TELL_SECONDS)
+            await self._clock.sleep(ROUND_SECONDS)
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -19,11 +19,11 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.quarantine import Quarantine
 from mallowpond.node.quarantine_sharing import (
-    ANSWERED_RECORDS,
-    KEEPERS,
+    MAX_ANSWER_RECORDS,
+    MAX_RECORDS_PER_MESSAGE,
+    OWNERS_PER_REQUEST,
     PREFIX,
-    RECORDS_AT_ONCE,
-    TELL_PAUSES,
+    SEND_DELAYS,
     QuarantineSharing,
 )
 from mallowpond.node.tests.fakes import (
@@ -134,7 +134,7 @@
             return
         receiver.peers.datagram_received(data, ("127.0.0.1", 1))
 
-    def settle(self, seconds=sum(TELL_PAUSES) + 0.5):
+    def settle(self, seconds=sum(SEND_DELAYS) + 0.5):
         """Let time go by, in which hosts tell what is due."""
         for _ in range(int(seconds / 0.1)):
             self.clock.time += 0.1
@@ -195,7 +195,7 @@
     fleet.settle()
     fleet.hosts[6].start()
     fleet.introduce()
-    fleet.hosts[6].sharing.ask()
+    fleet.hosts[6].sharing.query_peers()
     fleet.hosts[6].meet(0.1, ENDINGS_TO_QUARANTINE - 1)
     assert fleet.who_holds() == ["n6"]
     fleet.settle()
@@ -271,10 +271,10 @@
     fleet.settle()
     heard = sum(len(data) + 28 for _, name, data in fleet.carried if name == "n0")
     # By the aim of 3 KB a second, over the time in which it is told.
-    assert heard < 3_000 * sum(TELL_PAUSES)
+    assert heard < 3_000 * sum(SEND_DELAYS)
     assert {len(h.quarantine.records()) for h in fleet.hosts} <= set(range(60))
     receivers = {r for s, r, _ in fleet.carried if s == "n1"}
-    assert len(receivers) <= 3 * KEEPERS
+    assert len(receivers) <= 3 * OWNERS_PER_REQUEST
 
 
 def test_what_one_host_tells_at_once_is_bounded():
@@ -287,11 +287,11 @@
     (_, _, data) = fleet.carried.pop()
     message = read_message(data)
     assert isinstance(message, CrashRecords)
-    assert len(message.records) == RECORDS_AT_ONCE
-    fleet.hosts[1].sharing.ask()
+    assert len(message.records) == MAX_RECORDS_PER_MESSAGE
+    fleet.hosts[1].sharing.query_peers()
     answers = [read_message(d) for s, _, d in fleet.carried if s == "n0"]
     told = sum(len(a.records) for a in answers if a.answer)
-    assert told == ANSWERED_RECORDS
+    assert told == MAX_ANSWER_RECORDS
 
 
 async def test_a_stream_that_is_held_back_is_refused_and_not_sent():
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -11,7 +11,7 @@
 from mallowpond.node.messages import PlaceAnswer, PlaceVerdict, RateLimitNews
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.outcomes import Answered, Reason, Refusal
-from mallowpond.node.rate_limits import TELL_PAUSES, RateLimits
+from mallowpond.node.rate_limits import SEND_DELAYS, RateLimits
 from mallowpond.node.tests.fakes import (
     BROKEN,
     FakeClock,
@@ -237,11 +237,11 @@
     rig, wires, (mine, other) = await pair()
     wires[0].losses = 2
     mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
-    for pause in TELL_PAUSES:
+    for pause in SEND_DELAYS:
         rig.clock.time += pause
         mine.send_due()
     assert other.seconds_until_available(head(rig, "a0")) > 0.0
-    assert len(mine._news) == 0
+    assert len(mine._resends) == 0
 
 
 async def test_news_of_an_unlisted_process_is_left_out():
--- a/mallowpond/node/tests/test_resend_schedule.py
+++ b/mallowpond/node/tests/test_resend_schedule.py
@@ -7,9 +7,9 @@
 from mallowpond.node.tests.fakes import FakeClock
 
 
-def news_of(clock, at_once=2):
+def news_of(clock, max_batch=2):
     """Write a schedule of two tellings."""
-    return ResendSchedule(clock=clock, pauses=(0.1, 1.0), at_once=at_once)
+    return ResendSchedule(clock=clock, delays=(0.1, 1.0), max_batch=max_batch)
 
 
 def test_each_piece_is_told_once_a_pause():
