--- a/mallowpond/platform/callers.py
+++ b/mallowpond/platform/callers.py
@@ -29,7 +29,7 @@
             method=request.method,
             target=request.target,
             body=request.body,
-            passed_headers=_passed(request.header_list),
+            forwarded_headers=_passed(request.header_list),
             key=_key(found.get(names.AUTHORIZATION, "")),
             seconds_left=_seconds(found.get(names.DEADLINE, "")),
             model=found.get(names.MODEL),
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -12,7 +12,7 @@
 from mallowpond.node.ports import EngineReport
 from mallowpond.state.decoding import (
     Address,
-    Fault,
+    DecodeFault,
     HeaderText,
     Identifier,
     Name,
@@ -31,17 +31,17 @@
 from mallowpond.state.site_configuration import (
     Backend,
     CallerLimits,
-    KeyHolder,
-    Repeat,
+    KeyOwner,
+    RepeatPolicy,
     Route,
     Service,
     SiteConfiguration,
 )
 
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "non_idempotent": Repeat.ONCE,
-    "stream": Repeat.STREAM,
+    "idempotent": RepeatPolicy.IDEMPOTENT,
+    "non_idempotent": RepeatPolicy.ONCE,
+    "stream": RepeatPolicy.STREAM,
 }
 MILLISECONDS = 0.001
 # Fields of an entry that may be a number or a text, with the kind of number.
@@ -166,7 +166,7 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.prefix,
-        repeat=REPEATS.get(route.kind, Repeat.ONCE),
+        repeat=REPEATS.get(route.kind, RepeatPolicy.ONCE),
         backends=tuple(Backend(service=b.service, weight=b.weight) for b in backends),
         timeout_seconds=route.timeout_ms * MILLISECONDS,
         objective_seconds=route.slo_ms * MILLISECONDS,
@@ -174,7 +174,7 @@
         max_attempts=route.max_attempts,
         needs_key=not route.no_auth,
         resumable=route.can_resume,
-        gap_seconds=route.gap_target_ms * MILLISECONDS,
+        gap_objective_seconds=route.gap_target_ms * MILLISECONDS,
     )
 
 
@@ -196,12 +196,12 @@
         step_seconds=engine.step_ms * MILLISECONDS,
         request_seconds=engine.per_seq_ms * MILLISECONDS,
         context_seconds_per_k=engine.context_per_k * MILLISECONDS,
-        read_tokens_per_second=engine.read_per_s or 1.0,
+        prefill_tokens_per_second=engine.read_per_s or 1.0,
         loads_per_second=engine.loads_per_s,
         loads_at_once=int(engine.loads_at_once),
-        usual_prompt_tokens=engine.usual.prompt,
-        usual_answer_tokens=engine.usual.answer,
-        far_factor=engine.far_x or 1.0,
+        typical_prompt_tokens=engine.usual.prompt,
+        typical_answer_tokens=engine.usual.answer,
+        cross_domain_factor=engine.far_x or 1.0,
     )
 
 
@@ -216,10 +216,10 @@
     )
 
 
-def _keys(tenants: tuple[_Tenant, ...]) -> dict[str, KeyHolder]:
+def _keys(tenants: tuple[_Tenant, ...]) -> dict[str, KeyOwner]:
     keys = {}
     for tenant in tenants:
-        holder = KeyHolder(workspace=tenant.name, priority=tenant.priority)
+        holder = KeyOwner(workspace=tenant.name, priority=tenant.priority)
         keys |= {key: holder for key in tenant.api_keys}
     return keys
 
@@ -239,7 +239,7 @@
     """Decode what a row of the product's own tables holds."""
     found = decode(document, OwnRow)
     if isinstance(found, OwnRow) and not isinstance(found.value, Mapping):
-        return Unreadable(fault=Fault.TYPE, field="value")
+        return Unreadable(fault=DecodeFault.TYPE, field="value")
     return found
 
 
@@ -324,10 +324,10 @@
     if isinstance(entry, Unreadable):
         return entry
     if "born" in row and entry.born is None:
-        return Unreadable(fault=Fault.TYPE, field="born")
+        return Unreadable(fault=DecodeFault.TYPE, field="born")
     missing = _missing_place(entry)
     if missing:
-        return Unreadable(fault=Fault.MISSING, field=missing)
+        return Unreadable(fault=DecodeFault.MISSING, field=missing)
     return Target(
         id=key.id,
         service=entry.service,
@@ -349,9 +349,9 @@
     if isinstance(found, Unreadable):
         return found
     if found.born is None and "born" in document:
-        return Unreadable(fault=Fault.TYPE, field="born")
+        return Unreadable(fault=DecodeFault.TYPE, field="born")
     if found.born is None and asked.born is not None:
-        return Unreadable(fault=Fault.MISSING, field="born")
+        return Unreadable(fault=DecodeFault.MISSING, field="born")
     # Here `sequence` counts orders; in the list it counts heartbeats.
     return EngineReport(
         orders=found.sequence,
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -8,14 +8,14 @@
 from mallowpond.node.ports import (
     CallerRequest,
     EngineReport,
-    OrderEnd,
     OrderFenced,
     OrderLost,
     OrderMisdirected,
+    OrderResult,
     OrderTaken,
     OrderUnfit,
 )
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform import documents
 from mallowpond.platform import headers as names
 from mallowpond.state.decoding import Unreadable, parse_json
@@ -47,10 +47,10 @@
     """Speak to engines and plain services."""
 
     def __init__(
-        self, *, http: HttpClient, notes: UnreadableNotes | None = None
+        self, *, http: HttpClient, unreadable_log: UnreadableLog | None = None
     ) -> None:
         self._http = http
-        self._notes = notes or UnreadableNotes()
+        self._unreadable_log = unreadable_log or UnreadableLog()
 
     async def send(
         self,
@@ -63,7 +63,7 @@
     ) -> HttpResponse | CallFailed:
         """Send a request and return once the head of its answer is here."""
         left = max(1, int(seconds_left * 1000))
-        headers = request.passed_headers + (
+        headers = request.forwarded_headers + (
             (names.DEADLINE, str(left)),
             (names.EXPECT_INSTANCE, target.id),
         )
@@ -98,7 +98,7 @@
             is_leaving=found.get(names.LEAVING) == "1",
         )
 
-    async def order(self, step: Step, *, fence: int, expected: int) -> OrderEnd:
+    async def order(self, step: Step, *, fence: int, expected: int) -> OrderResult:
         """Give an engine an order that only this count of earlier ones may precede."""
         body = {**_operation(step), "fence": fence, "expected": expected}
         answer = await self._http.fetch(
@@ -147,7 +147,7 @@
         if not isinstance(found, Unreadable):
             found = documents.report(target, found)
         if isinstance(found, Unreadable):
-            self._notes.note("report", target.id, found)
+            self._unreadable_log.record("report", target.id, found)
             return Unavailable(reason=str(found))
         return found
 
@@ -176,7 +176,7 @@
             return Unavailable(reason="another engine answered")
         born = documents.born_of(parse_json(answer.body))
         if isinstance(born, Unreadable):
-            self._notes.note("health", target.id, born)
+            self._unreadable_log.record("health", target.id, born)
             return Unavailable(reason=str(born))
         if None not in (born, target.born) and born != target.born:
             return Unavailable(reason="another process of the engine answered")
--- a/mallowpond/platform/program.py
+++ b/mallowpond/platform/program.py
@@ -15,7 +15,7 @@
 from mallowpond.node.ports import NodePorts
 from mallowpond.node.service import build
 from mallowpond.node.settings import NodeSettings
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform.call_counts import CallCounts
 from mallowpond.platform.callers import PlatformCallers
 from mallowpond.platform.early import settings_path
@@ -56,13 +56,15 @@
     """Run a node until it is told to stop."""
     http = HttpClient(connect_seconds=CONNECT_SECONDS)
     metrics = NodeMetrics()
-    notes = UnreadableNotes(counter=metrics.unreadable)
+    unreadable_log = UnreadableLog(counter=metrics.unreadable)
     counts = CallCounts(clock=BootClock(), metric=metrics.store_calls)
-    store = PlatformStore(http=http, address=settings.store, notes=notes, counts=counts)
+    store = PlatformStore(
+        http=http, address=settings.store, unreadable_log=unreadable_log, counts=counts
+    )
     ports = NodePorts(
         callers=PlatformCallers(),
         source=store,
-        targets=PlatformEngines(http=http, notes=notes),
+        targets=PlatformEngines(http=http, unreadable_log=unreadable_log),
         table=store,
     )
     node = build(
--- a/mallowpond/platform/rows.py
+++ b/mallowpond/platform/rows.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mallowpond.state.decoding import Fault, Unreadable, decode, parse_json
+from mallowpond.state.decoding import DecodeFault, Unreadable, decode, parse_json
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -124,10 +124,10 @@
 
 def _document(row: dict[str, Any]) -> Any | Unreadable:
     if "value" not in row:
-        return Unreadable(fault=Fault.MISSING, field="value")
+        return Unreadable(fault=DecodeFault.MISSING, field="value")
     value = _value(row)
     if value is None:
-        return Unreadable(fault=Fault.BYTES, field="value")
+        return Unreadable(fault=DecodeFault.BYTES, field="value")
     return parse_json(value)
 
 
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -19,7 +19,7 @@
     UnreadableRow,
 )
 from mallowpond.node.ports import ConfigurationRead, HistoryLost, TargetsRead
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform import documents
 from mallowpond.platform.call_counts import CallCounts
 from mallowpond.platform.rows import (
@@ -29,7 +29,7 @@
     conflicting_keys,
     store_answer,
 )
-from mallowpond.state.decoding import Fault, Unreadable, parse_json
+from mallowpond.state.decoding import DecodeFault, Unreadable, parse_json
 from mallowpond.state.fleet import Target
 from mallowpond.state.site_configuration import SiteConfiguration
 from mallowpond.transport.http_client import CallFailed, HttpClient
@@ -54,13 +54,13 @@
         *,
         http: HttpClient,
         address: str,
-        notes: UnreadableNotes | None = None,
+        unreadable_log: UnreadableLog | None = None,
         counts: CallCounts | None = None,
     ) -> None:
         self._http = http
         self._counts = counts or CallCounts(clock=BootClock())
         self._address = address
-        self._notes = notes or UnreadableNotes()
+        self._unreadable_log = unreadable_log or UnreadableLog()
 
     # -- the configuration and the list of targets --------------------------
 
@@ -76,7 +76,7 @@
             return answer
         if answer.nameless:
             # It may be the newest configuration: passed over, it would never be read.
-            self._notes.note("configuration", "", answer.nameless[0])
+            self._unreadable_log.record("configuration", "", answer.nameless[0])
             return Unavailable(reason=f"row without a key: {answer.nameless[0]}")
         for row in answer.latest:
             if row.key == CONFIGURATION_KEY and not row.removed:
@@ -94,7 +94,7 @@
         if not isinstance(found, Unreadable):
             found = documents.configuration(found)
         if isinstance(found, Unreadable):
-            self._notes.note("configuration", row.key, found)
+            self._unreadable_log.record("configuration", row.key, found)
             return ConfigurationRead(
                 revision=revision, configuration=None, changed=True, unreadable=True
             )
@@ -108,7 +108,7 @@
         if not isinstance(found, Unreadable):
             found = documents.configuration(found)
         if isinstance(found, Unreadable):
-            self._notes.note("configuration", "", found)
+            self._unreadable_log.record("configuration", "", found)
             return None
         return found
 
@@ -121,7 +121,7 @@
         if isinstance(answer, HistoryLost | Unavailable):
             return answer
         for reason in answer.nameless:
-            self._notes.note("target", "", reason)
+            self._unreadable_log.record("target", "", reason)
         found = {row.key: self._target(row) for row in answer.latest if not row.removed}
         bad = [key for key, target in found.items() if not isinstance(target, Target)]
         removed = [row.key for row in answer.latest if row.removed]
@@ -139,7 +139,7 @@
         if not isinstance(found, Unreadable):
             found = documents.target(row.key, found)
         if isinstance(found, Unreadable):
-            self._notes.note("target", row.key, found)
+            self._unreadable_log.record("target", row.key, found)
         return found
 
     # -- the product's own rows ---------------------------------------------
@@ -171,7 +171,7 @@
         if isinstance(answer, HistoryLost | Unavailable):
             return _as_unavailable(answer)
         for reason in answer.nameless:
-            self._notes.note(table, "", reason)
+            self._unreadable_log.record(table, "", reason)
         rows = [self._own_row(table, r) for r in answer.latest if not r.removed]
         return Scanned(
             rows=tuple(row for row in rows if isinstance(row, Row)),
@@ -186,9 +186,9 @@
         if not isinstance(found, Unreadable):
             found = documents.own_row(found)
         if row.version == 0 and not isinstance(found, Unreadable):
-            found = Unreadable(fault=Fault.MISSING, field="ver")
+            found = Unreadable(fault=DecodeFault.MISSING, field="ver")
         if isinstance(found, Unreadable):
-            self._notes.note(table, row.key, found)
+            self._unreadable_log.record(table, row.key, found)
             return UnreadableRow(key=key, version=row.version, reason=str(found))
         return Row(
             key=key,
@@ -279,7 +279,7 @@
     def _readable(self, answer: StoreAnswer | Unreadable) -> StoreAnswer | Unavailable:
         if not isinstance(answer, Unreadable):
             return answer
-        self._notes.note("store", "", answer)
+        self._unreadable_log.record("store", "", answer)
         return Unavailable(reason=str(answer))
 
 
--- a/mallowpond/platform/tests/test_any_document.py
+++ b/mallowpond/platform/tests/test_any_document.py
@@ -14,7 +14,7 @@
 from mallowpond.platform.tests.test_engines import REPORT
 from mallowpond.platform.tests.test_entries import ENTRY
 from mallowpond.platform.tests.test_store import GOOD, parsed_targets
-from mallowpond.state.decoding import Fault, Unreadable, decode, parse_json
+from mallowpond.state.decoding import DecodeFault, Unreadable, decode, parse_json
 from mallowpond.state.fleet import GroupPhase, Target
 from mallowpond.state.rows import LeaseRow
 from mallowpond.state.site_configuration import SiteConfiguration
@@ -190,4 +190,4 @@
 
 
 def test_a_value_nested_too_deep_is_unreadable():
-    assert parse_json(b"[" * 100_000) == Unreadable(fault=Fault.BYTES)
+    assert parse_json(b"[" * 100_000) == Unreadable(fault=DecodeFault.BYTES)
--- a/mallowpond/platform/tests/test_callers.py
+++ b/mallowpond/platform/tests/test_callers.py
@@ -50,7 +50,7 @@
     Sequence: a caller sends the headers that only the system may set.
     Cause: headers were passed on without telling those apart.
     """
-    passed = dict(read(*WHOLE).passed_headers)
+    passed = dict(read(*WHOLE).forwarded_headers)
     for name in (
         "authorization",
         "x-mallowpond-tenant",
@@ -63,8 +63,8 @@
         assert name not in passed
     assert passed["x-mallowpond-attempt-id"] == "q1"
     assert passed["x-mallowpond-prompt-prefix"] == "5c:800"
-    assert read(*WHOLE).passed_headers.count(("x-other", "1")) == 1
-    assert read(*WHOLE).passed_headers.count(("x-other", "2")) == 1
+    assert read(*WHOLE).forwarded_headers.count(("x-other", "1")) == 1
+    assert read(*WHOLE).forwarded_headers.count(("x-other", "2")) == 1
 
 
 def test_a_request_without_an_id_is_invalid():
--- a/mallowpond/platform/tests/test_documents.py
+++ b/mallowpond/platform/tests/test_documents.py
@@ -5,9 +5,9 @@
 import pytest
 
 from mallowpond.platform import documents
-from mallowpond.state.decoding import Fault, Unreadable
+from mallowpond.state.decoding import DecodeFault, Unreadable
 from mallowpond.state.fleet import GroupPhase, Process
-from mallowpond.state.site_configuration import Repeat
+from mallowpond.state.site_configuration import RepeatPolicy
 
 DOCUMENT = {
     "version": 7,
@@ -67,9 +67,9 @@
     site = documents.configuration(DOCUMENT)
     stream, other = site.routes
     assert site.version == 7
-    assert (stream.repeat, stream.resumable) == (Repeat.STREAM, True)
+    assert (stream.repeat, stream.resumable) == (RepeatPolicy.STREAM, True)
     assert (stream.timeout_seconds, stream.objective_seconds) == (8.0, 0.3)
-    assert stream.gap_seconds == 0.25
+    assert stream.gap_objective_seconds == 0.25
     assert [b.weight for b in stream.backends] == [90, 10]
     assert site.keys["k2"].workspace == "w"
     assert site.limits.idle_seconds == 15.0
@@ -85,7 +85,7 @@
     Sequence: a new kind of route comes into force before this program knows it.
     Cause: an unknown kind was taken for one that may be repeated.
     """
-    assert documents.configuration(DOCUMENT).routes[1].repeat is Repeat.ONCE
+    assert documents.configuration(DOCUMENT).routes[1].repeat is RepeatPolicy.ONCE
 
 
 def test_an_empty_configuration_is_one():
@@ -120,7 +120,7 @@
     free = documents.target("i-2", {**row, "group": None})
     assert free.membership is None
     assert documents.target("i-3", {}) == Unreadable(
-        fault=Fault.MISSING, field="service"
+        fault=DecodeFault.MISSING, field="service"
     )
 
 
@@ -192,7 +192,7 @@
     del holder[name]
     found = documents.configuration(document)
     assert isinstance(found, Unreadable)
-    assert found.fault is Fault.MISSING
+    assert found.fault is DecodeFault.MISSING
 
 
 @pytest.mark.parametrize("document", [None, 7, "x", True, [], [DOCUMENT], {}])
--- a/mallowpond/platform/tests/test_engines.py
+++ b/mallowpond/platform/tests/test_engines.py
@@ -34,7 +34,7 @@
     method="POST",
     target="/p",
     body=b"{}",
-    passed_headers=(("host", "h"), ("x-mallowpond-attempt-id", "q1")),
+    forwarded_headers=(("host", "h"), ("x-mallowpond-attempt-id", "q1")),
 )
 
 
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -20,8 +20,8 @@
 from mallowpond.state.site_configuration import (
     Backend,
     CallerLimits,
-    KeyHolder,
-    Repeat,
+    KeyOwner,
+    RepeatPolicy,
     Route,
     Service,
     SiteConfiguration,
@@ -31,18 +31,18 @@
     name="r",
     host="h.example",
     prefix="/p/",
-    repeat=Repeat.ONCE,
+    repeat=RepeatPolicy.ONCE,
     backends=(Backend(service="s", weight=1),),
     timeout_seconds=1.0,
     objective_seconds=0.2,
 )
-STREAM = replace(ROUTE, name="t", prefix="/t/", repeat=Repeat.STREAM)
+STREAM = replace(ROUTE, name="t", prefix="/t/", repeat=RepeatPolicy.STREAM)
 MODELS = EngineProfile(slots=4, models=(ModelSpec(name="m", size=2),))
 SITE = SiteConfiguration(
     version=1,
     routes=(ROUTE, STREAM),
     services={"s": Service(name="s", max_connections=9, profile=MODELS)},
-    keys={"good": KeyHolder(workspace="w")},
+    keys={"good": KeyOwner(workspace="w")},
     uses_keys=True,
     limits=CallerLimits(header_bytes=2000, body_bytes=100, header_seconds=0.3),
 )
@@ -55,7 +55,7 @@
         self.served = []
 
     @property
-    def placing(self):
+    def placement(self):
         """Return what tells how long a stream may take."""
         return self
 
@@ -167,7 +167,7 @@
 
 async def test_a_stopping_node_serves_and_says_that_it_closes():
     async with ingress_of(SITE) as (ingress, calls):
-        ingress.stopping = True
+        ingress.is_stopping = True
         data = request().replace(b"Connection: close\r\n", b"")
         answer = await talk(ingress, data)
     assert answer.startswith(b"HTTP/1.1 200 ")
@@ -195,8 +195,8 @@
     own time, in which it neither waits nor moves.
     """
     async with ingress_of(SITE) as (ingress, _):
-        ingress.stopping = True
-        ingress.ends_at = ingress._clock.now() + left
+        ingress.is_stopping = True
+        ingress.shutdown_at = ingress._clock.now() + left
         data = request("X-Mallowpond-Model: m", target=target)
         answer = await talk(ingress, data)
     assert answer.startswith(b"HTTP/1.1 %d " % status)
@@ -210,8 +210,8 @@
     Cause: a stopping node took every request until its last moment.
     """
     async with ingress_of(SITE) as (ingress, calls):
-        ingress.stopping = True
-        ingress.ends_at = ingress._clock.now() + 0.1
+        ingress.is_stopping = True
+        ingress.shutdown_at = ingress._clock.now() + 0.1
         answer = await talk(ingress, request())
     assert answer.startswith(b"HTTP/1.1 503 ")
     assert b"retry-after: " in answer.lower()
--- a/mallowpond/platform/tests/test_store.py
+++ b/mallowpond/platform/tests/test_store.py
@@ -18,7 +18,7 @@
 )
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import HistoryLost
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform.store import PlatformStore
 from mallowpond.platform.tests.test_entries import ENTRY
 from mallowpond.transport.http_client import HttpClient
@@ -329,8 +329,10 @@
     counter = NodeMetrics().unreadable
     rows = [{**GOOD, "key": "i-1", "value": "%%%"}, row("i-3", {**ENTRY, "slots": -1})]
     body = json.dumps({"rows": rows, "ver": 4}).encode()
-    notes = UnreadableNotes(counter=counter)
-    store = PlatformStore(http=FixedHttp(body), address="", notes=notes)
+    unreadable_log = UnreadableLog(counter=counter)
+    store = PlatformStore(
+        http=FixedHttp(body), address="", unreadable_log=unreadable_log
+    )
     await store.targets(5)
     assert counter.labels("target", "bytes")._value.get() == 1
     assert counter.labels("target", "range")._value.get() == 1
