--- a/mallowpond/gateway/relay.py
+++ b/mallowpond/gateway/relay.py
@@ -36,7 +36,7 @@
     chunks: int = 0
     _rest: bytearray = field(default_factory=bytearray)
 
-    def take(self, data: bytes) -> bytes:
+    def complete_events(self, data: bytes) -> bytes:
         """Return the whole events that `data` completes.
 
         Only whole events are passed on: a resumed stream starts at an event, and
@@ -52,12 +52,12 @@
         self.chunks += 1
         return whole
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget half an event that a broken stream left."""
         self._rest.clear()
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether bytes are left that complete no event."""
         return bool(self._rest)
 
@@ -75,14 +75,18 @@
         async for event in response.events(silence_seconds):
             match event:
                 case Chunk(data=data):
-                    whole = progress.take(data)
+                    whole = progress.complete_events(data)
                     if not whole:
                         continue
                     if not exchange.started:
                         await exchange.start(200, headers)
                     await exchange.send(whole)
                 case End():
-                    return Broken(reason="cut_event") if progress.has_rest else Whole()
+                    return (
+                        Broken(reason="cut_event")
+                        if progress.has_partial_event
+                        else Whole()
+                    )
                 case CallFailed(phase=phase):
                     return Broken(reason=f"cut_{phase.value}")
     finally:
--- a/mallowpond/node/metrics.py
+++ b/mallowpond/node/metrics.py
@@ -33,14 +33,14 @@
         )
         self.first_event = histogram("mallowpond_first_event_seconds", "First event")
         self.gap = histogram("mallowpond_event_gap_seconds", "Gap between events")
-        self.refusing = histogram("mallowpond_refuse_seconds", "Time to refuse")
+        self.refusal_seconds = histogram("mallowpond_refuse_seconds", "Time to refuse")
         self.waiting = Gauge(
             "mallowpond_waiting", "Requests that wait", registry=self.registry
         )
         self.in_flight = Gauge(
             "mallowpond_in_flight", "Requests being served", registry=self.registry
         )
-        self.held_back = Gauge(
+        self.quarantined = Gauge(
             "mallowpond_held_back", "Requests held back", registry=self.registry
         )
         self.rate_limited = Gauge(
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -12,9 +12,9 @@
 from mallowpond.node.messages import RateLimitNews
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.repeated_news import RepeatedNews
+from mallowpond.node.resend_schedule import ResendSchedule
 from mallowpond.state.fleet import Process, Target
-from mallowpond.state.rate_limit import LimitShares, TargetLimit
+from mallowpond.state.rate_limit import RateLimitShares, TargetLimit
 from mallowpond.state.target_notice import TargetNotice
 
 log = structlog.get_logger()
@@ -46,8 +46,8 @@
         self._clock = clock
         self._metrics = metrics
         self._peers = peers
-        self._shares = LimitShares(host=name)
-        self._news: RepeatedNews[Process] = RepeatedNews(
+        self._shares = RateLimitShares(host=name)
+        self._news: ResendSchedule[Process] = ResendSchedule(
             clock=clock, pauses=TELL_PAUSES, at_once=TOLD_AT_ONCE
         )
         self._told_at: dict[Process, float] = {}
@@ -55,12 +55,14 @@
         if peers is not None:
             peers.on_rate_limits.append(self._hear_peer)
 
-    def hear(self, target: Target, notice: TargetNotice, asked_at: float) -> None:
+    def record_notice(
+        self, target: Target, notice: TargetNotice, sent_at: float
+    ) -> None:
         """Take what an answer says that was asked for at a moment."""
         process, limit = target.process, notice.rate_limit
         if limit is None and not self._shares.is_limited(process):
             return
-        age = self._clock.now() - asked_at if limit is None else 0.0
+        age = self._clock.now() - sent_at if limit is None else 0.0
         is_news = self._take(TargetLimit(process=process, limit=limit, age=age))
         if is_news or self._is_told_long_ago(process):
             self._news.add(process)
@@ -72,11 +74,11 @@
         return self._clock.now() - told_at > TELL_AGAIN_SECONDS
 
     @property
-    def is_any(self) -> bool:
+    def has_limits(self) -> bool:
         """Tell whether any target names a limit."""
-        return self._shares.is_any
+        return self._shares.has_entries
 
-    def seconds_until(self, target: Target) -> float:
+    def seconds_until_available(self, target: Target) -> float:
         """Return how long a target may be sent nothing by this host, in seconds."""
         if not self._shares.is_limited(target.process):
             return 0.0
@@ -88,9 +90,9 @@
         """Return how often any host may send to a target, in seconds; 0 if always."""
         return self._shares.retry_seconds(target.process)
 
-    def note_sent(self, target: Target) -> None:
+    def record_sent(self, target: Target) -> None:
         """Count a request to a target against this host's part of its rate."""
-        self._shares.note_sent(target.process, self._clock.now())
+        self._shares.record_sent(target.process, self._clock.now())
 
     def _hosts(self) -> list[str]:
         others = self._peers.live if self._peers else ()
@@ -98,7 +100,7 @@
 
     def _take(self, said: TargetLimit) -> bool:
         before = self._shares.limits.get(said.process)
-        if not self._shares.hear(said, self._clock.now()):
+        if not self._shares.update(said, self._clock.now()):
             return False
         self._metrics.rate_limited.set(len(self._shares.limits))
         log.info(
@@ -111,10 +113,10 @@
         return True
 
     def _forget_ended(self) -> None:
-        if not self.is_any:
+        if not self.has_limits:
             return
         listed = {target.process for target in self._directory.targets.values()}
-        self._shares.keep(listed, self._clock.now())
+        self._shares.prune(listed, self._clock.now())
         self._told_at = {p: at for p, at in self._told_at.items() if p in listed}
         self._metrics.rate_limited.set(len(self._shares.limits))
 
@@ -128,18 +130,18 @@
 
     async def run(self) -> None:
         """Tell other hosts what is new until cancelled."""
-        await self._news.run(self.tell_due)
+        await self._news.run(self.send_due)
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Tell the other hosts what is due now."""
         now = self._clock.now()
         told = []
         for process in self._news.take_due():
-            word = self._shares.word(process, now)
+            word = self._shares.latest(process, now)
             if word is None:
                 self._news.drop(process)
                 continue
             told.append(word)
             self._told_at[process] = now
         if told and self._peers is not None:
-            self._peers.tell(RateLimitNews(node=self._name, limits=tuple(told)))
+            self._peers.broadcast(RateLimitNews(node=self._name, limits=tuple(told)))
--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -7,7 +7,6 @@
 
 from mallowpond.coordination.ports import Unavailable
 from mallowpond.node.directory import Directory
-from mallowpond.node.intake import Intake
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import (
     CallerRequest,
@@ -21,6 +20,7 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.fleet import (
     EngineProfile,
     GroupPhase,
@@ -31,7 +31,7 @@
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.state.site_configuration import (
     Backend,
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
 )
@@ -44,8 +44,8 @@
     models=(MODEL,),
     stride=7,
     step_seconds=0.006,
-    read_tokens_per_second=50_000,
-    usual_answer_tokens=100,
+    prefill_tokens_per_second=50_000,
+    typical_answer_tokens=100,
 )
 MISDIRECTED = 421
 BROKEN = CallFailed(phase=FailurePhase.BODY, reason="closed early")
@@ -163,7 +163,7 @@
             method=request.method,
             target=request.target,
             body=request.body,
-            passed_headers=(),
+            forwarded_headers=(),
         )
 
     def answer_headers(self, response):
@@ -178,14 +178,14 @@
     configurations: deque = field(default_factory=deque)
     reads: deque = field(default_factory=deque)
     listed: deque = field(default_factory=deque)
-    cut: bool = False
-    asked: list = field(default_factory=list)
+    is_cut_off: bool = False
+    requested_revisions: list = field(default_factory=list)
     waits: list = field(default_factory=list)
 
     async def configuration(self, since, wait_seconds):
         """Answer with the next configuration."""
         self.waits.append(wait_seconds)
-        if self.cut:
+        if self.is_cut_off:
             return Unavailable(reason="cut off")
         if self.reads:
             return self.reads.popleft()
@@ -204,8 +204,8 @@
 
     async def targets(self, since):
         """Answer with the next list."""
-        self.asked.append(since)
-        if self.cut:
+        self.requested_revisions.append(since)
+        if self.is_cut_off:
             return Unavailable(reason="cut off")
         return self.listed.popleft()
 
@@ -279,13 +279,13 @@
     name="r",
     host="h",
     prefix="/",
-    repeat=Repeat.STREAM,
+    repeat=RepeatPolicy.STREAM,
     backends=(Backend(service="engines", weight=1),),
     timeout_seconds=5.0,
     objective_seconds=0.2,
     max_attempts=2,
     resumable=True,
-    gap_seconds=0.2,
+    gap_objective_seconds=0.2,
 )
 
 
@@ -307,7 +307,7 @@
             method="POST",
             target="/x",
             body=b"",
-            passed_headers=(),
+            forwarded_headers=(),
             model="m",
             prompt_tokens=100,
         )
@@ -334,15 +334,15 @@
     return FakeResponse(script=[], status=503, headers={"not-run": "1"})
 
 
-def intake_of(directory, clock, **more):
+def make_availability(directory, clock, **more):
     """Build what a host knows of the work that targets want."""
     limits = RateLimits(
         name="n0", directory=directory, clock=clock, metrics=NodeMetrics(), **more
     )
-    return Intake(rate_limits=limits, directory=directory, clock=clock)
+    return TargetAvailability(rate_limits=limits, directory=directory, clock=clock)
 
 
-async def rig_of(*groups, slack=100.0):
+async def make_rig(*groups, slack=100.0):
     """Build a stream service whose list holds these open groups."""
     clock, targets = FakeClock(), FakeTargets()
     members = [target for group in groups for target in open_group(group)]
@@ -360,7 +360,7 @@
         hosts=lambda: 1,
         rng=random.Random(1),
         quarantine=Quarantine(clock=clock, metrics=metrics),
-        intake=intake_of(directory, clock),
+        availability=make_availability(directory, clock),
     )
     service = StreamService(parts=parts)
     await directory.refresh()
--- a/mallowpond/node/unreadable.py
+++ b/mallowpond/node/unreadable.py
@@ -11,13 +11,13 @@
 KEY_LENGTH = 60
 
 
-class UnreadableNotes:
+class UnreadableLog:
     """Note each document that was left out, by its kind and what is wrong with it."""
 
     def __init__(self, *, counter: Counter | None = None) -> None:
         self._counter = counter
 
-    def note(self, kind: str, key: object, reason: Unreadable) -> None:
+    def record(self, kind: str, key: object, reason: Unreadable) -> None:
         """Count one document and say which it was."""
         if self._counter is not None:
             self._counter.labels(kind, reason.fault.value).inc()
