--- a/mallowpond/platform/program.py
+++ b/mallowpond/platform/program.py
@@ -18,7 +18,7 @@
 from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform.call_counts import CallCounts
 from mallowpond.platform.callers import PlatformCallers
-from mallowpond.platform.early import settings_path
+from mallowpond.platform.early_listener import settings_path
 from mallowpond.platform.engines import PlatformEngines
 from mallowpond.platform.store import PlatformStore
 from mallowpond.protocol.declaration_file import Faults
--- a/mallowpond/platform/tests/test_early.py
+++ b/mallowpond/platform/tests/test_early.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mallowpond.platform.early import SETTINGS_VARIABLE, listen_for_callers
+from mallowpond.platform.early_listener import SETTINGS_VARIABLE, listen_for_callers
 from mallowpond.transport.http_client import HttpClient
 from mallowpond.transport.http_server import HttpServer
 
