--- a/mallowpond/platform/headers.py
+++ b/mallowpond/platform/headers.py
@@ -1,7 +1,7 @@
 """Header names of the platform's protocol."""
 
 ATTEMPT = "x-mallowpond-attempt-id"
-STAMP = "x-mallowpond-server-stamp"
+SERVER_STAMP = "x-mallowpond-server-stamp"
 # What is left of the time that the caller waits, in milliseconds.
 DEADLINE = "x-mallowpond-deadline-ms"
 EXPECT_INSTANCE = "x-mallowpond-expect-instance"
--- a/mallowpond/standins/observatory_engine.py
+++ b/mallowpond/standins/observatory_engine.py
@@ -438,7 +438,7 @@
                 epoch=place and place.epoch,
                 members=place and place.members,
             )
-            stamp = ((names.STAMP, f"{self._id}.{attempt}"), *echo)
+            stamp = ((names.SERVER_STAMP, f"{self._id}.{attempt}"), *echo)
             is_fatal = request.body.startswith(FATAL_BODY)
             if is_fatal:
                 self._later(FATAL_SECONDS, lambda: self._crash(attempt))
