--- a/mallowpond/platform/callers.py
+++ b/mallowpond/platform/callers.py
@@ -22,7 +22,7 @@
         attempt = found.get(names.ATTEMPT, "")
         if not attempt:
             return InvalidRequest(reason=f"{names.ATTEMPT} is missing")
-        prompt, answer = _token_counts(found.get(names.TOKENS, ""))
+        prompt, answer = _token_counts(found.get(names.TOKEN_COUNTS, ""))
         return CallerRequest(
             id=attempt,
             host=found.get("host", "").partition(":")[0].lower(),
--- a/mallowpond/platform/headers.py
+++ b/mallowpond/platform/headers.py
@@ -16,7 +16,7 @@
 WORKSPACE = "x-mallowpond-tenant"
 MODEL = "x-mallowpond-model"
 # Prompt tokens and the most output tokens, separated by a comma.
-TOKENS = "x-mallowpond-token-counts"
+TOKEN_COUNTS = "x-mallowpond-token-counts"
 LAST_EVENT = "last-event-id"
 AUTHORIZATION = "authorization"
 
--- a/mallowpond/standins/observatory_engine.py
+++ b/mallowpond/standins/observatory_engine.py
@@ -453,7 +453,7 @@
     async def _stream(
         self, request: HttpRequest, exchange: Exchange, attempt: str, stamp: Any
     ) -> None:
-        tokens = int(request.headers.get(names.TOKENS, "0,7").partition(",")[2])
+        tokens = int(request.headers.get(names.TOKEN_COUNTS, "0,7").partition(",")[2])
         first = int(request.headers.get(names.LAST_EVENT, 0)) + 1
         kind = (("content-type", "text/event-stream"),)
         await exchange.start(200, (*kind, *stamp))
