--- a/mallowpond/controller/__init__.py
+++ b/mallowpond/controller/__init__.py
@@ -1,4 +1,4 @@
-"""The program that manages members, configuration, groups and claims."""
+"""Controller program: manages members, configuration, groups and claims."""
 
 __all__ = [
     "links",
--- a/mallowpond/controller/links.py
+++ b/mallowpond/controller/links.py
@@ -1,4 +1,4 @@
-"""Answer gateways and other controllers over their links."""
+"""Request handling for the links from gateways and other controllers."""
 
 import asyncio
 from collections.abc import Callable
@@ -48,7 +48,7 @@
 
 
 class LinkService:
-    """Serve every link that others open to this controller."""
+    """Serves the links that gateways and other controllers open to this one."""
 
     def __init__(
         self,
@@ -72,11 +72,11 @@
 
     @property
     def gateways(self) -> tuple[str, ...]:
-        """Return the incarnations of the gateways attached now."""
+        """Return the incarnations of the gateways attached now, sorted."""
         return tuple(sorted(self._link_counts))
 
     async def serve(self, link: PeerLink) -> None:
-        """Answer one link until it closes."""
+        """Answer the messages of one link until it closes."""
         gateway: str | None = None
         try:
             async with asyncio.TaskGroup() as tasks:
@@ -162,7 +162,7 @@
 
 
 def verdict_of(result: ClaimResult) -> ClaimVerdict:
-    """Name a claim's result for the wire."""
+    """Return the verdict on the wire for the result of a claim operation."""
     match result:
         case Granted():
             return ClaimVerdict.GRANTED
--- a/mallowpond/controller/metrics.py
+++ b/mallowpond/controller/metrics.py
@@ -1,10 +1,10 @@
-"""Metrics of a controller."""
+"""Prometheus metrics of a controller."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
 class ControllerMetrics:
-    """Register every metric of a controller in its own registry."""
+    """Registers every metric of a controller in a registry of its own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/mallowpond/controller/operator_api.py
+++ b/mallowpond/controller/operator_api.py
@@ -1,4 +1,4 @@
-"""Answer operators over HTTP."""
+"""HTTP API for operators: declarations, history, queries and commands."""
 
 import asyncio
 import json
@@ -38,19 +38,20 @@
 from mallowpond.state.codec import to_json
 from mallowpond.transport.http_server import Exchange, HttpRequest
 
+# Interval and limit of the wait for the outcome of a proposal, in seconds.
 OUTCOME_POLL_SECONDS = 0.05
 OUTCOME_LIMIT_SECONDS = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Accepted:
-    """The change is in force."""
+    """A change that is in force, with the configuration version it became."""
 
     version: int
 
 
 class OperatorApi:
-    """Serve apply, history, queries and commands."""
+    """Serves applied declarations, history, queries, commands, health and metrics."""
 
     def __init__(
         self,
@@ -129,7 +130,10 @@
     async def apply_source(
         self, source: str, expect: int, author: str
     ) -> Accepted | ProposalRefused:
-        """Bring a file's text in force; what was changed by command stays."""
+        """Propose the text of a declaration file and wait for the outcome.
+
+        Drained hosts and stopped groups, which commands set, stay as they are.
+        """
         document = replace(self._document(), source=source)
         return await self.propose(document, expect, author)
 
@@ -190,7 +194,11 @@
     async def propose(
         self, document: Document, expect: int, author: str
     ) -> Accepted | ProposalRefused:
-        """Propose a document and follow it until it is accepted or aborted."""
+        """Propose a document and wait until it is accepted or aborted.
+
+        `expect` is the version that the change is based on. After
+        `OUTCOME_LIMIT_SECONDS` the refusal has the reason `outcome_unknown`.
+        """
         proposed = await self._configuration.propose(
             text=document.encode(), expect_version=expect, author=author
         )
@@ -234,7 +242,7 @@
 
 
 def apply_command(document: Document, command: Command) -> Document:
-    """Return the document as a command changes it."""
+    """Return the document after a command."""
     drained, stopped = set(document.drained_hosts), set(document.stopped_groups)
     match command:
         case DrainHost(host=host):
--- a/mallowpond/controller/peers.py
+++ b/mallowpond/controller/peers.py
@@ -1,4 +1,4 @@
-"""Ask the other controllers of the cell for their views."""
+"""Polling of the other controllers of the cell for their views."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,11 +11,12 @@
 from mallowpond.state.rows import CellRow
 from mallowpond.transport.peer_link import LinkClosed, PeerLink, open_link
 
+# Limit for connecting to a peer and receiving its answer, in seconds.
 ANSWER_SECONDS = 1.0
 
 
 class PeerPoller:
-    """Keep a link to each other controller and its latest answer."""
+    """Keeps a link to each other controller and passes on its answers."""
 
     def __init__(
         self,
@@ -34,7 +35,7 @@
         self._sequences = count(1)
 
     async def poll(self, addresses: dict[str, str]) -> None:
-        """Ask every peer, each named with its address, once."""
+        """Poll every peer once; `addresses` maps member names to addresses."""
         await asyncio.gather(
             *(self._poll_peer(name, address) for name, address in addresses.items())
         )
--- a/mallowpond/controller/quarantine.py
+++ b/mallowpond/controller/quarantine.py
@@ -1,8 +1,8 @@
-"""Put together which requests end their targets, and keep it in the table.
+"""Merge the crash reports of all gateways and persist them in the table.
 
-A gateway sees the returns of a request that come to it. What it reports becomes a row
-that every controller reads with the shared rows, and goes to every gateway with its
-routes, so that a request which ends its targets is held back wherever it comes.
+A gateway sees only the retries of a request that arrive at it. Each report becomes a
+row that every controller reads with the shared rows and sends to its gateways with the
+routes, so that a request which crashes its targets is quarantined at every gateway.
 """
 
 import time
@@ -24,26 +24,26 @@
 
 log = structlog.get_logger()
 
-# Rows that one step writes or drops, at most: what a group's end leaves to report is
-# written in some steps, and the table has other work.
+# Maximum rows that one step writes or deletes: the reports after the end of a group are
+# spread over several steps, as the table has other work.
 MAX_ROWS_PER_STEP = 50
-# Rows that stand in the table, at most: every controller keeps them all.
+# Maximum rows in the table: every controller keeps all of them in memory.
 MAX_ROWS = 1_000
-# Time after its last ending for which a row stands that holds nothing back, in seconds:
-# by then each controller has put it together with what it knows.
+# Time for which a row of a request that is not quarantined is kept after its last
+# ending, in seconds: by then each controller has merged it.
 ROW_RETENTION_SECONDS = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class QuarantineRow:
-    """Keep the endings of a request; `ended_at` is the last one's time of day."""
+    """The endings of a request; `ended_at` is the wall time of the last one."""
 
     endings: tuple[Ending, ...]
     ended_at: float
 
 
 class ControllerQuarantine:
-    """Merge what gateways report with what the table holds."""
+    """Merges the reports of gateways with the rows of the table."""
 
     def __init__(
         self,
@@ -63,17 +63,18 @@
         self._reported: set[str] = set()
         self._versions: dict[str, int] = {}
         self._quarantined: frozenset[str] = frozenset()
-        # What was ever held back here: gateways hear the rest of it too.
+        # Every request quarantined here so far: later changes of its record, such as a
+        # refutation, are published too.
         self._published: set[str] = set()
         self._version = 1
 
     @property
     def version(self) -> int:
-        """Return a number that changes with what gateways are told."""
+        """Return a number that changes with the published records."""
         return self._version
 
     def published(self) -> tuple[CrashRecord, ...]:
-        """Return what every gateway is to know."""
+        """Return the records that are sent to every gateway."""
         now = self._clock.now()
         records = (
             self._ledger.record(request, now) for request in sorted(self._published)
@@ -81,13 +82,13 @@
         return tuple(record for record in records if record is not None)
 
     def on_report(self, records: tuple[CrashRecord, ...]) -> None:
-        """Take what a gateway saw."""
+        """Merge the records of a gateway's report."""
         for record in records:
             if self._merge(record):
                 self._reported.add(record.request)
 
     async def step(self) -> None:
-        """Take the rows that changed, write what is reported, drop what is over."""
+        """Merge changed rows, write reported records and delete expired rows."""
         rows = self._shared.with_prefix(QUARANTINE, QuarantineRow)
         for request, row in rows.items():
             if self._versions.get(request) != row.version:
@@ -106,7 +107,7 @@
         is_new = self._ledger.merge(record, now)
         quarantined = self._ledger.quarantined(now)
         for request in sorted(quarantined - self._quarantined):
-            log.warning("controller: request held back", fingerprint=request)
+            log.warning("controller: request quarantined", fingerprint=request)
         if quarantined != self._quarantined or (
             is_new and record.request in self._published
         ):
@@ -131,20 +132,22 @@
             put = TypedPut(
                 key=SHARED + QUARANTINE + request,
                 value=row,
-                # Another controller's row is read, and put together with, first.
+                # Fails if another controller has changed the row: it is merged first.
                 expect=known.version if known else 0,
             )
             puts.append(put)
         if not puts:
             return
         if len(rows) >= MAX_ROWS:
-            log.warning("controller: too many rows of the quarantine", rows=len(rows))
+            log.warning("controller: quarantine row limit reached", rows=len(rows))
             return
         outcome = await self._table.commit(transaction(self._draw_id(), *puts))
         if isinstance(outcome, Committed):
             self._reported -= set(batch)
         else:
-            log.warning("controller: quarantine not written", outcome=repr(outcome))
+            log.warning(
+                "controller: quarantine rows not written", outcome=repr(outcome)
+            )
 
     async def _delete_expired(self, rows: dict[str, Versioned[QuarantineRow]]) -> None:
         now = self._wall_time()
@@ -163,6 +166,8 @@
         change = transaction(self._draw_id())
         outcome = await self._table.commit(replace(change, deletes=keys))
         log.info(
-            "controller: quarantine dropped", rows=len(keys), outcome=repr(outcome)
+            "controller: expired quarantine rows deleted",
+            rows=len(keys),
+            outcome=repr(outcome),
         )
         self._published -= set(expired)
--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -1,4 +1,4 @@
-"""Run one controller: membership, configuration, groups, claims, operators."""
+"""The controller process: wires its parts and runs their loops."""
 
 import asyncio
 import random
@@ -45,12 +45,13 @@
 log = structlog.get_logger()
 PLANNER_LEASE = "planner"
 DRAIN_LIMIT_SECONDS = 3.0
+# Age up to which a confirmation of a group counts as recent, in intervals of the watch.
 RECENT_POLLS = 2.0
 DRAIN_CHECK_SECONDS = 0.05
 
 
 class Controller:
-    """Wire a controller from its settings and ports."""
+    """One controller, built from its settings and ports."""
 
     def __init__(self, *, settings: ControllerSettings, ports: Ports) -> None:
         self._settings = settings
@@ -71,7 +72,7 @@
         self.replaced = asyncio.Event()
 
     async def start(self) -> None:
-        """Listen, build the parts, and run the loops."""
+        """Start listening, build the parts and start the loops."""
         timings = self._settings.timings
         self._links_port = await serve_links(
             self._serve_link,
@@ -98,27 +99,30 @@
 
     @property
     def peer_address(self) -> str:
-        """Return where gateways and other controllers reach this one."""
+        """Return the address for gateways and other controllers."""
         return f"{self._settings.address}:{self._links_port}"
 
     @property
     def operator_address(self) -> str:
-        """Return where operators reach this controller."""
+        """Return the address of the operator API."""
         return f"{self._settings.address}:{self._api_server.port}"
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this controller serves gateways and operators."""
+        """Return whether the configuration is assured and no leave has begun."""
         assured = isinstance(self.configuration.assurance(), Assured)
         return assured and not self._leaving
 
     @property
     def hosts(self) -> tuple[Host, ...]:
-        """Return the platform's host list as last read."""
+        """Return the host list of the platform as last read."""
         return self._hosts
 
     async def leave(self) -> None:
-        """Leave the membership before the rest of the work is finished."""
+        """Release the planner lease and leave the membership.
+
+        Open work goes on; `drain` waits for it.
+        """
         self._leaving = True
         log.info("controller: leaving", name=self._settings.name)
         await self._lease.release()
@@ -128,12 +132,16 @@
         )
 
     async def drain(self) -> None:
-        """Wait until the gateways have moved and nothing waits, within a limit."""
+        """Wait until all gateways have detached and all requests are answered.
+
+        Gives up after `DRAIN_LIMIT_SECONDS`.
+        """
         limit = self._clock.now() + DRAIN_LIMIT_SECONDS
         while self._clock.now() < limit:
-            # Cut off, an operator could not know whether a change is in force.
-            asked = self._claims.unanswered or self._api_server.is_busy
-            if not self._links.gateways and not asked:
+            # If its request were cut off, an operator could not know whether the
+            # change is in force.
+            is_busy = self._claims.unanswered or self._api_server.is_busy
+            if not self._links.gateways and not is_busy:
                 return
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
 
@@ -247,12 +255,12 @@
 
     @property
     def is_planner(self) -> bool:
-        """Tell whether this controller plans groups now."""
+        """Return whether this controller holds the planner lease now."""
         return self._lease.current is not None
 
     @property
     def shared(self) -> TableView:
-        """Return the rows that every controller reads."""
+        """Return this controller's view of the rows shared by all controllers."""
         return self._shared
 
     # -- loops ---------------------------------------------------------------
@@ -295,7 +303,7 @@
         await self.watch.poll(self._hosts)
 
     async def _suspect_step(self) -> None:
-        """Look at the engines at once when a gateway reports a failed dispatch."""
+        """Poll the engines at once when a gateway reports a suspect group."""
         await self._poll_now.wait()
         self._poll_now.clear()
         await self._watch_step()
@@ -374,12 +382,15 @@
         ready = tuple(g for g in groups if g.state is GroupState.READY)
         if ready != self._ready_groups:
             self._ready_groups = ready
-            # Random and not counted up: a gateway that changes controllers must not
-            # take two controllers' tables of the same number for one.
+            # Random instead of counted: after a change of controllers, a gateway must
+            # not mistake another controller's routes for its own of the same version.
             self._routes_version = self._rng.getrandbits(48)
 
     def _group_sightings(self) -> tuple[float, tuple[Sight, ...]]:
-        """Return the age of all recent sights, and the groups seen before or not."""
+        """Return an age that covers all recent confirmations, and the exceptions.
+
+        The exceptions are groups that were confirmed earlier or not at all.
+        """
         recent = self._settings.timings.watch * RECENT_POLLS
         seen_age, exceptions = 0.0, []
         for group in self._ready_groups:
@@ -409,11 +420,11 @@
         await self.api.handle(request, exchange)
 
     async def _serve_link(self, link: PeerLink) -> None:
-        # The parts need the ports, so the sockets open before the parts exist.
+        # The sockets are opened before the parts exist, as these need the port numbers.
         await self._built.wait()
         await self._links.serve(link)
 
-    # -- small parts ---------------------------------------------------------
+    # -- helpers -------------------------------------------------------------
 
     def _live_gateways(self) -> frozenset[str]:
         return self.membership.live_gateways() | set(self._links.gateways)
@@ -442,8 +453,8 @@
             try:
                 await step()
             except Exception:
-                # A loop that died would stop this node's heartbeat or planning for
-                # good while the process looks alive; the counter makes it visible.
+                # If a loop ended, heartbeats or planning would stop for good in a
+                # process that looks alive; the counter makes the failure visible.
                 self.metrics.loop_failures.labels(loop=name).inc()
                 log.exception("controller: loop step failed", loop=name)
             await self._clock.sleep(seconds)
--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -1,4 +1,4 @@
-"""The tables that operators query: what runs where and for whom."""
+"""Tables that operators query."""
 
 from collections.abc import Callable
 
@@ -37,7 +37,7 @@
 
 
 class Tables:
-    """Build each table from what this controller last read."""
+    """Builds each table from the latest state that this controller has read."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Return the names of the tables."""
+        """Return the names of all tables."""
         return tuple(COLUMNS)
 
     def build(self, name: str) -> Table | None:
-        """Return a table, None when there is none of this name."""
+        """Return the table of this name, None if there is none."""
         builders = {
             "deployments": self._deployment_rows,
             "groups": self._group_rows,
@@ -82,10 +82,18 @@
     def _deployment_rows(self) -> list[Cells]:
         groups = list(self._groups.groups().values())
         rows = []
-        for one in self._configuration.applied.declaration.deployments:
-            of_deployment = [g for g in groups if g.deployment == one.name]
+        for declared in self._configuration.applied.declaration.deployments:
+            of_deployment = [g for g in groups if g.deployment == declared.name]
             ready = sum(g.state is GroupState.READY for g in of_deployment)
-            rows.append((one.name, one.model, one.replicas, ready, one.hosts_per_group))
+            rows.append(
+                (
+                    declared.name,
+                    declared.model,
+                    declared.replicas,
+                    ready,
+                    declared.hosts_per_group,
+                )
+            )
         return rows
 
     def _group_rows(self) -> list[Cells]:
@@ -104,12 +112,12 @@
         return rows
 
     def _host_rows(self) -> list[Cells]:
-        bound = self._shared.with_prefix(HOSTS, HostRow)
+        host_rows = self._shared.with_prefix(HOSTS, HostRow)
         tainted = self._groups.tainted
         drained = self._configuration.applied.declaration.drained_hosts
         rows = []
         for host in self._hosts():
-            row = bound.get(host.name)
+            row = host_rows.get(host.name)
             status = self._watch.recent_status(host.name)
             cells = (
                 host.name,
@@ -148,15 +156,15 @@
     def _order_rows(self) -> list[Cells]:
         rows = []
         for name, row in self._shared.with_prefix(HOSTS, HostRow).items():
-            one = row.value
+            host_row = row.value
             cells = (
                 name,
-                one.order,
-                one.fence,
-                one.holder.member,
-                one.outcome.value,
-                one.group,
-                len(one.earlier),
+                host_row.order,
+                host_row.fence,
+                host_row.holder.member,
+                host_row.outcome.value,
+                host_row.group,
+                len(host_row.earlier),
             )
             rows.append(cells)
         return rows
--- a/mallowpond/controller/tests/test_quarantine.py
+++ b/mallowpond/controller/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What controllers keep of requests that end their targets."""
+"""Sharing of quarantine records between controllers through the table."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class QuarantineReplica:
-    """Hold one controller's quarantine over a table that others may share."""
+    """The quarantine of one controller over a table that others may share."""
 
     def __init__(self, table, clock):
         self.table, self.clock = table, clock
@@ -32,27 +32,27 @@
         )
 
     async def step(self):
-        """Read the shared rows and act on them, as a heartbeat does."""
+        """Refresh the shared rows and run one step, as on each heartbeat."""
         await self.shared.refresh()
         await self.quarantine.step()
 
     @property
     def published(self):
-        """Return the requests that gateways hear of."""
+        """Return the requests whose records are sent to gateways."""
         return [record.request for record in self.quarantine.published()]
 
 
 def record(request, *targets):
-    """Write what a gateway reports."""
+    """Return a record as a gateway reports it."""
     endings = tuple(Ending(process=Process(id=t, born=None), ran=0.1) for t in targets)
     return CrashRecord(request=request, endings=endings)
 
 
 async def test_what_two_controllers_hear_in_part_is_put_together():
-    """Symptom: a request goes on ending groups while gateways have several controllers.
+    """A request went on crashing groups when gateways used several controllers.
 
-    Sequence: two gateways see two of its endings each, and report to two controllers.
-    Cause: each controller counted what its own gateways reported.
+    Two gateways saw two of its endings each and reported them to two controllers, and
+    each controller counted only the reports of its own gateways.
     """
     table, clock = MemoryTable(), FakeClock()
     first, second = QuarantineReplica(table, clock), QuarantineReplica(table, clock)
--- a/mallowpond/gateway/__init__.py
+++ b/mallowpond/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The program that meets callers."""
+"""Gateway program: admits requests of callers and sends them to targets."""
 
 __all__ = [
     "admission",
--- a/mallowpond/gateway/admission.py
+++ b/mallowpond/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Admit requests to the groups of one deployment, at once, in turn, or not at all."""
+"""Admission of requests to the groups of one deployment."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,13 +20,19 @@
 
 @dataclass(kw_only=True)
 class _Waiter:
+    """A queued request; `turn` is resolved with the group that has a slot for it."""
+
     ticket: Ticket
     turn: asyncio.Future[GroupRow]
     prefix: str | None
 
 
 class AdmissionQueue:
-    """Hand out places on a deployment's groups fairly between workspaces."""
+    """Grants slots on the groups of a deployment, fairly between workspaces.
+
+    A request gets a free slot at once, waits in a weighted fair queue, or is refused if
+    it cannot be served before its deadline.
+    """
 
     def __init__(
         self,
@@ -47,11 +53,11 @@
 
     @property
     def queued(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._queue)
 
     def set_group_limit(self, limit: int) -> None:
-        """Change how many requests a group takes at once."""
+        """Set how many requests a group runs at once."""
         self._group_limit = limit
 
     async def acquire(
@@ -63,7 +69,11 @@
         prefix: str | None = None,
         avoid: frozenset[str] = frozenset(),
     ) -> GroupRow | Refused:
-        """Return a group with a place taken on it, or a refusal."""
+        """Acquire a slot on a group, waiting for one if none is free.
+
+        `share` is the weight of the workspace. The groups in `avoid` are not chosen at
+        once, but a request that has to wait may get one of them.
+        """
         now = self._clock.now()
         if not self._serving():
             return Refused(reason="no_group", retry_after=NO_GROUP_RETRY_AFTER_SECONDS)
@@ -84,14 +94,14 @@
     def release(
         self, group: str, *, held_seconds: float, latency: float | None
     ) -> None:
-        """Give a place back; `latency` is seconds a token, None if it did not end."""
+        """Release a slot; `latency` is in seconds per token, None if not measured."""
         self._balancer.finish(group, now=self._clock.now(), latency=latency)
         if latency is not None:
             self._service.record(held_seconds)
         self.admit_waiting()
 
     def admit_waiting(self) -> None:
-        """Give free places to those whose turn it is."""
+        """Grant free slots to waiting requests in the order of the queue."""
         while len(self._queue):
             ticket = self._queue.pop()
             if ticket is None:
@@ -110,8 +120,8 @@
         ticket = self._queue.push(workspace=workspace, share=share, deadline=deadline)
         turn: asyncio.Future[GroupRow] = asyncio.get_running_loop().create_future()
         self._waiters[ticket.number] = _Waiter(ticket=ticket, turn=turn, prefix=prefix)
-        # Waiting ends while there is still time to be served, so that a refusal goes
-        # out at once and not at the deadline.
+        # The wait ends while the request could still be served in time, so that the
+        # refusal is sent before the deadline.
         latest = deadline - self._service.upper_bound
         try:
             async with asyncio.timeout(max(0.0, latest - self._clock.now())):
@@ -124,8 +134,8 @@
             raise
 
     def _give_up(self, ticket: Ticket, turn: asyncio.Future[GroupRow]) -> None:
-        # The place may have been handed over in the same step of the loop in which
-        # the wait ended; it would then stay taken for ever.
+        # The slot may have been granted in the iteration of the event loop in which the
+        # wait ended; without the release it would stay occupied for ever.
         if turn.done():
             group = turn.result()
             self.release(group.group, held_seconds=0.0, latency=None)
--- a/mallowpond/gateway/claims.py
+++ b/mallowpond/gateway/claims.py
@@ -1,4 +1,4 @@
-"""Claim requests that may not be repeated, and make sure that voids get through."""
+"""Claims of requests that may not be repeated, made over the controller link."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,12 +10,13 @@
 from mallowpond.protocol.problems import Outcome, Problem
 
 SETTLE_RETRY_SECONDS = 0.5
+# Retry delay that refusals ask of the caller, in seconds.
 RETRY_AFTER_SECONDS = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimedAttempt:
-    """Name an attempt whose claim was committed."""
+    """Identifies an attempt whose claim was committed."""
 
     workspace: str
     key: str
@@ -24,7 +25,10 @@
 
 @dataclass(kw_only=True)
 class ClaimClient:
-    """Claim, finish and void over the controller link, retrying the last two."""
+    """Claims, finishes and voids attempts over the controller link.
+
+    Finishes and voids are queued and retried until the table has recorded them.
+    """
 
     link: ControllerLink
     gateway: str
@@ -37,14 +41,18 @@
 
     @property
     def unsettled_count(self) -> int:
-        """Return how many finishes and voids the table does not know of yet."""
-        # Those on their way too: a planned stop that went by the rest cancelled them.
+        """Return how many finishes and voids are not confirmed by the table yet."""
+        # Includes those in flight: a planned stop that waited only for the queue
+        # cancelled them.
         return len(self._unsettled) + self._settling_count
 
     async def claim(
         self, *, workspace: str, key: str, attempt: str, units: int
     ) -> ClaimedAttempt | Problem:
-        """Claim and charge an attempt; only then may it be sent."""
+        """Claim and charge an attempt, which must precede sending it.
+
+        Returns the refusal if the claim is not granted.
+        """
         claimed = ClaimedAttempt(workspace=workspace, key=key, attempt=attempt)
         ask = ClaimAsk(
             call=0,
@@ -57,8 +65,8 @@
         try:
             verdict = await self.link.ask_claim(ask, self.timeout)
         except asyncio.CancelledError:
-            # The caller left while the claim was on its way: it may be committed,
-            # and without a void its key would be blocked and charged for nothing.
+            # The caller left while the claim was in flight. It may be committed;
+            # without a void, its key would stay blocked and charged for nothing.
             self.void(claimed)
             raise
         if verdict is ClaimVerdict.GRANTED:
@@ -68,7 +76,7 @@
         return _problem(verdict)
 
     def finish(self, claimed: ClaimedAttempt, *, known: bool) -> None:
-        """Note that an attempt ran, or that nobody can tell whether it did."""
+        """Queue the record that an attempt ran or, if not `known`, may have run."""
         ask = FinishAsk(
             call=0,
             workspace=claimed.workspace,
@@ -79,7 +87,7 @@
         self._enqueue(ask)
 
     def void(self, claimed: ClaimedAttempt) -> None:
-        """Withdraw and refund an attempt of which nothing was sent."""
+        """Queue the withdrawal and refund of an attempt that was not sent."""
         ask = VoidAsk(
             call=0,
             workspace=claimed.workspace,
@@ -90,7 +98,7 @@
         self._enqueue(ask)
 
     async def run(self) -> None:
-        """Settle what is queued until the table knows it."""
+        """Send queued finishes and voids, retrying until each is confirmed."""
         while True:
             await self._wake.wait()
             self._wake.clear()
--- a/mallowpond/gateway/dispatch.py
+++ b/mallowpond/gateway/dispatch.py
@@ -1,4 +1,4 @@
-"""Send one attempt of a request to one target and tell how far it came."""
+"""Sending of one attempt of a request to one target."""
 
 import asyncio
 from dataclasses import dataclass
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """Describe one attempt; `resume_after` counts events delivered already."""
+    """One attempt of a request.
+
+    `resume_after` is the number of stream events that the caller has received already.
+    """
 
     request_id: str
     path: str
@@ -36,21 +39,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotStarted:
-    """The target surely did not start the request."""
+    """The target certainly did not start the request."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class MaybeRun:
-    """The target may have run the request, and no whole answer came."""
+    """The target may have run the request, and no complete answer arrived."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class ResponseStarted:
-    """The target answers with the right echo; the body is still to be read."""
+    """The answer's headers arrived and are for this request; the body is unread."""
 
     response: HttpResponse
 
@@ -61,7 +64,10 @@
 async def dispatch(
     *, http: HttpClient, group: GroupRow, attempt: Attempt, first_byte_seconds: float
 ) -> AttemptOutcome:
-    """Send an attempt to a group's leader and read the head of the answer."""
+    """Send an attempt to the head of a group and read the answer's headers.
+
+    An answer whose headers do not echo the request, group and generation is rejected.
+    """
     echo = dispatch_headers(attempt.request_id, group.group, group.generation)
     answer = await _send(http, group.head.address, attempt, echo, first_byte_seconds)
     if not isinstance(answer, HttpResponse):
@@ -70,8 +76,8 @@
         answer.close()
         return NotStarted(reason="engine_refused")
     if not is_echo(answer.headers, attempt.request_id, group.group, group.generation):
-        # Another request's answer would reach this caller; closing the connection
-        # also keeps the rest of it from the next one.
+        # This is another request's answer and must not reach this caller. Closing the
+        # connection also keeps the rest of it from the next request.
         answer.close()
         return MaybeRun(reason="crossed_answer")
     return ResponseStarted(response=answer)
@@ -80,7 +86,7 @@
 async def dispatch_to_service(
     *, http: HttpClient, target: str, attempt: Attempt, first_byte_seconds: float
 ) -> AttemptOutcome:
-    """Send an attempt to a plain service, which echoes nothing."""
+    """Send an attempt to a target of a plain service, which sends no echo."""
     headers = (("mallowpond-request", attempt.request_id),)
     answer = await _send(http, target, attempt, headers, first_byte_seconds)
     if not isinstance(answer, HttpResponse):
@@ -108,9 +114,9 @@
                 attempt.path,
                 headers=headers,
                 body=attempt.body,
-                # A kept connection can be closed by the target while the request is
-                # on its way; for a request that must not be repeated nobody could
-                # tell then whether it ran.
+                # The target can close a reused connection while the request is in
+                # flight. For a request that must not be repeated it would then be
+                # unknown whether it ran.
                 fresh=not attempt.repeatable,
             )
     except TimeoutError:
--- a/mallowpond/gateway/link.py
+++ b/mallowpond/gateway/link.py
@@ -1,4 +1,4 @@
-"""Stay attached to one controller, and to the next when that is gone."""
+"""Link of a gateway to one controller at a time, with failover to the next."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,14 +29,16 @@
 
 log = structlog.get_logger()
 REATTACH_DELAY_SECONDS = 0.2
+# Time without an answer after which the controller is given up, in seconds.
 SILENT_SECONDS = 1.5
+# Time for which a call waits for a link while none is attached, in seconds.
 ATTACH_WAIT_SECONDS = 1.0
-# Reports that wait for a controller, at most; the oldest are dropped.
+# Maximum crash reports that wait to be sent; the oldest are dropped.
 MAX_UNREPORTED = 200
 
 
 class ControllerLink:
-    """Poll routes and carry claims and quota leases over one link at a time."""
+    """Polls routes and sends claims and quota leases over one link at a time."""
 
     def __init__(
         self,
@@ -57,7 +59,7 @@
         self._on_change = on_change
         self._on_quarantine = on_quarantine
         self._quarantine_version = 0
-        # What no controller has been told yet, newest last.
+        # Records that were not sent to any controller yet, newest last.
         self._unreported: dict[str, CrashRecord] = {}
         self._link: PeerLink | None = None
         self._attached = asyncio.Event()
@@ -68,11 +70,11 @@
 
     @property
     def is_attached(self) -> bool:
-        """Tell whether a controller is attached now."""
+        """Return whether a controller is attached."""
         return self._link is not None
 
     async def run(self) -> None:
-        """Stay attached for ever."""
+        """Attach to the controllers in turn, moving on whenever a link closes."""
         index = 0
         while True:
             address = self._controllers[index % len(self._controllers)]
@@ -87,19 +89,22 @@
     async def ask_claim(
         self, ask: ClaimAsk | FinishAsk | VoidAsk, timeout: float
     ) -> ClaimVerdict:
-        """Send a claim, finish or void and return the verdict."""
+        """Send a claim, finish or void and return the verdict.
+
+        `CLAIM_UNKNOWN` if no answer arrived within `timeout` seconds.
+        """
         answer = await self._call(ask, timeout)
         if isinstance(answer, ClaimAnswer):
             return answer.result
         return answer
 
     async def ask_quota(self, ask: QuotaAsk, timeout: float) -> QuotaAnswer | None:
-        """Lease quota units; None when no answer came."""
+        """Lease quota units; None if no answer arrived within `timeout` seconds."""
         answer = await self._call(ask, timeout)
         return answer if isinstance(answer, QuotaAnswer) else None
 
     async def report_suspect(self, group: str, generation: int) -> None:
-        """Report a group that failed a dispatch."""
+        """Report a group that failed a dispatch, if a controller is attached."""
         if self._link is None:
             return
         try:
@@ -108,7 +113,7 @@
             return
 
     def report_crash(self, record: CrashRecord) -> None:
-        """Report with the next question under which request targets ended."""
+        """Queue a crash record, which is sent before the next poll."""
         self._unreported.pop(record.request, None)
         self._unreported[record.request] = record
         if len(self._unreported) > MAX_UNREPORTED:
@@ -128,13 +133,13 @@
                 await link.send(replace(ask, call=number))
                 return await future
         except (LinkClosed, TimeoutError):
-            # The controller may have committed the claim without our hearing of it.
+            # The controller may have committed the claim although no answer arrived.
             return ClaimVerdict.CLAIM_UNKNOWN
         finally:
             self._pending_calls.pop(number, None)
 
     async def _current_link(self) -> PeerLink | None:
-        """Return the link, waiting shortly for the next one while there is none."""
+        """Return the link, waiting a short time for one if none is attached."""
         try:
             async with asyncio.timeout(ATTACH_WAIT_SECONDS):
                 await self._attached.wait()
@@ -159,7 +164,7 @@
         self._link = None
         self._attached.clear()
         self._polled_at.clear()
-        # Another controller counts its changes by itself.
+        # Each controller counts its own versions.
         self._quarantine_version = 0
         log.info("gateway: detached")
 
@@ -176,8 +181,8 @@
             await self._report_crashes(link)
             await link.send(ask)
             await self._clock.sleep(self._poll_seconds)
-            # A frozen controller keeps its socket open; without this limit the
-            # gateway would run out of permits while another controller could serve.
+            # A frozen controller keeps its socket open. Without this limit, all permits
+            # would expire although another controller could renew them.
             if self._clock.now() - self._last_answer_at > SILENT_SECONDS:
                 raise LinkClosed("the controller is silent")
 
@@ -214,7 +219,7 @@
                         future.set_result(message)
 
     def _leave_controller(self) -> None:
-        """Leave a controller that is leaving once it has answered every call."""
+        """Detach from a leaving controller once it has answered every call."""
         self._attached.clear()
         if not self._pending_calls:
             raise LinkClosed("the controller is leaving")
--- a/mallowpond/gateway/metrics.py
+++ b/mallowpond/gateway/metrics.py
@@ -1,10 +1,10 @@
-"""Metrics of a gateway."""
+"""Prometheus metrics of a gateway."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
 
 class GatewayMetrics:
-    """Register every metric of a gateway in its own registry."""
+    """Registers every metric of a gateway in a registry of its own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/mallowpond/gateway/pools.py
+++ b/mallowpond/gateway/pools.py
@@ -1,4 +1,4 @@
-"""Pools of targets: the groups of a deployment, the addresses of a service."""
+"""Target pools: the groups of a deployment or the addresses of a plain service."""
 
 import json
 import random
@@ -22,17 +22,19 @@
 from mallowpond.state.declarations import Deployment, PlainService, Workspace
 from mallowpond.transport.http_client import HttpClient
 
+# Failures that may mean that a group is broken.
 SUSPECT_REASONS = ("connect_failed", "engine_refused", "cut_before_head", "cut_body")
 SERVICE_RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class ResponseTimeout:
-    """Say how long to wait for the head of an answer.
+    """Time limit for the headers of an answer.
 
-    A whole answer has its first byte when it is done, and one that is a little late is
-    worth more to its caller than an unknown outcome, so the deadline only ever
-    lengthens the wait. What cannot be done in time is refused at admission.
+    An answer that is not streamed sends its first byte when it is complete, and a
+    slightly late answer is worth more to its caller than an unknown outcome. The
+    deadline therefore only ever lengthens the wait; requests that cannot be served in
+    time are refused at admission.
     """
 
     clock: Clock
@@ -41,13 +43,13 @@
 
     @property
     def seconds(self) -> float:
-        """Return the seconds to wait from now."""
+        """Return the seconds left from now."""
         return max(self.first_byte_seconds, self.deadline - self.clock.now())
 
 
 @dataclass(frozen=True, kw_only=True)
 class GroupPool:
-    """Serve one request by the groups of a deployment."""
+    """The groups of a deployment as targets of one request."""
 
     admission: AdmissionQueue
     balancer: Balancer
@@ -60,7 +62,7 @@
     prefix: str
 
     async def acquire(self, avoid: frozenset[str]) -> Slot | Refused:
-        """Take a place on a group, or wait for a turn."""
+        """Acquire a slot on a group, waiting in the admission queue if needed."""
         group = await self.admission.acquire(
             workspace=self.workspace.name,
             share=self.workspace.share,
@@ -71,14 +73,14 @@
         return group if isinstance(group, Refused) else Slot(target=group.group)
 
     def release(self, slot: Slot, held_seconds: float, latency: float | None) -> None:
-        """Give a place back."""
+        """Release the slot."""
         self.admission.release(slot.target, held_seconds=held_seconds, latency=latency)
 
     async def dispatch(self, slot: Slot, attempt: Attempt) -> AttemptOutcome:
-        """Send an attempt to the group's leader while the group may be used."""
+        """Send an attempt to the head of the group if its permit is still valid."""
         group = self.routes.groups.get(slot.target)
         if group is None or not self.routes.is_serving(group, self.clock.now()):
-            # The group lost its permit between the choice and the dispatch.
+            # The permit ended between the acquisition of the slot and the dispatch.
             return NotStarted(reason="group_gone")
         return await dispatch(
             http=self.http,
@@ -88,12 +90,12 @@
         )
 
     def record_load(self, slot: Slot, in_flight: int) -> None:
-        """Note the load that rode on a response."""
+        """Record the load that the group reported with a response."""
         now = self.clock.now()
         self.balancer.record_reported_load(slot.target, in_flight=in_flight, now=now)
 
     async def record_failure(self, slot: Slot, reason: str) -> None:
-        """Stop using a group whose failure may mean that it broke, and report it."""
+        """Revoke the permit of a group that may be broken, and report the group."""
         group = self.routes.groups.get(slot.target)
         if group is None or reason not in SUSPECT_REASONS:
             return
@@ -101,25 +103,26 @@
         await self.link.report_suspect(group.group, group.generation)
 
     def instance_id(self, slot: Slot) -> str:
-        """Name a group's formation."""
+        """Return the group and its generation as one identifier."""
         group = self.routes.groups.get(slot.target)
         return f"{slot.target}/{group.generation if group else 0}"
 
 
 @dataclass(frozen=True, kw_only=True)
 class ServicePool:
-    """Serve one request by the addresses of a plain service."""
+    """The addresses of a plain service as targets of one request."""
 
     service: PlainService
     balancer: Balancer
     http: HttpClient
     clock: Clock
     response_timeout: ResponseTimeout
-    # How often each address failed: what starts again there has the same address.
+    # Failures of each address; they stand in for the incarnation, as a restarted
+    # process has the same address.
     failure_counts: Counter[str]
 
     async def acquire(self, avoid: frozenset[str]) -> Slot | Refused:
-        """Take a place on an address; there is no queue for services."""
+        """Acquire a slot on an address, without queueing."""
         targets = [t for t in self.service.targets if t not in avoid]
         limit = self.service.requests_per_target
         chosen = self.balancer.choose(targets, now=self.clock.now(), limit=limit)
@@ -129,11 +132,11 @@
         return Slot(target=chosen)
 
     def release(self, slot: Slot, held_seconds: float, latency: float | None) -> None:
-        """Give a place back."""
+        """Release the slot."""
         self.balancer.finish(slot.target, now=self.clock.now(), latency=latency)
 
     async def dispatch(self, slot: Slot, attempt: Attempt) -> AttemptOutcome:
-        """Send an attempt to the address."""
+        """Send an attempt to the address of the slot."""
         return await dispatch_to_service(
             http=self.http,
             target=slot.target,
@@ -142,20 +145,20 @@
         )
 
     def record_load(self, slot: Slot, in_flight: int) -> None:
-        """Plain services report no load."""
+        """Do nothing, as plain services report no load."""
 
     async def record_failure(self, slot: Slot, reason: str) -> None:
-        """Count the lives of an address; there is no permit to revoke."""
+        """Count a failure of the address; there is no permit to revoke."""
         self.failure_counts[slot.target] += 1
 
     def instance_id(self, slot: Slot) -> str:
-        """Name what stands behind an address until it fails."""
+        """Return an identifier of the address that changes with each failure."""
         return f"{slot.target}/{self.failure_counts[slot.target]}"
 
 
 @dataclass(kw_only=True)
 class Pools:
-    """Build target pools and keep the gates and balancers behind them."""
+    """Builds target pools and keeps their admission queues and balancers."""
 
     routes: RouteTable
     http: HttpClient
@@ -168,12 +171,12 @@
     _failure_counts: Counter[str] = field(default_factory=Counter)
 
     def on_routes(self) -> None:
-        """Give places on new groups to those that wait."""
+        """Grant slots on new groups to waiting requests."""
         for admission in self._admissions.values():
             admission.admit_waiting()
 
     def models_document(self) -> bytes:
-        """Return the declared models in the shape that model clients read."""
+        """Return the declared models as JSON in the format of model clients."""
         models = [
             {"id": d.model, "object": "model", "created": 0, "owned_by": d.name}
             for d in self.routes.declaration.deployments
--- a/mallowpond/gateway/quarantine.py
+++ b/mallowpond/gateway/quarantine.py
@@ -1,4 +1,4 @@
-"""Hold back requests that end their targets, by what all gateways have seen."""
+"""Quarantine of requests that crash their targets, from reports of all gateways."""
 
 from collections.abc import Callable, Iterable
 
@@ -13,7 +13,7 @@
 
 
 class GatewayQuarantine:
-    """Note under which requests targets ended, and report it."""
+    """Records which requests targets ended under, and reports it to a controller."""
 
     def __init__(self, *, clock: Clock, report: Callable[[CrashRecord], None]) -> None:
         self._clock = clock
@@ -21,7 +21,7 @@
         self._ledger = CrashLedger()
 
     def problem(self, request: str) -> Problem | None:
-        """Return how a request is refused before it is sent, None if it may be sent."""
+        """Return the refusal of a quarantined request, None if it may be sent."""
         seconds = self._ledger.quarantine_seconds_left(request, self._clock.now())
         if seconds <= 0.0:
             return None
@@ -33,11 +33,11 @@
         )
 
     def is_quarantined(self, request: str) -> bool:
-        """Tell whether a request is held back now."""
+        """Return whether a request is quarantined now."""
         return self.problem(request) is not None
 
     def record_ending(self, request: str, target: str, sent_at: float) -> None:
-        """Note that a target broke off while it ran a request."""
+        """Record that a target ended while it ran a request, and report it."""
         now = self._clock.now()
         ending = Ending(process=Process(id=target, born=None), ran=now - sent_at)
         record = self._ledger.record_ending(request, ending, now)
@@ -52,13 +52,13 @@
         self._report(record)
 
     def record_answer(self, request: str, target: str) -> None:
-        """Note that a target answered a request whole."""
+        """Record that a target answered a request completely."""
         self._ledger.record_alive(Process(id=target, born=None))
         record = self._ledger.record_answer(request, self._clock.now())
         if record is not None:
             self._report(record)
 
     def merge(self, records: Iterable[CrashRecord]) -> None:
-        """Take what a controller put together."""
+        """Merge the records that a controller has published."""
         for record in records:
             self._ledger.merge(record, self._clock.now())
--- a/mallowpond/gateway/quotas.py
+++ b/mallowpond/gateway/quotas.py
@@ -1,4 +1,4 @@
-"""Spend workspaces' budgets from chunks leased through the controller."""
+"""Budgets of workspaces, spent from chunks leased through the controller."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,7 +10,9 @@
 from mallowpond.state.declarations import Workspace
 from mallowpond.state.quota import Chunk, chunk_size
 
+# Retry delay that refusals ask of the caller, in seconds.
 RETRY_AFTER_SECONDS = 2.0
+# Shortest window over which the spending rate is measured, in seconds.
 RATE_WINDOW_SECONDS = 10.0
 
 
@@ -26,7 +28,7 @@
 
 @dataclass(kw_only=True)
 class QuotaClient:
-    """Keep one chunk for each workspace."""
+    """Spends units from one leased chunk for each workspace."""
 
     link: ControllerLink
     clock: Clock
@@ -34,7 +36,10 @@
     _accounts: dict[str, _Account] = field(default_factory=dict)
 
     async def spend(self, workspace: Workspace, units: int) -> Problem | None:
-        """Spend units, leasing more where the chunk holds too few."""
+        """Spend units, leasing more if the chunk has too few.
+
+        Returns the refusal if the budget is spent or could not be read.
+        """
         account = self._accounts.setdefault(workspace.name, _Account())
         if self._try_spend(account, units):
             return None
@@ -48,7 +53,7 @@
             return None
 
     def refund(self, workspace: Workspace, units: int) -> None:
-        """Give back units of a request that did not run."""
+        """Return the units of a request that did not run to the chunk."""
         account = self._accounts[workspace.name]
         account.chunk = account.chunk.refund(units)
 
--- a/mallowpond/gateway/relay.py
+++ b/mallowpond/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Pass an answer on to its caller, whole or visibly broken."""
+"""Relaying of answers to callers."""
 
 from dataclasses import dataclass, field
 
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Complete:
-    """The answer was passed on whole."""
+    """The answer was relayed to its end."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Incomplete:
-    """The answer broke off before its end."""
+    """The answer ended early."""
 
     reason: str
 
@@ -30,17 +30,17 @@
 
 @dataclass(kw_only=True)
 class StreamProgress:
-    """Count the events of a stream that reached the caller."""
+    """Splits a stream into events and counts those sent to the caller."""
 
     events: int = 0
     chunks: int = 0
     _partial: bytearray = field(default_factory=bytearray)
 
     def complete_events(self, data: bytes) -> bytes:
-        """Return the whole events that `data` completes.
+        """Add `data` and return the events that are complete now.
 
-        Only whole events are passed on: a resumed stream starts at an event, and
-        half an event from the broken one would garble it.
+        Only complete events are sent on: a resumed stream starts at an event boundary,
+        and a partial event of the interrupted stream would corrupt it.
         """
         self._partial += data
         cut = self._partial.rfind(EVENT_END)
@@ -53,12 +53,12 @@
         return complete
 
     def discard_partial_event(self) -> None:
-        """Forget half an event that a broken stream left."""
+        """Discard the partial event that an interrupted stream has left."""
         self._partial.clear()
 
     @property
     def has_partial_event(self) -> bool:
-        """Tell whether bytes are left that complete no event."""
+        """Return whether there are bytes of an incomplete event."""
         return bool(self._partial)
 
 
@@ -70,7 +70,11 @@
     headers: tuple[tuple[str, str], ...],
     silence_seconds: float,
 ) -> RelayResult:
-    """Pass events on as they come; the answer is left open for the caller to end."""
+    """Send complete events to the caller as they arrive.
+
+    Starts the exchange if needed and does not end it. The stream is incomplete after
+    `silence_seconds` without data.
+    """
     try:
         async for event in response.events(silence_seconds):
             match event:
@@ -97,7 +101,7 @@
 async def read_body(
     response: HttpResponse, silence_seconds: float
 ) -> bytes | Incomplete:
-    """Read an answer to its end before any of it is passed on."""
+    """Read an answer to its end before any of it is sent to the caller."""
     body = bytearray()
     try:
         async for event in response.events(silence_seconds):
--- a/mallowpond/gateway/request_parser.py
+++ b/mallowpond/gateway/request_parser.py
@@ -1,4 +1,4 @@
-"""Read callers' requests: who asks, for what, and may it be repeated."""
+"""Parsing of callers' requests and checks against the declaration."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ParsedRequest:
-    """Hold what is known of a request once it has been read and allowed."""
+    """A valid request of a known workspace.
+
+    `units` is the charge against the budget. `deadline` is in seconds on the gateway's
+    clock.
+    """
 
     request_id: str
     workspace: Workspace
@@ -35,7 +39,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what the request shares with its returns."""
+        """Return the fingerprint, which all retries of the request share."""
         return fingerprint(
             host="",
             target=self.attempt.path,
@@ -45,7 +49,7 @@
 
 
 class RequestParser:
-    """Check requests against the declaration, without waiting for anything."""
+    """Parses requests and checks them against the declaration, without I/O."""
 
     def __init__(
         self,
@@ -63,7 +67,7 @@
     def parse(
         self, request: HttpRequest, request_id: str
     ) -> ParsedRequest | bytes | Problem:
-        """Return the work, the document asked for, or the refusal."""
+        """Return the parsed request, the body to answer with, or the refusal."""
         caller = parse_headers(request.headers, self._default_timeout)
         if isinstance(caller, Problem):
             return caller
--- a/mallowpond/gateway/routes.py
+++ b/mallowpond/gateway/routes.py
@@ -1,4 +1,4 @@
-"""What a gateway may route to now, and which configuration it may serve."""
+"""Routes of a gateway: usable groups and the assured configuration."""
 
 from dataclasses import dataclass, field
 
@@ -10,10 +10,12 @@
 
 @dataclass(kw_only=True)
 class RouteTable:
-    """Keep the latest routes and the times up to which they may be relied on.
+    """The latest routes and the times until which they are valid.
 
-    Times are this gateway's own, counted from before it asked, so a slow answer or
-    a frozen gateway shortens what it may rely on and never lengthens it.
+    A group may be used while its permit is valid. All times are on this gateway's clock
+    and count from the send of the poll, so that a slow answer or a frozen gateway only
+    ever shortens a validity. `permit_seconds` counts from when the controller last
+    confirmed the group.
     """
 
     permit_seconds: float
@@ -27,10 +29,10 @@
     _excluded: frozenset[str] = frozenset()
 
     def update(self, routes: Routes, asked_at: float) -> None:
-        """Take in an answer to a question asked at `asked_at`."""
+        """Apply the answer to a poll that was sent at `asked_at`."""
         if routes.config_version < self.config_version:
-            # Another controller that has not applied the latest version yet: what
-            # was accepted must never revert, so its answer vouches for nothing.
+            # The answer is from another controller that has not applied the latest
+            # version yet. An accepted version must never revert, so it is ignored.
             return
         self._update_config(routes, asked_at)
         if routes.groups is not None:
@@ -46,17 +48,17 @@
         self._drop_expired_permits(asked_at)
 
     def revoke(self, group: str, generation: int, now: float) -> None:
-        """Stop using a group until it is seen whole after `now`."""
+        """Stop using a group until it is confirmed again after `now`."""
         key = (group, generation)
         self._permit_until.pop(key, None)
         self._revoked_at[key] = now
 
     def is_config_assured(self, now: float) -> bool:
-        """Tell whether the version held is known to be the one in force."""
+        """Return whether the current version is assured to be the one in force."""
         return now < self._config_assured_until
 
     def serving(self, deployment: str, now: float) -> list[GroupRow]:
-        """Return the groups of a deployment that may be sent new work."""
+        """Return the groups of a deployment that may get new requests."""
         return [
             group
             for group in self.groups.values()
@@ -64,7 +66,7 @@
         ]
 
     def is_serving(self, group: GroupRow, now: float) -> bool:
-        """Tell whether a group was seen whole lately and none of its hosts leaves."""
+        """Return whether a group has a valid permit and no excluded host."""
         until = self._permit_until.get((group.group, group.generation), 0.0)
         return now < until and self._excluded.isdisjoint(group.hosts)
 
@@ -82,8 +84,8 @@
         )
 
     def _extend_permit(self, key: tuple[str, int], seen_at: float) -> None:
-        # A controller that has not noticed the failure yet goes on sending its last
-        # sight of the whole group; it must not bring the group back.
+        # A controller that has not noticed the failure yet still reports its last
+        # confirmation of the group, which must not reinstate the permit.
         if seen_at <= self._revoked_at.get(key, 0.0):
             return
         until = seen_at + self.permit_seconds
--- a/mallowpond/gateway/service.py
+++ b/mallowpond/gateway/service.py
@@ -1,4 +1,4 @@
-"""Run one gateway: meet callers, admit, claim, serve, refuse."""
+"""The gateway process: wires its parts and serves requests of callers."""
 
 import asyncio
 import random
@@ -49,7 +49,7 @@
 
 
 class Gateway:
-    """Wire a gateway from its settings and ports."""
+    """One gateway, built from its settings and clock."""
 
     def __init__(
         self, *, settings: GatewaySettings, clock: Clock, seed: int = 0
@@ -112,21 +112,21 @@
 
     @property
     def port(self) -> int:
-        """Return the port that callers reach."""
+        """Return the port that the gateway listens on."""
         return self._server.port
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests are being served."""
+        """Return the number of requests being served."""
         return self._in_flight
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new work would be admitted."""
+        """Return whether new requests are admitted."""
         return self.routes.is_config_assured(self._clock.now()) and not self._stopping
 
     async def start(self) -> None:
-        """Listen and attach to a controller."""
+        """Start listening and begin to attach to a controller."""
         self._stack.push_async_callback(self._http.close)
         self._spawn(self._link.run())
         self._spawn(self._claims.run())
@@ -135,7 +135,7 @@
         log.info("gateway: started", name=self._settings.name, port=self.port)
 
     async def drain(self) -> None:
-        """Take no new work, and wait for what is in progress to end."""
+        """Refuse new requests and wait for those in progress, up to a limit."""
         self._stopping = True
         log.info("gateway: draining", in_flight=self._in_flight)
         limit = self._clock.now() + self._settings.timings.drain_limit
@@ -149,8 +149,8 @@
 
     @property
     def _is_busy(self) -> bool:
-        # Asked of the server: a request that it has just read is not in flight yet, and
-        # one that was overlooked got no answer.
+        # The server's state and not `in_flight`: a request that was read in this moment
+        # is not counted there yet and would get no answer.
         return self._server.is_busy or self._claims.unsettled_count > 0
 
     def _spawn(self, work: Awaitable[None]) -> None:
@@ -225,8 +225,8 @@
                 retry_after=1.0,
             )
         if not self.routes.is_config_assured(self._clock.now()):
-            # Serving on a version that may have been replaced would make an accepted
-            # change revert here; refusing is the only truthful answer.
+            # The version may have been replaced. Serving it would revert an accepted
+            # change at this gateway, so the request is refused.
             return Problem(
                 status=503,
                 reason="configuration_unsure",
@@ -268,7 +268,7 @@
     async def _claim_and_run(
         self, parsed: ParsedRequest, exchange: Exchange, slot: Slot
     ) -> ServeResult:
-        """Dispatch only after the claim is committed."""
+        """Claim the request, then run it if the claim is committed."""
         try:
             claimed = await self._claims.claim(
                 workspace=parsed.workspace.name,
@@ -330,7 +330,7 @@
             case StreamBroken(reason=reason):
                 self.metrics.broken_streams.inc()
                 self._count(parsed, "broken")
-                log.warning("gateway: stream broke off", reason=reason)
+                log.warning("gateway: stream broken", reason=reason)
                 await end_broken_stream(exchange)
                 return None
             case RefusedRequest(problem=problem):
@@ -379,5 +379,5 @@
 
 
 def build(*, settings: GatewaySettings, clock: Clock, seed: int = 0) -> Gateway:
-    """Build a gateway from its settings and ports."""
+    """Build a gateway; a `seed` other than 0 makes its random choices repeatable."""
     return Gateway(settings=settings, clock=clock, seed=seed)
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -1,4 +1,4 @@
-"""Serve one admitted request: attempts, retries, resumption, and its one ending."""
+"""Execution of one admitted request: attempts, retries and resumption."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -31,7 +31,7 @@
 
 MAX_ATTEMPTS = 3
 RETRY_AFTER_SECONDS = 2.0
-# How an attempt ends when its target ends while it runs the request.
+# Failures of an attempt that mean that its target ended while it ran the request.
 TARGET_ENDED_REASONS = ("cut_before_head", "cut_body", "cut_event")
 BROKEN_EVENT = b'data: {"error": {"message": "the answer broke off", '
 BROKEN_EVENT += b'"type": "broken_stream", "code": "unknown"}}\n\n'
@@ -39,19 +39,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Slot:
-    """Name a target that a place was taken on."""
+    """A slot acquired on a target."""
 
     target: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class Served:
-    """The whole answer was passed on."""
+    """The complete answer was sent to the caller."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class RefusedRequest:
-    """Nothing was passed on; `ran` is False only when no attempt can have run."""
+    """Nothing was sent to the caller.
+
+    `may_have_run` is False only if no attempt can have run.
+    """
 
     problem: Problem
     may_have_run: bool
@@ -59,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StreamBroken:
-    """A part of the answer was passed on, and its end is missing visibly."""
+    """Part of the answer was sent, and the caller can see that it is incomplete."""
 
     reason: str
 
@@ -68,30 +71,30 @@
 
 
 class TargetPool(Protocol):
-    """Take, call and give back the targets of one deployment or service."""
+    """The targets of one deployment or service, with slots for requests."""
 
     async def acquire(self, avoid: frozenset[str]) -> Slot | Refused:
-        """Take a place on a target that is not to be avoided."""
+        """Acquire a slot, preferably on a target not in `avoid`."""
 
     def release(self, slot: Slot, held_seconds: float, latency: float | None) -> None:
-        """Give a place back; `latency` is seconds a token, None if it did not end."""
+        """Release a slot; `latency` is in seconds per token, None if not measured."""
 
     async def dispatch(self, slot: Slot, attempt: Attempt) -> AttemptOutcome:
-        """Send an attempt to the place's target."""
+        """Send an attempt to the target of the slot."""
 
     def record_load(self, slot: Slot, in_flight: int) -> None:
-        """Note the load that rode on a response."""
+        """Record the load that the target reported with a response."""
 
     async def record_failure(self, slot: Slot, reason: str) -> None:
-        """Note that an attempt on the target failed."""
+        """Record that an attempt on the target failed."""
 
     def instance_id(self, slot: Slot) -> str:
-        """Name the target so that it has another name after it ended."""
+        """Return an identifier of the target that changes after the target ended."""
 
 
 @dataclass(kw_only=True)
 class RequestExecution:
-    """Serve one request through a pool of targets."""
+    """Executes one request on the targets of a pool."""
 
     pool: TargetPool
     attempt: Attempt
@@ -112,11 +115,11 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any byte of any attempt may have reached a target."""
+        """Return whether any attempt may have run on a target."""
         return self._may_have_run
 
     async def run(self, slot: Slot) -> ServeResult:
-        """Serve from `place`, then from others while retries are allowed."""
+        """Serve the request with `slot`, then with others while retries are allowed."""
         self.budget.record_request()
         for number in range(1, MAX_ATTEMPTS + 1):
             sent_at, instance = self.clock.now(), self.pool.instance_id(slot)
@@ -139,8 +142,8 @@
     def _may_retry(self, number: int) -> bool:
         if number >= MAX_ATTEMPTS or self.quarantine.is_quarantined(self.fingerprint):
             return False
-        # A request that may not be repeated is sent again only when its last attempt
-        # surely did not start.
+        # A request that may not be repeated is sent again only if no attempt may have
+        # run.
         if self._may_have_run and not self.attempt.repeatable:
             return False
         if self.exchange.started and not self.resumable:
@@ -148,7 +151,7 @@
         return self.budget.try_spend()
 
     async def _attempt(self, slot: Slot) -> str | None:
-        """Make one attempt; return why it failed, None when it succeeded."""
+        """Make one attempt; return the reason of its failure, None if it succeeded."""
         started_at = self.clock.now()
         latency: float | None = None
         before = self._progress.chunks
@@ -234,10 +237,10 @@
 
 
 async def end_broken_stream(exchange: Exchange) -> None:
-    """Mark a stream as broken: an error event, and no closing chunk."""
+    """Send an error event, leaving the stream without its closing chunk."""
     await exchange.send(BROKEN_EVENT)
 
 
 def new_request_id(rng: random.Random) -> str:
-    """Return an identifier for one request."""
+    """Return a new random identifier of a request."""
     return f"{rng.getrandbits(64):016x}"
--- a/mallowpond/gateway/tests/callers.py
+++ b/mallowpond/gateway/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an embedded site, for tests."""
+"""Test helpers that call the gateways of an embedded site."""
 
 import json
 from contextlib import asynccontextmanager
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """Hold what a caller received; `whole` tells whether it ended as whole."""
+    """What a caller received; `whole` is whether the body ended properly."""
 
     status: int
     headers: dict[str, str]
@@ -47,17 +47,17 @@
 
     @property
     def outcome(self) -> str:
-        """Return the outcome of a refusal."""
+        """Return the outcome that a refusal states."""
         return json.loads(self.body)["outcome"]
 
     @property
     def reason(self) -> str:
-        """Return the reason of a refusal."""
+        """Return the reason that a refusal states."""
         return json.loads(self.body)["reason"]
 
     @property
     def text(self) -> str:
-        """Return the text of a whole completion."""
+        """Return the text of a completion that was not streamed."""
         return json.loads(self.body)["choices"][0]["text"]
 
     @property
@@ -74,7 +74,7 @@
     clock: Clock | None = None,
     **shape,
 ):
-    """Run a site of four engines in two domains that serves."""
+    """Run a site, of four engines in two domains by default, until it serves."""
     shape = {"engines": 4, "step_seconds": 0.002} | shape
     async with Site(shape=SiteShape(**shape), clock=clock or MonotonicClock()) as site:
         await site.apply(declaration)
@@ -92,7 +92,7 @@
     headers: tuple[tuple[str, str], ...] = (),
     **fields: object,
 ) -> Reply:
-    """Ask one gateway for a completion and take in all that comes."""
+    """Request a completion from one gateway and read the reply to its end."""
     sent = (("authorization", f"Bearer {token}"), *headers)
     if key is not None:
         sent += (("idempotency-key", key),)
@@ -110,7 +110,7 @@
     body: bytes = b"",
     headers: tuple[tuple[str, str], ...] = (),
 ) -> Reply:
-    """Make one call and take in all that comes."""
+    """Make one HTTP call and read the reply to its end."""
     http = HttpClient()
     try:
         answer = await http.send(address, method, path, headers=headers, body=body)
@@ -132,17 +132,17 @@
 
 
 def set_faults(site: Site, **faults: object) -> None:
-    """Switch the same faults on in every engine."""
+    """Set the same faults in every engine."""
     for engine in site.engines:
         engine.set_faults(EngineFaults(**faults))
 
 
 def runs(site: Site) -> list[str]:
-    """Return the ids of the requests that engines started."""
+    """Return the ids of the requests that the engines have started."""
     return [run for engine in site.engines for run in engine.runs]
 
 
 def counter(site: Site, name: str, gateway: int = 0, **labels: str) -> float:
-    """Return a gateway's counter, 0 when it was never touched."""
+    """Return a counter of a gateway, 0 if it was never incremented."""
     registry = site.gateways[gateway].metrics.registry
     return registry.get_sample_value(f"mallowpond_{name}_total", labels) or 0.0
--- a/mallowpond/gateway/tests/test_at_most_once.py
+++ b/mallowpond/gateway/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated: claimed first, sent at most once."""
+"""Requests that may not be repeated are claimed first and sent at most once."""
 
 import asyncio
 import json
@@ -92,9 +92,10 @@
 async def test_sent_and_unanswered_is_unknown_at_once_and_never_sent_again(
     faults, outcome
 ):
-    """
-    Symptom: an alert note goes out twice.
-    Events: the answer breaks after the request left. Cause: a retry as for any other.
+    """An alert note was sent twice.
+
+    The answer was cut off after the request had been sent, and the gateway retried it
+    like a repeatable request.
     """
     async with serving_site() as site:
         set_faults(site, **faults)
--- a/mallowpond/gateway/tests/test_bad_input.py
+++ b/mallowpond/gateway/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: a clear answer, a counter, and nothing leaked."""
+"""Bad input is refused with its reason, counted, and leaks no slot."""
 
 import asyncio
 import json
--- a/mallowpond/gateway/tests/test_dispatch.py
+++ b/mallowpond/gateway/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The tagged outcome of each fault on the way to a target."""
+"""The outcome of a dispatch for each fault between gateway and target."""
 
 import pytest
 
--- a/mallowpond/gateway/tests/test_model_client.py
+++ b/mallowpond/gateway/tests/test_model_client.py
@@ -1,4 +1,4 @@
-"""The interface as a client library that users already have sees it."""
+"""The API as used through a common model client library."""
 
 import asyncio
 
@@ -60,10 +60,10 @@
 
 
 async def test_clients_own_retries_do_not_send_an_unknown_request_again():
-    """
-    Symptom: an alert note goes out twice although the gateway sent it once.
-    Events: the outcome is unknown; the client library retries a 502 by itself.
-    Cause: nothing told the client that this refusal must not be retried.
+    """An alert note was sent twice although the gateway sent it once.
+
+    The outcome was unknown, and the client library retries a 502 by itself. The refusal
+    did not state that it must not be retried.
     """
     async with serving_site() as site:
         set_faults(site, cut_before_head=True)
--- a/mallowpond/gateway/tests/test_overload.py
+++ b/mallowpond/gateway/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Overload, stragglers, drains and outages at one gateway."""
+"""Overload, slow engines, drains and outages of the table at one gateway."""
 
 import asyncio
 import json
@@ -20,10 +20,10 @@
 
 
 async def test_overload_is_refused_at_once_with_a_time_to_come_back():
-    """
-    Symptom: under overload every request is late and none is useful.
-    Events: five times as many requests come as the groups can serve in time.
-    Cause: requests queue although their deadline cannot be met.
+    """Under overload, every answer was late and thus useless.
+
+    Five times as many requests arrived as the groups could serve in time, and requests
+    were queued although their deadline could not be met.
     """
     async with serving_site(step_seconds=0.02) as site:
         short = (("mallowpond-timeout", "0.5"),)
@@ -36,7 +36,7 @@
             (429, "overloaded", "not_run")
         }
         assert all(int(r.headers["retry-after"]) >= 1 for r in refused)
-        # Eight places at about 0.1 s each: a quarter of the offered load fits.
+        # Eight slots at about 0.1 s per request: a quarter of the load fits.
         assert len(served) >= 8
         assert len(runs(site)) == len(served)
 
@@ -63,10 +63,10 @@
 
 
 async def test_planned_stop_of_a_gateway_cuts_nothing():
-    """
-    Symptom: a deploy cuts streams off.
-    Events: a stop comes while a stream runs; a second one follows.
-    Cause: the listener and its connections were closed together.
+    """A deploy cut off running streams.
+
+    Two stops, one after the other, came while a stream ran, and the gateway closed its
+    connections together with the listener.
     """
     async with serving_site(step_seconds=0.05) as site:
         gateway = site.gateways[0]
@@ -84,8 +84,8 @@
 async def test_a_gateway_stops_only_when_what_it_settles_is_settled():
     """An attempt that had ended stayed claimed after a planned stop of its gateway.
 
-    The stop waits for what the table does not know of yet. What was on its way to the
-    table was not among that, so the stop went on and the call was cancelled.
+    The stop waits for finishes and voids that the table has not confirmed. Those in
+    flight were not counted, so the stop went on and cancelled the call.
     """
     async with serving_site() as site:
         gateway = site.gateways[0]
@@ -108,10 +108,10 @@
 
 
 async def test_a_gateway_answers_a_request_that_was_read_as_its_stop_began():
-    """A request got a closed connection and no answer at a planned stop of a gateway.
+    """A request got a closed connection instead of an answer at a planned stop.
 
-    It was read in the pass of the loop in which the gateway looked for requests in
-    progress, and counted only from the first step of its handler, one pass later.
+    It was read in the iteration of the event loop in which the gateway checked for
+    requests in progress, and was counted only one iteration later by its handler.
     """
     async with serving_site() as site:
         gateway, end = site.gateways[0], asyncio.Event()
@@ -132,10 +132,10 @@
 
 
 async def test_a_controller_that_leaves_answers_its_operator():
-    """An operator's change got no answer when its controller was stopped as planned.
+    """An operator's change got no answer at a planned stop of its controller.
 
-    The stop waited for gateways and claims; what operators had asked was cut off, and
-    whether the change was in force they had to find out themselves.
+    The stop waited for gateways and claims only and cut off requests of operators, who
+    could not know whether the change was in force.
     """
     async with serving_site() as site:
         controller, end = site.controllers[0], asyncio.Event()
@@ -176,13 +176,13 @@
 
 
 def test_minutes_without_the_table_change_nothing_for_repeatable_work():
+    """Requests were refused as ``configuration_unsure`` while the table was down.
+
+    No process reached the table for three times the assurance period, and only the
+    table could confirm which configuration is in force.
     """
-    Symptom: requests are refused as ``configuration_unsure`` while the table is dark.
-    Events: no part reaches the table for three times the assurance.
-    Cause: nobody vouched for the configuration but the table.
-    """
-    # On the machine's clock a stall of the test itself, beside other work, aged
-    # every vouch past the assurance, and a gateway rightly refused.
+    # With the system clock, a stall of the test process on a busy machine aged every
+    # confirmation past the assurance period, and the gateway rightly refused.
     clock = VirtualClock()
     run_with_clock(clock, _ask_for_minutes_without_the_table(clock))
 
@@ -192,7 +192,7 @@
         await site.until(lambda: site.controllers[0].membership.epoch == 3)
         await ask(site)
         site.platform.table.faults = PlatformFaults(down=True)
-        # Three times the assurance stands here for minutes: only ages count.
+        # Only ages matter, so three assurance periods stand in for minutes.
         limit = site.controller_timings.assurance * 3
         for _ in range(int(limit / 0.25)):
             assert (await ask(site)).status == 200
--- a/mallowpond/gateway/tests/test_quarantine.py
+++ b/mallowpond/gateway/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that ends its targets is held back at every gateway."""
+"""A request that crashes its targets is quarantined at every gateway."""
 
 import asyncio
 
@@ -6,23 +6,23 @@
 from mallowpond.state.crash_ledger import ENDINGS_TO_QUARANTINE, QUARANTINE_SECONDS
 
 FATAL = "fatal"
-# Returns of the request, of which nearly all used to reach an engine.
+# Without a quarantine, nearly all of these resends reach an engine.
 MAX_RESENDS = 14
 
 
 async def send_when_serving(site, gateway):
-    """Send the request once there is a group that could run it."""
+    """Send the request again once there is a group that can run it."""
     site_gateway = site.gateways[gateway]
     await site.until(lambda: site_gateway.routes.serving("meteor", site.clock.now()))
     return await ask(site, prompt=FATAL, gateway=gateway)
 
 
 async def test_a_request_that_ends_its_groups_is_held_back_at_every_gateway():
-    """Symptom: groups break one after the other, each with all that runs there.
+    """Groups broke one after the other, each with all requests running there.
 
-    Sequence: one caller's request ends the engine that runs it, and the caller sends it
-    again through another gateway, which is attached to another controller.
-    Cause: a gateway knew of the three attempts of one exchange, and of no others.
+    One caller's request crashes the engine that runs it, and the caller resends it
+    through another gateway, which is attached to another controller. Each gateway knew
+    only of the three attempts of one exchange.
     """
     async with serving_site(controllers=2, gateways=2) as site:
         set_faults(site, fatal_prompt=FATAL)
@@ -43,11 +43,10 @@
 
 
 async def test_a_gateway_and_a_controller_that_start_anew_know_it_from_the_table():
-    """Symptom: after a restart the request ends groups again.
+    """A quarantined request crashed groups again after a restart.
 
-    Sequence: it is held back; a gateway starts, attached to a controller that has
-    just started.
-    Cause: what was known went with the processes.
+    A gateway started and attached to a controller that had just started, and the
+    quarantine was kept only in the memory of the processes.
     """
     async with serving_site() as site:
         set_faults(site, fatal_prompt=FATAL)
--- a/mallowpond/gateway/tests/test_routes.py
+++ b/mallowpond/gateway/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""What a gateway may rely on, and until when."""
+"""Validity of permits and of the assured configuration at a gateway."""
 
 from dataclasses import replace
 
@@ -75,10 +75,10 @@
 
 
 def test_older_version_of_another_controller_changes_nothing():
-    """
-    Symptom: an accepted version reverts on a gateway.
-    Events: its controller dies; the next one has not applied the version yet.
-    Cause: the gateway took whatever the controller at hand held.
+    """An accepted version was reverted at a gateway.
+
+    Its controller had died, the next one had not applied the version yet, and the
+    gateway adopted any version that its current controller had.
     """
     newer = replace(ROUTES, config_version=2)
     table = table_at((100.0, newer), (102.0, ROUTES))
@@ -87,10 +87,10 @@
 
 
 def test_revoked_group_returns_only_on_a_later_sight():
-    """
-    Symptom: work goes on to a dead group for seconds after it failed a dispatch.
-    Events: a dispatch fails; the next answer repeats the controller's last sight.
-    Cause: the permit's age was not held against the time of the failure.
+    """Requests were sent to a dead group for seconds after a failed dispatch.
+
+    The next answer repeated the controller's last confirmation of the group, whose age
+    was not compared with the time of the failure.
     """
     table = table_at((100.0, ROUTES))
     table.revoke("g", 2, now=100.2)
--- a/mallowpond/gateway/tests/test_virtual_clock.py
+++ b/mallowpond/gateway/tests/test_virtual_clock.py
@@ -1,4 +1,4 @@
-"""The clock that tests turn ages nothing by itself."""
+"""The virtual clock advances only to the next timer."""
 
 import asyncio
 import time
@@ -7,10 +7,10 @@
 
 
 def test_a_stall_of_the_loop_ages_nothing():
-    """
-    Symptom: a test of ages fails beside other work on the machine.
-    Events: the whole process stands still while an answer is on its way.
-    Cause: the ages of what is held were counted on the machine's clock.
+    """A test of ages failed on a busy machine.
+
+    The process stalled while an answer was in flight, and ages were counted on the
+    system clock.
     """
     clock = VirtualClock()
 
@@ -37,10 +37,10 @@
 
 
 def test_bytes_arrive_before_the_next_timer():
-    """
-    Symptom: every call between two parts of one process times out.
-    Events: one part sends bytes; the loop has nothing else to do but a timer.
-    Cause: the clock was turned on although the bytes were still on their way.
+    """Every call between two parts of one process timed out.
+
+    One part sent bytes while the loop had only a timer left to run, and the clock was
+    advanced although the bytes were still in flight.
     """
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/mallowpond/gateway/tests/test_whole_answers.py
+++ b/mallowpond/gateway/tests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Each caller receives the whole answer to its own request, or sees it broken."""
+"""Each caller gets the complete answer to its own request, or sees it is broken."""
 
 import asyncio
 
@@ -29,10 +29,10 @@
 
 @pytest.mark.parametrize("stream", [False, True])
 async def test_swapped_answers_reach_nobody(stream):
-    """
-    Symptom: a governor reads another house's case file.
-    Events: an engine answers one request on another's connection.
-    Cause: the gateway trusted the connection and not the echo.
+    """A caller received the answer to another caller's request.
+
+    An engine sent the answer to one request on the connection of another, and the
+    gateway trusted the connection instead of the echoed headers.
     """
     async with serving_site() as site:
         set_faults(site, swap_answers=True)
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("after", [0, 1, 3])
 async def test_stream_cut_at_any_token_is_resumed_whole(after):
     async with serving_site() as site:
-        # The same prompt goes to the same idle group again, which cuts it this time.
+        # The same prompt goes to the same idle group, which now cuts off the stream.
         await ask(site, stream=True)
         (leader,) = [engine for engine in site.engines if engine.runs]
         leader.set_faults(EngineFaults(cut_after_tokens=after))
@@ -60,9 +60,10 @@
 
 
 async def test_stream_that_cannot_be_resumed_ends_visibly_broken():
-    """
-    Symptom: half a summary is taken for the whole.
-    Events: every group cuts its streams. Cause: a clean end after a broken body.
+    """A caller took half a summary for the whole one.
+
+    Every group cut off its streams, and the gateway ended the response to the caller
+    normally after an incomplete body.
     """
     async with serving_site() as site:
         set_faults(site, cut_after_tokens=2)
--- a/mallowpond/gateway/tests/virtual_clock.py
+++ b/mallowpond/gateway/tests/virtual_clock.py
@@ -1,7 +1,7 @@
-"""An event loop whose time moves only when nothing else is left to do.
+"""An event loop on virtual time, which advances only when the loop is idle.
 
-Ages and timers count on the loop's time; sockets are real. A busy machine that stalls
-the whole loop therefore ages nothing.
+Ages and timers use the virtual time, while sockets are real. A stall of the process on
+a busy machine therefore ages nothing.
 """
 
 import asyncio
@@ -10,23 +10,23 @@
 from dataclasses import dataclass
 from typing import Any
 
-# Time that bytes between two sockets of this process are given to arrive before the
-# next timer is due, in seconds: loopback delivers within the call that sends.
+# Real time in seconds that the loop waits for bytes between sockets of this process
+# before it advances to the next timer: loopback delivers within the sending call.
 ARRIVAL_SECONDS = 0.002
 
 
 @dataclass(kw_only=True)
 class VirtualClock:
-    """Stand at a time that a loop moves on to its next timer."""
+    """A clock that the event loop advances to its next timer."""
 
     time: float = 1000.0
 
     def now(self) -> float:
-        """Return the time."""
+        """Return the virtual time in seconds."""
         return self.time
 
     async def sleep(self, seconds: float) -> None:
-        """Wait until the time has been moved on."""
+        """Wait until the virtual time has advanced by `seconds`."""
         await asyncio.sleep(seconds)
 
 
@@ -47,7 +47,7 @@
 
 
 def run_with_clock(clock: VirtualClock, work: Coroutine[Any, Any, None]) -> None:
-    """Run a coroutine to its end on a loop that tells this clock's time."""
+    """Run a coroutine to its end on an event loop that uses this clock."""
 
     def new_loop() -> asyncio.AbstractEventLoop:
         loop = asyncio.SelectorEventLoop(_VirtualTimeSelector(clock))
