--- a/mallowpond/gateway/tests/callers.py
+++ b/mallowpond/gateway/tests/callers.py
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reply:
-    """What a caller received; `whole` is whether the body ended properly."""
+    """What a caller received; `is_complete` is whether the body ended properly."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
     @property
     def outcome(self) -> str:
@@ -121,14 +121,16 @@
 
 
 async def _read_reply(answer: HttpResponse) -> Reply:
-    body, whole = b"", False
+    body, is_complete = b"", False
     async for event in answer.events():
         if isinstance(event, End):
-            whole = True
+            is_complete = True
         elif not isinstance(event, CallFailed):
             body += event.data
     answer.close()
-    return Reply(status=answer.status, headers=answer.headers, body=body, whole=whole)
+    return Reply(
+        status=answer.status, headers=answer.headers, body=body, is_complete=is_complete
+    )
 
 
 def set_faults(site: Site, **faults: object) -> None:
--- a/mallowpond/gateway/tests/test_dispatch.py
+++ b/mallowpond/gateway/tests/test_dispatch.py
@@ -23,13 +23,13 @@
 
 
 def group_at(address):
-    leader = GroupMember(host="h", address=address, incarnation="1", rank=0)
+    head = GroupMember(host="h", address=address, incarnation="1", rank=0)
     return GroupRow(
         group="g",
         deployment="d",
         generation=3,
         state=GroupState.READY,
-        members=(leader,),
+        members=(head,),
     )
 
 
--- a/mallowpond/gateway/tests/test_model_client.py
+++ b/mallowpond/gateway/tests/test_model_client.py
@@ -26,7 +26,7 @@
     async with serving_site() as site:
         client = client_of(site)
 
-        def whole():
+        def unstreamed():
             return client.chat.completions.create(
                 model="meteor-7b", messages=messages("star"), max_tokens=3
             )
@@ -37,7 +37,7 @@
             )
             return "".join(p.choices[0].delta.content or "" for p in parts)
 
-        answer = await in_thread(whole)
+        answer = await in_thread(unstreamed)
         assert answer.choices[0].message.content == "star.0 star.1 star.2 "
         assert await in_thread(streamed) == "star.0 star.1 star.2 "
         models = await in_thread(lambda: [m.id for m in client.models.list()])
--- a/mallowpond/gateway/tests/test_overload.py
+++ b/mallowpond/gateway/tests/test_overload.py
@@ -77,7 +77,7 @@
         refused = await ask(site)
         assert (refused.status, refused.reason) == (503, "stopping")
         done = await running
-        assert done.whole and len(done.events) == 21
+        assert done.is_complete and len(done.events) == 21
         await asyncio.gather(*drains)
 
 
@@ -163,16 +163,16 @@
         running = asyncio.create_task(ask(site, stream=True, max_tokens=40))
         await site.until(lambda: runs(site))
         controller = site.controllers[0]
-        leader = next(e for e in site.engines if e.runs)
-        group = leader.status().group
+        head = next(e for e in site.engines if e.runs)
+        group = head.status().group
         document = json.loads(controller.configuration.applied.text)
         document["stopped_groups"] = [group]
         await controller.configuration.propose(
             text=json.dumps(document), expect_version=1, author="test"
         )
         done = await running
-        assert done.whole and len(done.events) == 41
-        await site.until(lambda: leader.status().group != group)
+        assert done.is_complete and len(done.events) == 41
+        await site.until(lambda: head.status().group != group)
 
 
 def test_minutes_without_the_table_change_nothing_for_repeatable_work():
--- a/mallowpond/gateway/tests/test_whole_answers.py
+++ b/mallowpond/gateway/tests/test_whole_answers.py
@@ -24,7 +24,7 @@
         words = reply.events if b"data: " in reply.body else [reply.text]
         expected = "".join(f"{prompt}.{n} " for n in range(4))
         assert "".join(words) == expected
-        assert reply.whole
+        assert reply.is_complete
 
 
 @pytest.mark.parametrize("stream", [False, True])
@@ -47,15 +47,15 @@
     async with serving_site() as site:
         # The same prompt goes to the same idle group, which now cuts off the stream.
         await ask(site, stream=True)
-        (leader,) = [engine for engine in site.engines if engine.runs]
-        leader.set_faults(EngineFaults(cut_after_tokens=after))
+        (head,) = [engine for engine in site.engines if engine.runs]
+        head.set_faults(EngineFaults(cut_after_tokens=after))
         reply = await ask(site, stream=True)
-        assert reply.whole
+        assert reply.is_complete
         assert reply.events == [f"star.{n} " for n in range(4)] + [""]
         assert counter(site, "retries", reason="cut_body") == 1
         for number in range(6):
             other = await ask(site, f"p{number}", stream=True)
-            assert other.whole
+            assert other.is_complete
             assert other.events == [f"p{number}.{n} " for n in range(4)] + [""]
 
 
@@ -69,7 +69,7 @@
         set_faults(site, cut_after_tokens=2)
         reply = await ask(site, stream=True, max_tokens=20)
         assert reply.status == 200
-        assert not reply.whole
+        assert not reply.is_complete
         assert b"broken_stream" in reply.body
         assert b"[DONE]" not in reply.body
         assert counter(site, "broken_streams") == 1
@@ -103,13 +103,13 @@
         reply = asyncio.create_task(ask(site, stream=True, max_tokens=30))
         await site.until(lambda: runs(site))
         await asyncio.sleep(0.2)
-        leader = next(e for e in site.engines if e.runs)
-        group = leader.status().group
+        head = next(e for e in site.engines if e.runs)
+        group = head.status().group
         for engine in site.engines:
-            if engine.status().group == group and engine is not leader:
+            if engine.status().group == group and engine is not head:
                 await engine.close()
         done = await reply
-        if done.whole:
+        if done.is_complete:
             assert done.events == [f"star.{n} " for n in range(30)] + [""]
         else:
             assert b"broken_stream" in done.body
