--- a/mallowpond/gateway/dispatch.py
+++ b/mallowpond/gateway/dispatch.py
@@ -117,14 +117,14 @@
                 # The target can close a reused connection while the request is in
                 # flight. For a request that must not be repeated it would then be
                 # unknown whether it ran.
-                fresh=not attempt.repeatable,
+                new_connection=not attempt.repeatable,
             )
     except TimeoutError:
         return MaybeRun(reason="first_byte_timeout")
     match answer:
         case CallFailed(phase=FailurePhase.CONNECT):
             return NotStarted(reason="connect_failed")
-        case CallFailed() if not answer.bytes_left:
+        case CallFailed() if not answer.may_have_sent:
             return NotStarted(reason="connection_closed")
         case CallFailed(phase=phase):
             return MaybeRun(reason=f"cut_{phase.value}")
