--- a/mallowpond/emulator/engines.py
+++ b/mallowpond/emulator/engines.py
@@ -83,7 +83,7 @@
             stream.tokens -= tokens
             read += tokens
         step = profile.step_seconds + profile.request_seconds * len(self._running)
-        seconds = step * profile.stride + read / profile.read_tokens_per_second
+        seconds = step * profile.stride + read / profile.prefill_tokens_per_second
         return seconds * self._model.pace
 
     def _write(self) -> None:
--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -10,21 +10,21 @@
 from mallowpond.emulator.virtual_time import VirtualClock
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Dispatcher
-from mallowpond.node.intake import Intake
+from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.messages import (
     PlaceAnswer,
     PlaceQuestion,
     Work,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
 )
 from mallowpond.node.metrics import NodeMetrics
-from mallowpond.node.place_asking import PlaceAsking
 from mallowpond.node.ports import TargetsRead
 from mallowpond.node.quarantine import Quarantine
 from mallowpond.node.rate_limits import RateLimits
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.fleet import Target
 from mallowpond.state.retry_window import RetryWindow
 
@@ -97,7 +97,7 @@
         self.on_place_answer: list[Callable[[PlaceAnswer], None]] = []
         self.on_work: list[Callable[[Work], None]] = []
 
-    def tell_nodes(self, message: Told, nodes: Iterable[str]) -> None:
+    def send_to(self, message: Told, nodes: Iterable[str]) -> None:
         """Send a message to some hosts."""
         loop = asyncio.get_running_loop()
         for node in nodes:
@@ -140,7 +140,7 @@
                 hosts=lambda: len(fleet.hosts) or 1,
                 rng=random.Random(fleet.rng.random()),
                 quarantine=Quarantine(clock=clock, metrics=metrics),
-                intake=Intake(
+                availability=TargetAvailability(
                     rate_limits=rate_limits, directory=self.directory, clock=clock
                 ),
             )
@@ -150,12 +150,12 @@
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
-            choice=self.streams.placing.choice,
+            selector=self.streams.placement.selector,
             clock=clock,
-            shape_of=lambda service, model: (PROFILE, PROFILE.models[0]),
+            find_model=lambda service, model: (PROFILE, PROFILE.models[0]),
             is_dispatcher=lambda: fleet.dispatching_host() == self.name,
         )
-        asking = PlaceAsking(
+        dispatcher_client = DispatcherClient(
             name=self.name,
             peers=self.datagrams,
             directory=self.directory,
@@ -163,11 +163,11 @@
             clock=clock,
             dispatching_host=fleet.dispatching_host,
         )
-        self.asking = asking
+        self.dispatcher_client = dispatcher_client
         if fleet.scenario.dispatched:
-            self.streams.placing.asking = asking
+            self.streams.placement.dispatcher_client = dispatcher_client
             self.streams.on_end.append(self.tell_work)
-            asking.on_unused.append(self.tell_work)
+            dispatcher_client.on_unused_grant.append(self.tell_work)
             self.datagrams.on_work.append(self._hear_work)
 
     def tell_work(self) -> None:
@@ -177,13 +177,15 @@
             self.dispatcher.wake()
             return
         loads = self.directory.loads.own_loads()
-        self.directory.loads.note_told(loads)
+        self.directory.loads.record_published(loads)
         work = Work(
-            node=self.name, loads=heartbeat_loads(loads), granted=self.asking.granted
+            node=self.name,
+            loads=encode_loads(loads),
+            grant_number=self.dispatcher_client.grant_number,
         )
-        self.datagrams.tell_nodes(work, (host,))
+        self.datagrams.send_to(work, (host,))
 
     def _hear_work(self, work: Work) -> None:
         loads = self.directory.loads
-        loads.note_peer(work.node, loads_of(work), work.granted)
+        loads.record_peer_loads(work.node, decode_loads(work), work.grant_number)
         self.dispatcher.wake()
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -148,8 +148,8 @@
                 loads = host.directory.loads.own_loads()
                 for other in self.hosts:
                     if other is not host:
-                        other.directory.loads.note_peer(
-                            host.name, loads, host.asking.granted
+                        other.directory.loads.record_peer_loads(
+                            host.name, loads, host.dispatcher_client.grant_number
                         )
             self._wake()
             await asyncio.sleep(HEARTBEAT_SECONDS)
@@ -162,21 +162,21 @@
                 reader = hosts[0] if hosts else None
                 for host in hosts[1 + turn :: TELLING_TURNS]:
                     loads = host.directory.loads.own_loads()
-                    host.directory.loads.note_told(loads)
-                    reader.directory.loads.note_peer(
-                        host.name, loads, host.asking.granted
+                    host.directory.loads.record_published(loads)
+                    reader.directory.loads.record_peer_loads(
+                        host.name, loads, host.dispatcher_client.grant_number
                     )
                 await asyncio.sleep(DIGEST_SECONDS / TELLING_TURNS)
             if self.hosts:
                 reader = self.hosts[0].directory
                 sums = reader.loads.all_loads(reader.groups)
                 for host in self.hosts[1:]:
-                    host.directory.loads.note_totals(sums)
+                    host.directory.loads.record_totals(sums)
                 self._wake()
 
     def _wake(self) -> None:
         for host in self.hosts:
-            host.streams.placing.wake_all()
+            host.streams.placement.wake_all()
             host.dispatcher.wake()
 
     # -- callers -------------------------------------------------------------
@@ -202,7 +202,7 @@
             method="POST",
             target="/",
             body=str(self._asked).encode(),
-            passed_headers=(),
+            forwarded_headers=(),
             model=MODEL,
             prompt_tokens=int(
                 self._draw(scenario.prompt_tokens, scenario.prompt_spread)
@@ -254,7 +254,7 @@
     def _count(self, work: StreamWork, at: float) -> None:
         first = (work.first_event_at or 0.0) - at
         is_late = first > ROUTE.objective_seconds
-        is_gap = work.longest_gap > ROUTE.gap_seconds
+        is_gap = work.longest_gap > ROUTE.gap_objective_seconds
         self._note(at, "late" if is_late else "gaps" if is_gap else "in_time")
 
     def _note(self, at: float, what: str) -> None:
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from mallowpond.state.fleet import EngineProfile, ModelSpec
-from mallowpond.state.site_configuration import Backend, Repeat, Route
+from mallowpond.state.site_configuration import Backend, RepeatPolicy, Route
 
 SERVICE = "engines"
 MODEL = "m"
@@ -42,22 +42,22 @@
     stride=6,
     step_seconds=0.0078,
     request_seconds=0.0000947,
-    read_tokens_per_second=45_900.0,
-    usual_prompt_tokens=674.0,
-    usual_answer_tokens=168.0,
+    prefill_tokens_per_second=45_900.0,
+    typical_prompt_tokens=674.0,
+    typical_answer_tokens=168.0,
 )
 FIRST_EVENT_SECONDS = 0.11
 ROUTE = Route(
     name="r",
     host="h",
     prefix="/",
-    repeat=Repeat.STREAM,
+    repeat=RepeatPolicy.STREAM,
     backends=(Backend(service=SERVICE, weight=1),),
     timeout_seconds=6.0,
     objective_seconds=0.303,
     max_attempts=2,
     resumable=True,
-    gap_seconds=0.2,
+    gap_objective_seconds=0.2,
 )
 
 
--- a/mallowpond/standins/observatory_engine.py
+++ b/mallowpond/standins/observatory_engine.py
@@ -438,7 +438,7 @@
                 epoch=place and place.epoch,
                 members=place and place.members,
             )
-            stamp = ((names.STAMP, f"{self._id}.{attempt}"), *echo)
+            stamp = ((names.SERVER_STAMP, f"{self._id}.{attempt}"), *echo)
             is_fatal = request.body.startswith(FATAL_BODY)
             if is_fatal:
                 self._later(FATAL_SECONDS, lambda: self._crash(attempt))
@@ -453,7 +453,7 @@
     async def _stream(
         self, request: HttpRequest, exchange: Exchange, attempt: str, stamp: Any
     ) -> None:
-        tokens = int(request.headers.get(names.TOKENS, "0,7").partition(",")[2])
+        tokens = int(request.headers.get(names.TOKEN_COUNTS, "0,7").partition(",")[2])
         first = int(request.headers.get(names.LAST_EVENT, 0)) + 1
         kind = (("content-type", "text/event-stream"),)
         await exchange.start(200, (*kind, *stamp))
