--- a/mallowpond/__main__.py
+++ b/mallowpond/__main__.py
@@ -4,7 +4,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["node"]:
-        from mallowpond.platform.early import listen_for_callers
+        from mallowpond.platform.early_listener import listen_for_callers
 
         listener = listen_for_callers()
         # A killed node is back sooner and smaller without the command line.
