--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -1,4 +1,4 @@
-"""Wire one node: meet callers, serve, tell peers, plan groups when it is its turn."""
+"""Assemble the components of one node, start them, drain them and close them."""
 
 import asyncio
 import random
@@ -16,15 +16,14 @@
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.configuration_sharing import ConfigurationSharing
 from mallowpond.node.directory import Directory
-from mallowpond.node.dispatcher import Dispatcher, Shape
+from mallowpond.node.dispatcher import Dispatcher, ServedModel
+from mallowpond.node.dispatcher_client import DispatcherClient
 from mallowpond.node.fanout import Fanout
 from mallowpond.node.ingress import Ingress
-from mallowpond.node.intake import Intake
 from mallowpond.node.leadership import Leadership
-from mallowpond.node.messages import Heartbeat, heartbeat_loads, loads_of
+from mallowpond.node.messages import Heartbeat, decode_loads, encode_loads
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.peers import PeerNetwork
-from mallowpond.node.place_asking import PlaceAsking
 from mallowpond.node.planner import GroupPlanner
 from mallowpond.node.ports import NodePorts
 from mallowpond.node.quarantine import Quarantine
@@ -34,32 +33,39 @@
 from mallowpond.node.serving_parts import ServingParts
 from mallowpond.node.settings import NodeSettings
 from mallowpond.node.streams import StreamService
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.node.traffic import TrafficSeen
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.node.watch import GroupWatch
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.transport.http_server import Exchange, HttpRequest, HttpServer
 
 log = structlog.get_logger()
 
-# Time after a stop in which new requests are still served, in seconds: the balancer
-# asks once a second and takes a node out after two misses.
-LAME_SECONDS = 3.2
-# Time in which a node that has just started reads what it needs before it serves
-# callers that already wait, and the pause between two looks, in seconds: two answers of
-# the store take 0.01 s, and a store that is down must not keep them.
-FIRST_READ_SECONDS = 0.25
-FIRST_LOOK_SECONDS = 0.005
-# Part of the grace time that is kept back for closing, in seconds.
+# Time after the start of a drain in which new requests are still served, in seconds:
+# the balancer checks once a second and removes a node after two failed checks.
+LAME_DUCK_SECONDS = 3.2
+# Longest time that a node that has just started waits for its first reads before it
+# serves callers that have already connected, and the interval between two checks, in
+# seconds: two answers of the store take 0.01 s, and callers must not wait for a store
+# that is down.
+STARTUP_READ_SECONDS = 0.25
+STARTUP_POLL_SECONDS = 0.005
+# Part of the grace time that is reserved for closing, in seconds.
 CLOSING_SECONDS = 0.7
 DRAIN_CHECK_SECONDS = 0.05
-# Time before the end in which streams that still wait are refused, in seconds: closed
-# with their host, requests that no engine had seen got no answer.
-LAST_REFUSALS_SECONDS = 0.2
+# Time before the end of the drain from which streams that still wait for a slot are
+# refused, in seconds: a request that waited until its host closed, and that no engine
+# had received, got no answer.
+REFUSE_WAITING_SECONDS = 0.2
 
 
 class Node:
-    """Run everything of one entry host."""
+    """Runs all components of one entry host.
+
+    It serves callers, exchanges state with its peers, and plans the groups while it
+    holds the planner's lease. Call `start`, then `drain` and `close` to stop it.
+    """
 
     def __init__(
         self,
@@ -77,10 +83,10 @@
         self._rng = random.Random(seed) if seed else random.SystemRandom()
         self._incarnation = new_id(self._rng)
         self._stack = AsyncExitStack()
-        self._budgets: dict[str, RetryWindow] = {}
+        self._retry_budgets: dict[str, RetryWindow] = {}
         self._traffic = TrafficSeen(seen=not settings.first_start)
         self.metrics = metrics or NodeMetrics()
-        notes = UnreadableNotes(counter=self.metrics.unreadable)
+        unreadable_log = UnreadableLog(counter=self.metrics.unreadable)
         self.configuration = ConfigurationFollower(
             source=ports.source, clock=clock, revoke_seconds=settings.bounds.revoke
         )
@@ -91,8 +97,8 @@
             address=f"{settings.address}:{settings.peer_port}",
             table=ports.table,
             clock=clock,
-            describe=self._describe,
-            notes=notes,
+            make_heartbeat=self._build_heartbeat,
+            unreadable_log=unreadable_log,
         )
         quarantine = Quarantine(clock=clock, metrics=self.metrics)
         self.quarantine_sharing = QuarantineSharing(
@@ -103,7 +109,7 @@
             clock=clock,
             store_clock=self.configuration.store_clock,
             rng=self._rng,
-            notes=notes,
+            unreadable_log=unreadable_log,
         )
         self.rate_limits = RateLimits(
             name=settings.name,
@@ -112,7 +118,7 @@
             metrics=self.metrics,
             peers=self.peers,
         )
-        intake = Intake(
+        availability = TargetAvailability(
             rate_limits=self.rate_limits, directory=self.directory, clock=clock
         )
         parts = ServingParts(
@@ -121,11 +127,11 @@
             callers=ports.callers,
             clock=clock,
             metrics=self.metrics,
-            budget=self._budget,
-            hosts=lambda: self.peers.hosts,
+            budget=self._retry_budget,
+            hosts=lambda: self.peers.host_count,
             rng=self._rng,
             quarantine=quarantine,
-            intake=intake,
+            availability=availability,
         )
         self.streams = StreamService(parts=parts)
         self.ingress = Ingress(
@@ -155,8 +161,8 @@
             rng=self._rng,
             checks_fencing=settings.bounds.checks_fencing,
             cores=settings.cores,
-            may_plan=self._may_plan,
-            notes=notes,
+            can_plan=self._can_plan,
+            unreadable_log=unreadable_log,
         )
         self.planner = GroupPlanner(
             configuration=self.configuration,
@@ -169,7 +175,7 @@
             metrics=self.metrics,
             stall_seconds=settings.bounds.stall,
             traffic_seen=self._traffic,
-            intake=intake,
+            availability=availability,
         )
         self.fanout = Fanout(
             name=settings.name,
@@ -183,7 +189,7 @@
             configuration=self.configuration,
             directory=self.directory,
             clock=clock,
-            is_stopping=lambda: self.ingress.stopping,
+            is_stopping=lambda: self.ingress.is_stopping,
             is_planning=lambda: self.leadership.fence > 0,
             fanout=self.fanout,
             cores=settings.cores,
@@ -192,12 +198,12 @@
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
-            choice=self.streams.placing.choice,
+            selector=self.streams.placement.selector,
             clock=clock,
-            shape_of=self._shape_of,
+            find_model=self._find_model,
             is_dispatcher=lambda: self.readers.dispatcher == settings.name,
         )
-        self.asking = PlaceAsking(
+        self.dispatcher_client = DispatcherClient(
             name=settings.name,
             peers=self.peers,
             directory=self.directory,
@@ -205,10 +211,10 @@
             clock=clock,
             dispatching_host=lambda: self.readers.dispatcher,
         )
-        self.streams.placing.asking = self.asking
-        self.streams.on_end.append(self._tell_end)
-        self.asking.on_unused.append(self._tell_end)
-        self.readers.granted = lambda: self.asking.granted
+        self.streams.placement.dispatcher_client = self.dispatcher_client
+        self.streams.on_end.append(self._on_slot_freed)
+        self.dispatcher_client.on_unused_grant.append(self._on_slot_freed)
+        self.readers.grant_number = lambda: self.dispatcher_client.grant_number
         self.sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
@@ -216,11 +222,13 @@
             fanout=self.fanout,
             configuration=self.configuration,
         )
-        self.readers.on_news.append(self.streams.placing.wake_all)
-        self.configuration.on_newer.append(self._tell_version)
-        self.leadership.on_taken.append(lambda: self.peers.tell(self._describe()))
-        self.peers.on_heartbeat.append(self._note_heartbeat)
-        self.peers.on_vouch.append(self.directory.vouch)
+        self.readers.after_digest.append(self.streams.placement.wake_all)
+        self.configuration.on_new_version.append(self._publish_version)
+        self.leadership.on_acquired.append(
+            lambda: self.peers.broadcast(self._build_heartbeat())
+        )
+        self.peers.on_heartbeat.append(self._on_heartbeat)
+        self.peers.on_target_healthy.append(self.directory.record_healthy)
         self.peers.on_work.append(lambda work: self.dispatcher.wake())
         self.directory.on_change.append(self.dispatcher.wake)
         self._readiness = HttpServer(handler=self._answer_readiness)
@@ -228,32 +236,36 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new callers should come to this node."""
-        return self.configuration.is_sure and not self.ingress.stopping
+        """Return whether the balancer should send new callers to this node."""
+        return self.configuration.is_confirmed and not self.ingress.is_stopping
 
     async def start(self) -> None:
-        """Listen, and follow the platform."""
+        """Start the servers and the background tasks.
+
+        With an inherited listener, on which callers may already wait, the first reads
+        of the configuration and the targets are awaited for a short time.
+        """
         self._stack.push_async_callback(self.planner.close)
         self._stack.callback(self.peers.close)
         await self.peers.start(self._settings.peer_port)
         await self._listen(self._readiness, self._settings.readiness)
-        await self._start_metrics()
+        await self._start_metrics_server()
         self._spawn(self.configuration.run())
         self._spawn(self.directory.run())
         if self._listener is not None:
-            await self._read_first()
+            await self._await_first_read()
         await self._listen(self.ingress.server, self._settings.callers, self._listener)
         for work in (
             self.peers.run_heartbeats(),
-            self.peers.run_senior_heartbeats(),
-            self.peers.run_rows(),
+            self.peers.run_candidate_heartbeats(),
+            self.peers.run_node_rows(),
             self.watch.run(),
             self.leadership.run(),
             self.readers.run(),
             self.planner.run(),
             self.rate_limits.run(),
-            self.quarantine_sharing.run_telling(),
-            self.quarantine_sharing.run_asking(),
+            self.quarantine_sharing.run_sending(),
+            self.quarantine_sharing.run_querying(),
             self.quarantine_sharing.run_writing(),
             self.quarantine_sharing.run_reading(),
         ):
@@ -267,57 +279,62 @@
         self._stack.push_async_callback(server.close)
         await server.start(host, int(port), listener)
 
-    async def _read_first(self) -> None:
-        """Wait until the store has told what callers need, but not for long.
+    async def _await_first_read(self) -> None:
+        """Wait for a configuration and targets, for a limited time.
 
-        Callers already wait on the socket: answered some milliseconds sooner, each of
-        them would be refused for want of a configuration.
+        Callers already wait on the socket. Without this wait, each of them would be
+        refused for lack of a configuration that arrives some milliseconds later.
         """
-        limit = self._clock.now() + FIRST_READ_SECONDS
+        limit = self._clock.now() + STARTUP_READ_SECONDS
         while self._clock.now() < limit:
             if self.configuration.configuration and self.directory.targets:
                 return
-            await self._clock.sleep(FIRST_LOOK_SECONDS)
+            await self._clock.sleep(STARTUP_POLL_SECONDS)
 
     async def drain(self) -> None:
-        """Tell the balancer, serve on for a moment, then finish what is in progress."""
-        self.ingress.stopping = True
-        await self._hand_over()
-        self.peers.tell(self._describe())
+        """Fail the readiness check, then finish the requests in progress.
+
+        New requests are served until the balancer has removed the node. The drain ends
+        when no request is in progress, or shortly before the end of the grace time.
+        """
+        self.ingress.is_stopping = True
+        await self._release_lease()
+        self.peers.broadcast(self._build_heartbeat())
         log.info("node: draining", in_flight=self.ingress.in_flight)
         grace = self._settings.bounds.grace
-        started = self._clock.now()
-        lame_until = started + min(LAME_SECONDS, 0.5 * grace)
-        limit = started + grace - CLOSING_SECONDS
-        self.ingress.ends_at = self.streams.placing.ends_at = limit
-        while self._clock.now() < lame_until:
+        started_at = self._clock.now()
+        lame_duck_until = started_at + min(LAME_DUCK_SECONDS, 0.5 * grace)
+        limit = started_at + grace - CLOSING_SECONDS
+        self.ingress.shutdown_at = self.streams.placement.shutdown_at = limit
+        while self._clock.now() < lame_duck_until:
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
-            await self._hand_over()
-        # New connections go to other hosts by now; those of before still come here.
+            await self._release_lease()
+        # The balancer now sends new connections to other hosts, but connections opened
+        # before the drain still bring requests.
         self.ingress.server.keep_no_connections()
-        # Asked of the server: a request that it has just read is not in flight yet, and
-        # one that was overlooked was passed on and cut off 3 ms later.
+        # The server is checked instead of `in_flight`, which does not count a request
+        # that was just read: one that was missed was forwarded and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
-            if self._clock.now() >= limit - LAST_REFUSALS_SECONDS:
-                self.streams.placing.end_waits()
+            if self._clock.now() >= limit - REFUSE_WAITING_SECONDS:
+                self.streams.placement.end_waits()
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
-            await self._hand_over()
+            await self._release_lease()
         self.ingress.server.refuse_more()
         log.info("node: drained", in_flight=self.ingress.in_flight)
 
-    async def _hand_over(self) -> None:
+    async def _release_lease(self) -> None:
         """Stop planning if another node can take over.
 
-        While the store is away none can, and groups that lose a member would stay
-        down until it is back.
+        While the store is unreachable none can, and groups that lose a member would
+        stay down until it is reachable again.
         """
-        if self.configuration.store_answers:
+        if self.configuration.is_store_reachable:
             await self.leadership.release()
 
     async def close(self) -> None:
         """Close every socket and stop every task."""
-        # Together: each may wait for its last bytes, and one after another they took
-        # longer than what is kept of the grace time.
+        # Closed concurrently: each server may wait for its last bytes to be sent, and
+        # one after another they took longer than the time reserved for closing.
         servers = (self.ingress.server, self._readiness, self._metrics_server)
         await asyncio.gather(*(server.close() for server in servers))
         await self._stack.aclose()
@@ -328,7 +345,7 @@
         task.add_done_callback(_log_failure)
         self._stack.push_async_callback(cancel_task, task)
 
-    async def _start_metrics(self) -> None:
+    async def _start_metrics_server(self) -> None:
         if not self._settings.metrics_port:
             return
         self._stack.push_async_callback(self._metrics_server.close)
@@ -337,43 +354,43 @@
                 self._settings.address, self._settings.metrics_port
             )
         except OSError as error:
-            # Serving callers goes before being watched.
+            # Serving callers has priority over monitoring.
             log.warning("node: no metrics address", error=str(error))
 
-    def _may_plan(self) -> bool:
-        return self.configuration.store_answers and not self.ingress.stopping
+    def _can_plan(self) -> bool:
+        return self.configuration.is_store_reachable and not self.ingress.is_stopping
 
-    def _budget(self, service: str) -> RetryWindow:
+    def _retry_budget(self, service: str) -> RetryWindow:
         bounds = self._settings.bounds
-        if service not in self._budgets:
-            self._budgets[service] = RetryWindow(
+        if service not in self._retry_budgets:
+            self._retry_budgets[service] = RetryWindow(
                 ratio=bounds.retry_ratio,
                 slack=bounds.retry_slack,
                 window_seconds=bounds.retry_window,
             )
-        return self._budgets[service]
+        return self._retry_budgets[service]
 
-    def _describe(self) -> Heartbeat:
+    def _build_heartbeat(self) -> Heartbeat:
         known = self.configuration.configuration
         return Heartbeat(
             node=self._settings.name,
             incarnation=self._incarnation,
             address=f"{self._settings.address}:{self._settings.peer_port}",
             version=known.version if known else 0,
-            sure=self.configuration.is_sure,
-            store=self.configuration.store_answers,
-            stopping=self.ingress.stopping,
+            sure=self.configuration.is_confirmed,
+            store=self.configuration.is_store_reachable,
+            stopping=self.ingress.is_stopping,
             planning=self.leadership.fence,
             traffic=self._traffic.seen,
             interval=self.peers.interval,
             data_centre=self._settings.data_centre,
             cores=self._settings.cores,
-            loads=heartbeat_loads(self.directory.loads.own_loads()),
-            granted=self.asking.granted,
+            loads=encode_loads(self.directory.loads.own_loads()),
+            grant_number=self.dispatcher_client.grant_number,
         )
 
-    def _shape_of(self, service: str, model: str) -> Shape | None:
-        """Return the timing and model of a service, None if it is not declared."""
+    def _find_model(self, service: str, model: str) -> ServedModel | None:
+        """Return a service's engine profile and a model, None if not declared."""
         known = self.configuration.configuration
         declared = known and known.services.get(service)
         if not declared or declared.profile is None:
@@ -381,26 +398,26 @@
         spec = declared.profile.model(model)
         return None if spec is None else (declared.profile, spec)
 
-    def _tell_end(self) -> None:
-        """Tell whoever counts places that this host holds one less."""
-        self.readers.tell_dispatcher()
+    def _on_slot_freed(self) -> None:
+        """Inform the dispatcher that this host uses one slot less."""
+        self.readers.send_work_to_dispatcher()
         self.dispatcher.wake()
 
-    def _tell_version(self) -> None:
-        """Tell a newer version at once; in a large fleet only the readers do."""
-        if not self.peers.is_large:
-            self.peers.tell(self._describe())
-        elif self.readers.reads:
+    def _publish_version(self) -> None:
+        """Announce a newer configuration at once; in a large fleet only readers do."""
+        if not self.peers.is_large_fleet:
+            self.peers.broadcast(self._build_heartbeat())
+        elif self.readers.is_reader:
             self.readers.step()
 
-    def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._traffic.seen = self._traffic.seen or heartbeat.traffic
-        self.directory.loads.note_peer(
-            heartbeat.node, loads_of(heartbeat), heartbeat.granted
+        self.directory.loads.record_peer_loads(
+            heartbeat.node, decode_loads(heartbeat), heartbeat.grant_number
         )
-        # Places that other hosts' streams freed are known only from here: without
-        # this a stream waited until one of this host's own ended.
-        self.streams.placing.wake_all()
+        # Only heartbeats show slots freed by other hosts' streams. Without this wake,
+        # a stream waited until one of this host's own streams ended.
+        self.streams.placement.wake_all()
         self.dispatcher.wake()
 
     async def _answer_readiness(self, request: HttpRequest, exchange: Exchange) -> None:
@@ -432,7 +449,11 @@
     metrics: NodeMetrics | None = None,
     listener: socket.socket | None = None,
 ) -> Node:
-    """Build a node from its settings and ports."""
+    """Build a node from its settings and ports, without starting it.
+
+    With a `seed` other than 0 its random choices are reproducible. `listener` is an
+    already bound socket for callers, to use in place of the configured address.
+    """
     return Node(
         settings=settings,
         ports=ports,
--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -19,12 +19,12 @@
     event,
     full,
     listing,
+    make_rig,
     misdirected,
-    rig_of,
 )
 from mallowpond.node.tests.test_watch import STALL_SECONDS, FakePeers
 from mallowpond.node.watch import GroupWatch
-from mallowpond.state.broken_groups import STILL_WRITTEN_SECONDS
+from mallowpond.state.broken_groups import STALE_ENTRY_SECONDS
 from mallowpond.state.fleet import BreakCause, GroupPhase, Membership, Target
 from mallowpond.transport.http_client import End
 
@@ -118,7 +118,7 @@
     def __init__(self):
         super().__init__()
         self.loop = FakeLoop()
-        self.rig = self.loop.run_until_complete(rig_of(*GROUPS, slack=0.0))
+        self.rig = self.loop.run_until_complete(make_rig(*GROUPS, slack=0.0))
         self.loop.clock = self.rig.clock
         self.directory = self.rig.directory
         self.platform = Platform(present=dict(self.directory.targets))
@@ -282,7 +282,7 @@
             for key, (at, refused) in list(self.refused.items()):
                 if refused.id != target.id:
                     continue
-                is_late = now - at > STILL_WRITTEN_SECONDS
+                is_late = now - at > STALE_ENTRY_SECONDS
                 if not is_whole or is_late or target != refused:
                     del self.refused[key]
             if known is not None and known.process != target.process:
@@ -292,7 +292,7 @@
                     self.lost_member.add((place.group, place.epoch))
                 self.ended.pop(target.process, None)
             elif is_whole and now - self.ended.get(target.process, now) > (
-                STILL_WRITTEN_SECONDS
+                STALE_ENTRY_SECONDS
             ):
                 del self.ended[target.process]
 
@@ -310,7 +310,7 @@
         changed = {t.id: t for t in self.platform.listed[known:until]}
         self.take(changed.values(), is_whole=False)
         change = listing(*changed.values(), revision=until, whole=False)
-        self.directory.hear_change(change, previous=known)
+        self.directory.apply_change(change, previous=known)
         self.settle()
 
     @rule()
@@ -331,7 +331,7 @@
             until = data.draw(st.integers(1, known))
             previous = until - 1
         change = listing(self.platform.listed[until - 1], revision=until, whole=False)
-        self.directory.hear_change(change, previous=previous)
+        self.directory.apply_change(change, previous=previous)
         assert self.directory.targets == before
 
     @rule()
@@ -345,16 +345,16 @@
     @rule(data=st.data())
     def read_in_vain(self, data):
         """Get a whole list that is older than the changes heard meanwhile."""
-        before, read_at = dict(self.directory.targets), self.directory._whole_at
+        before, read_at = dict(self.directory.targets), self.directory._full_read_at
         until = data.draw(st.integers(0, self.directory._revision - 1))
         self.read(self.platform.entries(until).values(), until)
-        self.directory._whole_at = read_at
+        self.directory._full_read_at = read_at
         assert self.directory.targets == before
 
     def read(self, entries, version):
         """Let the node read a whole list."""
         self.rig.source.listed.append(listing(*entries, revision=version))
-        self.directory._whole_at = float("-inf")
+        self.directory._full_read_at = float("-inf")
         self.loop.run_until_complete(self.directory.refresh())
 
     @rule(engine=engines, is_late=st.booleans())
@@ -403,14 +403,14 @@
             return
         if answered.process in self.ended:
             serving = self.directory.serving_groups("engines", "m")
-            self.directory.learn(answered)
+            self.directory.apply_report(answered)
             assert self.directory.serving_groups("engines", "m") == serving
             return
         if asked.process != listed.process:
             return
         if answered.process != listed.process and answered.process not in self.ended:
             self.ended.setdefault(listed.process, self.rig.clock.now())
-        self.directory.learn(answered)
+        self.directory.apply_report(answered)
         self.settle()
 
     @rule(group=groups, epoch=st.integers(1, 5))
--- a/mallowpond/platform/callers.py
+++ b/mallowpond/platform/callers.py
@@ -22,14 +22,14 @@
         attempt = found.get(names.ATTEMPT, "")
         if not attempt:
             return InvalidRequest(reason=f"{names.ATTEMPT} is missing")
-        prompt, answer = _token_counts(found.get(names.TOKENS, ""))
+        prompt, answer = _token_counts(found.get(names.TOKEN_COUNTS, ""))
         return CallerRequest(
             id=attempt,
             host=found.get("host", "").partition(":")[0].lower(),
             method=request.method,
             target=request.target,
             body=request.body,
-            passed_headers=_passed(request.header_list),
+            forwarded_headers=_passed(request.header_list),
             key=_key(found.get(names.AUTHORIZATION, "")),
             seconds_left=_seconds(found.get(names.DEADLINE, "")),
             model=found.get(names.MODEL),
--- a/mallowpond/platform/headers.py
+++ b/mallowpond/platform/headers.py
@@ -1,7 +1,7 @@
 """Header names of the platform's protocol."""
 
 ATTEMPT = "x-mallowpond-attempt-id"
-STAMP = "x-mallowpond-server-stamp"
+SERVER_STAMP = "x-mallowpond-server-stamp"
 # What is left of the time that the caller waits, in milliseconds.
 DEADLINE = "x-mallowpond-deadline-ms"
 EXPECT_INSTANCE = "x-mallowpond-expect-instance"
@@ -16,7 +16,7 @@
 WORKSPACE = "x-mallowpond-tenant"
 MODEL = "x-mallowpond-model"
 # Prompt tokens and the most output tokens, separated by a comma.
-TOKENS = "x-mallowpond-token-counts"
+TOKEN_COUNTS = "x-mallowpond-token-counts"
 LAST_EVENT = "last-event-id"
 AUTHORIZATION = "authorization"
 
--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -1,4 +1,8 @@
-"""Decide whether a request that may not be repeated is allowed to run."""
+"""Decide whether a request that must run at most once is allowed to run.
+
+A claim is the stored row of one such request: it names the attempt that may be sent and
+how that attempt ended.
+"""
 
 from dataclasses import dataclass, replace
 
@@ -7,14 +11,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Granted:
-    """The request may be sent once; the row that says so still has to be kept."""
+    """The attempt may be sent once `row` is stored."""
 
     row: ClaimRow
 
 
 @dataclass(frozen=True, kw_only=True)
 class Withdrawn:
-    """This very attempt was withdrawn before its claim arrived."""
+    """The same attempt was withdrawn before its claim arrived."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -24,29 +28,34 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AlreadyRun:
-    """Another attempt has run to its end."""
+    """Another attempt has run to completion."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class OutcomeUnknown:
-    """Another attempt was sent, and nobody can tell whether it ran."""
+    """Another attempt was sent, and it is not known whether it ran."""
 
 
 ClaimDecision = Granted | Withdrawn | InProgress | AlreadyRun | OutcomeUnknown
 
 
 def decide_claim(
-    *, held: ClaimRow | None, asked: ClaimRow, live_gateways: frozenset[str]
+    *, stored: ClaimRow | None, requested: ClaimRow, live_gateways: frozenset[str]
 ) -> ClaimDecision:
-    """Weigh an attempt against the claim that the table holds."""
-    match held:
+    """Decide on the `requested` claim of an attempt against the `stored` one.
+
+    `live_gateways` are the gateways that can still end the attempts they claimed.
+    """
+    match stored:
         case None:
-            return Granted(row=asked)
+            return Granted(row=requested)
         case ClaimRow(state=ClaimState.VOID, attempt=attempt):
-            # A late duplicate of a withdrawn claim must not bring it back to life.
-            return Withdrawn() if attempt == asked.attempt else Granted(row=asked)
-        case ClaimRow(state=ClaimState.CLAIMED, attempt=asked.attempt):
-            return Granted(row=held)
+            # A late duplicate of a withdrawn claim must not make it valid again.
+            return (
+                Withdrawn() if attempt == requested.attempt else Granted(row=requested)
+            )
+        case ClaimRow(state=ClaimState.CLAIMED, attempt=requested.attempt):
+            return Granted(row=stored)
         case ClaimRow(state=ClaimState.DONE):
             return AlreadyRun()
         case ClaimRow(state=ClaimState.UNKNOWN):
@@ -59,37 +68,37 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settled:
-    """Write this row and add `units` (negative for a refund) to the ledger."""
+    """Change to store: `row`, and `units` to add to the ledger (negative: a refund)."""
 
     row: ClaimRow
     units: int
 
 
-def settle_end(*, held: ClaimRow | None, asked: ClaimRow) -> Settled | None:
+def settle_end(*, stored: ClaimRow | None, requested: ClaimRow) -> Settled | None:
     """Return the change that ends an attempt as done or unknown, None if there is none.
 
-    `asked.state` says how the attempt ended.
+    `requested.state` says how the attempt ended.
     """
-    if held is None or held.attempt != asked.attempt:
+    if stored is None or stored.attempt != requested.attempt:
         return None
-    if held.state is not ClaimState.CLAIMED:
+    if stored.state is not ClaimState.CLAIMED:
         return None
-    return Settled(row=replace(held, state=asked.state), units=0)
+    return Settled(row=replace(stored, state=requested.state), units=0)
 
 
-def settle_void(*, held: ClaimRow | None, asked: ClaimRow) -> Settled | None:
-    """Return the change that withdraws an attempt of which nothing was sent.
+def settle_void(*, stored: ClaimRow | None, requested: ClaimRow) -> Settled | None:
+    """Return the change that withdraws an attempt that was not sent, None if none.
 
-    The claim's own commit may still be on its way. It was decided on an absent row or
-    on another attempt's void row, so either is written anew: the commit then conflicts
-    instead of charging for a request that was refused.
+    The commit of its claim may still be in flight. That commit expects no row or the
+    void row of another attempt, so in both cases a void row is written: the late commit
+    then conflicts instead of charging for a request that was refused.
     """
-    if held is None or _is_void_of_another(held, asked):
-        return Settled(row=replace(asked, state=ClaimState.VOID), units=0)
-    if held.attempt != asked.attempt or held.state is not ClaimState.CLAIMED:
+    if stored is None or _is_void_of_another(stored, requested):
+        return Settled(row=replace(requested, state=ClaimState.VOID), units=0)
+    if stored.attempt != requested.attempt or stored.state is not ClaimState.CLAIMED:
         return None
-    return Settled(row=replace(held, state=ClaimState.VOID), units=-held.units)
+    return Settled(row=replace(stored, state=ClaimState.VOID), units=-stored.units)
 
 
-def _is_void_of_another(held: ClaimRow, asked: ClaimRow) -> bool:
-    return held.state is ClaimState.VOID and held.attempt != asked.attempt
+def _is_void_of_another(stored: ClaimRow, requested: ClaimRow) -> bool:
+    return stored.state is ClaimState.VOID and stored.attempt != requested.attempt
--- a/mallowpond/state/retry_window.py
+++ b/mallowpond/state/retry_window.py
@@ -1,24 +1,27 @@
-"""Share one budget of repeated sends among all entry hosts.
+"""Retry budget that all entry hosts share, over a sliding window.
 
-The load pattern: a group or data centre dies and every host moves its streams at
-once. Together they may send no more than a share of the recent requests and a fixed
-number beyond; each host takes an equal part, since asking would take longer than
-the streams can wait.
+When a group or a data centre fails, every host moves its streams at once. Together they
+may resend no more than a share of the recent requests plus a fixed number. Each host
+takes an equal part of that number, as asking the others would take longer than the
+streams can wait.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Least time over which a rate is reckoned, in seconds: less would make a rate of one
-# request.
-LEAST_RATE_SECONDS = 0.5
-# Part of the budget that is used: hosts count their windows at different moments.
+# Minimum time over which a rate is computed, in seconds: over less, a single request
+# would give a high rate.
+MIN_RATE_SECONDS = 0.5
+# Share of the budget that is used, since the windows of hosts are not aligned.
 USED_SHARE = 0.8
 
 
 @dataclass(kw_only=True)
 class RetryWindow:
-    """Count this host's first and repeated sends to one service."""
+    """This host's first and repeated sends to one service in the last window.
+
+    Repeated sends may be `ratio` times the first ones, plus a host's part of `slack`.
+    """
 
     ratio: float
     slack: float
@@ -27,29 +30,29 @@
     _firsts: deque[float] = field(default_factory=deque)
     _repeats: deque[float] = field(default_factory=deque)
 
-    def note_first(self, now: float) -> None:
+    def record_first_send(self, now: float) -> None:
         """Count the first send of a request."""
         if self._since is None:
             self._since = now
         self._firsts.append(now)
-        _forget(self._firsts, now - self.window_seconds)
+        _drop_before(self._firsts, now - self.window_seconds)
 
     @property
-    def firsts_per_second(self) -> float:
-        """Return the rate of first sends over the last window, or since the first one.
+    def first_sends_per_second(self) -> float:
+        """Return the rate of first sends over the last window, or since the first send.
 
-        Over a whole window, hosts that have just begun to serve would take the others
-        for idle, and send their streams to the same group.
+        Averaged over a whole window, hosts that have just begun to serve would take the
+        others for idle and send their streams to the same group.
         """
         if self._since is None:
             return 0.0
-        known = max(LEAST_RATE_SECONDS, self._firsts[-1] - self._since)
+        known = max(MIN_RATE_SECONDS, self._firsts[-1] - self._since)
         return len(self._firsts) / min(self.window_seconds, known)
 
     def try_repeat(self, now: float, hosts: int) -> bool:
-        """Take one repeated send out of this host's part of the budget."""
-        _forget(self._firsts, now - self.window_seconds)
-        _forget(self._repeats, now - self.window_seconds)
+        """Take one repeated send from this host's part, False if none is left."""
+        _drop_before(self._firsts, now - self.window_seconds)
+        _drop_before(self._repeats, now - self.window_seconds)
         part = self.ratio * len(self._firsts) + self.slack / max(1, hosts)
         if len(self._repeats) + 1 > USED_SHARE * part:
             return False
@@ -57,6 +60,6 @@
         return True
 
 
-def _forget(times: deque[float], before: float) -> None:
+def _drop_before(times: deque[float], before: float) -> None:
     while times and times[0] < before:
         times.popleft()
