--- a/mallowpond/node/tests/fakes.py
+++ b/mallowpond/node/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at a node's ports: targets with scripted answers, a source to cut off."""
+"""Fakes of a node's ports: targets with scripted answers, a source to cut off."""
 
 import asyncio
 import random
@@ -54,23 +54,23 @@
 
 @dataclass(kw_only=True)
 class FakeClock:
-    """Stand at a time that only tests move; sleeping lets others run."""
+    """Clock that only tests and sleeps advance; a sleep also runs other tasks."""
 
     time: float = 1000.0
 
     def now(self) -> float:
-        """Return the time."""
+        """Return the fake time, in seconds."""
         return self.time
 
     async def sleep(self, seconds: float) -> None:
-        """Move the time on."""
+        """Advance the time, and let other tasks run."""
         self.time += seconds
         await asyncio.sleep(0)
 
 
 @dataclass(kw_only=True)
 class FakeResponse:
-    """Play an answer's events; a future among them holds it until it is done."""
+    """Answer of scripted events; a future among them delays it until it is done."""
 
     script: list
     status: int = 200
@@ -82,7 +82,7 @@
         return tuple(self.headers.items())
 
     async def events(self, silence_seconds=None):
-        """Yield the events."""
+        """Yield the scripted events."""
         for event in self.script:
             if isinstance(event, asyncio.Future):
                 await event
@@ -90,7 +90,7 @@
             yield event
 
     async def read(self, limit=0):
-        """Return the whole body."""
+        """Return the complete body, or the failure in the script."""
         body = b""
         for event in self.script:
             if isinstance(event, CallFailed):
@@ -100,12 +100,12 @@
         return body
 
     def close(self):
-        """Drop the connection."""
+        """Do nothing, as there is no connection."""
 
 
 @dataclass(kw_only=True)
 class FakeTargets:
-    """Answer sends from a script for each target; remember every send."""
+    """Targets that answer from a script each, and record every send and order."""
 
     answers: dict = field(default_factory=dict)
     sends: list = field(default_factory=list)
@@ -113,24 +113,24 @@
     reports: dict = field(default_factory=dict)
 
     def script(self, target, *answers):
-        """Say what a target answers, one after the other."""
+        """Set the answers of a target, in their order."""
         self.answers[target] = deque(answers)
 
     async def send(self, target, request, *, workspace, seconds_left, last_event):
-        """Answer a request."""
+        """Record the send, and return the target's next answer."""
         self.sends.append((target.id, last_event))
         return self.answers[target.id].popleft()
 
     def is_not_run(self, response):
-        """Tell whether an answer proves that the request did not run."""
+        """Return whether an answer proves that the request did not run."""
         return response.status == 421 or "not-run" in response.headers
 
     def is_misdirected(self, response):
-        """Tell whether an answer says that another engine was meant."""
+        """Return whether an answer comes from another engine than the one meant."""
         return response.status == 421
 
     def notice(self, response):
-        """Return what an answer says of the target itself."""
+        """Return what an answer announces about the target itself."""
         limit, backoff = map(response.headers.get, ("limit", "backoff"))
         return TargetNotice(
             rate_limit=None if limit is None else float(limit),
@@ -139,24 +139,24 @@
         )
 
     async def order(self, step, *, fence, expected):
-        """Take every order."""
+        """Record and accept every order."""
         self.orders.append((step, fence, expected))
         return OrderTaken(began=True)
 
     async def report(self, target):
-        """Tell what a target holds."""
+        """Return the report set for a target, by default one without orders."""
         return self.reports.get(target.id, EngineReport(orders=0, target=target))
 
     async def is_healthy(self, target, path):
-        """Tell that a target is healthy."""
+        """Return that a target is healthy."""
         return True
 
 
 class FakeCallers:
-    """Read requests as they are, and pass all headers of an answer on."""
+    """Decodes requests with fixed values, and passes on all headers of an answer."""
 
     def read(self, request):
-        """Return a request of no model."""
+        """Return a request without a model."""
         return CallerRequest(
             id="q1",
             host="h",
@@ -173,7 +173,7 @@
 
 @dataclass(kw_only=True)
 class FakeSource:
-    """Hold a configuration and targets; cut off, it answers nothing."""
+    """Source of queued configurations and lists of targets, which can be cut off."""
 
     configurations: deque = field(default_factory=deque)
     reads: deque = field(default_factory=deque)
@@ -183,7 +183,7 @@
     waits: list = field(default_factory=list)
 
     async def configuration(self, since, wait_seconds):
-        """Answer with the next configuration."""
+        """Return the next queued answer or configuration."""
         self.waits.append(wait_seconds)
         if self.is_cut_off:
             return Unavailable(reason="cut off")
@@ -198,12 +198,12 @@
         return ConfigurationRead(revision=since + 1, configuration=None, changed=False)
 
     def parse_configuration(self, document):
-        """Decode a configuration that is its version."""
+        """Return a configuration whose version is the document."""
         number = int(document)
         return SiteConfiguration(version=number, routes=(), services={})
 
     async def targets(self, since):
-        """Answer with the next list."""
+        """Return the next queued list."""
         self.requested_revisions.append(since)
         if self.is_cut_off:
             return Unavailable(reason="cut off")
@@ -212,7 +212,7 @@
 
 @dataclass(kw_only=True)
 class FakeExchange:
-    """Remember what the caller got."""
+    """Records what the caller received."""
 
     started: bool = False
     finished: bool = False
@@ -221,11 +221,11 @@
     headers: tuple = ()
 
     async def start(self, status, headers=()):
-        """Begin an answer."""
+        """Start an answer."""
         self.started, self.status, self.headers = True, status, headers
 
     async def send(self, data):
-        """Pass a part on."""
+        """Append a part of the body."""
         self.body += data
 
     async def end(self):
@@ -233,13 +233,13 @@
         self.finished = True
 
     async def respond(self, status, body=b"", headers=(), content_type=None):
-        """Answer whole."""
+        """Send a complete answer."""
         self.started = self.finished = True
         self.status, self.body, self.headers = status, body, headers
 
 
 def member(name, group, rank, phase=GroupPhase.READY, **more):
-    """Write a member of a group."""
+    """Return a target that is a member of a group."""
     return Target(
         id=name,
         service="engines",
@@ -254,24 +254,24 @@
 
 
 def open_group(name):
-    """Write an open group of two."""
+    """Return the head and the other member of an open group."""
     return [member(f"{name}0", name, 0, GroupPhase.OPEN), member(f"{name}1", name, 1)]
 
 
 def listing(*targets, revision=1, removed=(), whole=True):
-    """Write an answer to a read of the list."""
+    """Return an answer to a read of the list of targets."""
     return TargetsRead(
         revision=revision, targets=tuple(targets), removed=removed, whole=whole
     )
 
 
 def event(number):
-    """Write one event of a stream."""
+    """Return one event of a stream."""
     return Chunk(data=f"id: {number}\ndata: x\n\n".encode())
 
 
 def answer(*numbers, end=None):
-    """Write an answer of whole events; by default it ends as it should."""
+    """Return an answer of complete events, which by default ends regularly."""
     return FakeResponse(script=[*map(event, numbers), End() if end is None else end])
 
 
@@ -291,7 +291,7 @@
 
 @dataclass(kw_only=True)
 class Rig:
-    """Hold a stream service over fakes."""
+    """A stream service over fakes."""
 
     clock: FakeClock
     targets: FakeTargets
@@ -300,7 +300,7 @@
     source: FakeSource
 
     def work(self, exchange, route=ROUTE):
-        """Write a stream to serve."""
+        """Return the work of a new stream."""
         request = CallerRequest(
             id="q1",
             host="h",
@@ -325,17 +325,17 @@
 
 
 def misdirected():
-    """Write the answer of an engine that is not the one, or holds no open group."""
+    """Return the answer of another engine, or of one without an open group."""
     return FakeResponse(script=[], status=MISDIRECTED)
 
 
 def full():
-    """Write the answer of a head that has no place."""
+    """Return the answer of a head that has no free slot."""
     return FakeResponse(script=[], status=503, headers={"not-run": "1"})
 
 
 def make_availability(directory, clock, **more):
-    """Build what a host knows of the work that targets want."""
+    """Return the target availability of a host without peers."""
     limits = RateLimits(
         name="n0", directory=directory, clock=clock, metrics=NodeMetrics(), **more
     )
@@ -343,7 +343,7 @@
 
 
 async def make_rig(*groups, slack=100.0):
-    """Build a stream service whose list holds these open groups."""
+    """Return a stream service whose list has these open groups."""
     clock, targets = FakeClock(), FakeTargets()
     members = [target for group in groups for target in open_group(group)]
     source = FakeSource(listed=deque([listing(*members)]))
--- a/mallowpond/node/tests/test_call_gate.py
+++ b/mallowpond/node/tests/test_call_gate.py
@@ -1,4 +1,4 @@
-"""Calls wait for their turn, and none is lost or given twice."""
+"""Tests of the call gate: calls are admitted in order, and no admission is lost."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from mallowpond.state.call_window import INITIAL_CALLS
 
 
-async def hold(gate, until, began):
-    """Hold a turn until an event."""
+async def call_until(gate, until, began):
+    """Make a call that lasts until an event."""
     async with gate.admit():
         began.append(1)
         await until.wait()
@@ -16,7 +16,7 @@
 
 async def test_no_more_calls_run_than_the_window_allows():
     gate, until, began = CallGate(clock=FakeClock()), asyncio.Event(), []
-    calls = [asyncio.ensure_future(hold(gate, until, began)) for _ in range(100)]
+    calls = [asyncio.ensure_future(call_until(gate, until, began)) for _ in range(100)]
     for _ in range(5):
         await asyncio.sleep(0)
     assert len(began) == INITIAL_CALLS
@@ -27,14 +27,16 @@
 
 
 async def test_a_call_that_is_given_up_takes_no_turn():
-    """Symptom: a planner gives no more orders.
+    """A planner gave no more orders.
 
-    Sequence: calls that wait are cancelled, some in the pass that gives them a turn.
-    Cause: the turn stayed with a call that never began.
+    Waiting calls were cancelled, some in the pass of the loop that admitted them. The
+    admission stayed with a call that never began.
     """
     gate, until, began = CallGate(clock=FakeClock()), asyncio.Event(), []
     first = int(INITIAL_CALLS)
-    calls = [asyncio.ensure_future(hold(gate, until, began)) for _ in range(first + 8)]
+    calls = [
+        asyncio.ensure_future(call_until(gate, until, began)) for _ in range(first + 8)
+    ]
     await asyncio.sleep(0)
     calls[-1].cancel()
     await asyncio.sleep(0)
@@ -43,6 +45,8 @@
     for call in calls[first:-1]:
         call.cancel()
     await asyncio.gather(*calls, return_exceptions=True)
-    later = [asyncio.ensure_future(hold(gate, until, began)) for _ in range(first)]
+    later = [
+        asyncio.ensure_future(call_until(gate, until, began)) for _ in range(first)
+    ]
     await asyncio.wait_for(asyncio.gather(*later), 1.0)
     assert gate.waiting == 0
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Plain services: how often a request is sent, and what its caller is told."""
+"""Tests of plain services: how often a request is sent, and what its caller gets."""
 
 import random
 from collections import deque
@@ -43,7 +43,7 @@
 
 
 def plain(name, **more):
-    """Write a target of a plain service."""
+    """Return a target of a plain service."""
     return Target(
         id=name,
         service="plain",
@@ -55,14 +55,14 @@
 
 
 def reply(status, body=b"ok", **headers):
-    """Write a whole answer."""
+    """Return a complete answer."""
     return FakeResponse(
         script=[Chunk(data=body), End()], status=status, headers=headers
     )
 
 
-def service_of(directory, fakes, clock, budget):
-    """Build a service of calls over fakes."""
+def make_call_service(directory, fakes, clock, budget):
+    """Return a service for calls over fakes."""
     metrics = NodeMetrics()
     parts = ServingParts(
         directory=directory,
@@ -79,8 +79,8 @@
     return CallService(parts=parts)
 
 
-def work_of(clock, route, exchange):
-    """Write a request to serve."""
+def make_work(clock, route, exchange):
+    """Return the work of a new request."""
     request = CallerRequest(
         id="q", host="h", method="POST", target="/", body=b"", forwarded_headers=()
     )
@@ -95,9 +95,9 @@
 
 
 async def serve(route, *answers, targets=("a", "b", "c"), slack=100.0):
-    """Serve one request whose sends get these answers in turn."""
+    """Serve one request whose sends get these answers in their order."""
     clock, fakes = FakeClock(), FakeTargets()
-    left = deque(answers)
+    remaining = deque(answers)
     source = FakeSource(listed=deque([listing(*map(plain, targets))]))
     directory = Directory(source=source, clock=clock)
     await directory.refresh()
@@ -105,12 +105,12 @@
 
     async def send(target, request, *, workspace, seconds_left, last_event):
         fakes.sends.append(target.id)
-        return left.popleft()
+        return remaining.popleft()
 
     fakes.send = send
-    service = service_of(directory, fakes, clock, budget)
+    service = make_call_service(directory, fakes, clock, budget)
     exchange = FakeExchange()
-    work = work_of(clock, route, exchange)
+    work = make_work(clock, route, exchange)
     return await service.serve(work), fakes.sends, exchange
 
 
@@ -131,10 +131,10 @@
 
 
 async def test_a_request_that_may_run_once_is_not_sent_again():
-    """Symptom: one record is written twice.
+    """A record was written twice.
 
-    Sequence: the target runs the request and its answer is lost.
-    Cause: no answer was taken for not run.
+    The target ran the request and its answer was lost. A missing answer was taken as
+    proof that the request had not run.
     """
     outcome, sends, _ = await serve(ONCE, BROKEN)
     assert outcome == Refusal(status=502, reason=Reason.MAYBE_RUN)
@@ -178,11 +178,11 @@
 
 
 async def test_a_target_that_says_it_is_another_gets_no_more_requests():
-    """Symptom: requests are turned away at one address over and over.
+    """Requests were rejected at one address over and over.
 
-    Sequence: a target ended, and its address serves for another; it is listed still.
-    Cause: the answer counted as that of a full target, which is tried again when all
-    others have been.
+    A target had ended and another one used its address, but the list still had the old
+    entry. The answer counted as that of a full target, which is tried again after all
+    others.
     """
     answers = [reply(421) for _ in range(8)]
     outcome, sends, _ = await serve(ONCE, *answers, targets=("a", "b"))
@@ -192,10 +192,10 @@
 
 
 async def test_what_a_target_did_before_it_started_again_is_forgotten():
-    """Symptom: a target that has just started gets no requests.
+    """A target that had just started got no requests.
 
-    Sequence: it failed a request; it starts again under its id.
-    Cause: failures were remembered under the id.
+    It had failed a request and was restarted under its id. Failures were recorded by
+    id, not by process.
     """
     clock, fakes = FakeClock(), FakeTargets()
     a, b = plain("a"), plain("b")
@@ -203,31 +203,31 @@
     directory = Directory(source=source, clock=clock)
     await directory.refresh()
     budget = RetryWindow(ratio=0.0, slack=9.0, window_seconds=10.0)
-    service = service_of(directory, fakes, clock, budget)
+    service = make_call_service(directory, fakes, clock, budget)
     fakes.script("a", BROKEN, reply(200))
-    outcome = await service.serve(work_of(clock, ONCE, FakeExchange()))
+    outcome = await service.serve(make_work(clock, ONCE, FakeExchange()))
     assert outcome == Refusal(status=502, reason=Reason.MAYBE_RUN)
     anew = replace(a, born=1)
     directory.apply_change(listing(anew, b, revision=2, whole=False), previous=1)
     service._records[b.process].in_flight = 1
-    outcome = await service.serve(work_of(clock, ONCE, FakeExchange()))
+    outcome = await service.serve(make_work(clock, ONCE, FakeExchange()))
     assert outcome == Answered(status=200, target="a")
     assert a.process not in service._records
 
 
 async def test_a_call_that_may_run_once_never_goes_to_the_later_process():
-    """Symptom: one record is written twice.
+    """A record was written twice.
 
-    Sequence: a target crashes over a request, and starts again under its id before
-    the connection breaks.
-    Cause: the request had never been sent to that process, so it counted as not run.
+    A target crashed while it ran a request, and was restarted under its id before the
+    connection broke. The request had never been sent to the new process, so it counted
+    as not run.
     """
     clock, fakes = FakeClock(), FakeTargets()
     source = FakeSource(listed=deque([listing(plain("a"))]))
     directory = Directory(source=source, clock=clock)
     await directory.refresh()
     budget = RetryWindow(ratio=0.0, slack=9.0, window_seconds=10.0)
-    service = service_of(directory, fakes, clock, budget)
+    service = make_call_service(directory, fakes, clock, budget)
     sends = []
 
     async def crash(target, request, **more):
@@ -237,16 +237,16 @@
         return BROKEN
 
     fakes.send = crash
-    outcome = await service.serve(work_of(clock, ONCE, FakeExchange()))
+    outcome = await service.serve(make_work(clock, ONCE, FakeExchange()))
     assert outcome == Refusal(status=502, reason=Reason.MAYBE_RUN)
     assert len(sends) == 1
 
 
 async def test_a_call_that_ends_its_targets_is_refused_and_not_sent():
-    """Symptom: one request ends a target of a plain service each time it comes.
+    """One request crashed a target of a plain service each time its caller retried it.
 
-    Sequence: it may not be repeated, so each time it is sent once; three targets end.
-    Cause: a limit on the sends of one request says nothing of its returns.
+    It may not be repeated, so each time it was sent once; three targets ended. A limit
+    on the sends of one request does not bound the retries of its caller.
     """
     clock, fakes = FakeClock(), FakeTargets()
     source = FakeSource(listed=deque([listing(*map(plain, "abcd"))]))
@@ -255,18 +255,18 @@
     for name in "abcd":
         fakes.script(name, BROKEN)
     budget = RetryWindow(ratio=0.0, slack=9.0, window_seconds=10.0)
-    service = service_of(directory, fakes, clock, budget)
+    service = make_call_service(directory, fakes, clock, budget)
     ends = []
     for _ in range(ENDINGS_TO_QUARANTINE + 1):
         clock.time += 0.5
-        ends.append(await service.serve(work_of(clock, ONCE, FakeExchange())))
+        ends.append(await service.serve(make_work(clock, ONCE, FakeExchange())))
     assert [end.status for end in ends] == [502] * ENDINGS_TO_QUARANTINE + [503]
     assert ends[-1].reason is Reason.HELD_BACK
     assert len(fakes.sends) == ENDINGS_TO_QUARANTINE
 
 
 async def test_a_call_goes_to_a_target_that_nobody_saw_end():
-    """Guard against sending a call to a target that another host saw end."""
+    """Guards against sending a call to a target whose end another host observed."""
     clock, fakes = FakeClock(), FakeTargets()
     source = FakeSource(listed=deque([listing(*map(plain, "abcd"))]))
     directory = Directory(source=source, clock=clock)
@@ -275,11 +275,11 @@
         fakes.script(name, BROKEN)
     fakes.script("d", *(reply(200) for _ in range(9)))
     budget = RetryWindow(ratio=0.0, slack=9.0, window_seconds=10.0)
-    service = service_of(directory, fakes, clock, budget)
+    service = make_call_service(directory, fakes, clock, budget)
     endings = (Ending(process=Process(id=n, born=None), ran=0.1) for n in "abc")
     record = CrashRecord(request="bad", endings=tuple(endings))
     service._quarantine.merge(record)
     outcomes = [
-        await service.serve(work_of(clock, ONCE, FakeExchange())) for _ in range(9)
+        await service.serve(make_work(clock, ONCE, FakeExchange())) for _ in range(9)
     ]
     assert [outcome.target for outcome in outcomes] == ["d"] * 9
--- a/mallowpond/node/tests/test_logs.py
+++ b/mallowpond/node/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs keep to their volume and never stop the loop."""
+"""Tests of the logs: their volume is bounded, and they never block the loop."""
 
 import os
 
@@ -15,10 +15,10 @@
 
 
 def test_a_reader_that_does_not_read_stops_nothing():
-    """Symptom: all streams of a node stand still at once.
+    """All streams of a node hung at once.
 
-    Sequence: whoever reads the logs stops reading; the pipe fills up.
-    Cause: writing a line waited for room in the pipe.
+    The reader of the logs stopped reading and the pipe filled up. Writing a line waited
+    for space in the pipe.
     """
     reader, writer = os.pipe()
     try:
--- a/mallowpond/node/tests/test_operations_page.py
+++ b/mallowpond/node/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The operators' page and the code name the same events."""
+"""Tests that the operators' page lists the events that the code logs."""
 
 import ast
 import re
@@ -9,8 +9,8 @@
 LEVELS = {"debug", "info", "warning", "error", "exception"}
 
 
-def events_of(path):
-    """Return the events that a module logs."""
+def logged_events(path):
+    """Yield the events that a module logs."""
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
             continue
@@ -21,13 +21,13 @@
 
 
 def test_the_page_lists_every_event_and_no_other():
-    """Symptom: a line in the logs that no page explains.
+    """The logs had an event that no page explained.
 
-    Sequence: an event is added or renamed in the code only.
-    Cause: nothing compared the page with the code.
+    An event had been added or renamed in the code only, and nothing compared the page
+    with the code.
     """
     modules = [*PACKAGE.glob("node/*.py"), *PACKAGE.glob("platform/*.py")]
-    logged = {event for path in modules for event in events_of(path)}
+    logged = {event for path in modules for event in logged_events(path)}
     table = PAGE.read_text().partition("## Every event")[2].partition("## Alarms")[0]
     listed = set(re.findall(r"`(\w+: [^`]+)`", table))
     assert listed == logged
--- a/mallowpond/node/tests/test_quarantine.py
+++ b/mallowpond/node/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A fleet holds back a request that ends its targets, wherever it comes again."""
+"""Tests that a fleet quarantines a request that crashes its targets, at every host."""
 
 import asyncio
 import random
@@ -43,12 +43,12 @@
 
 
 def target(number):
-    """Write a target's process."""
+    """Return the process of a target."""
     return Process(id=f"t{number}", born=1)
 
 
 class Host:
-    """Hold one host of a fleet, without its loops."""
+    """One host of a fleet, without its background tasks."""
 
     def __init__(self, fleet, number):
         self.fleet, self.name = fleet, f"n{number}"
@@ -57,7 +57,7 @@
         self.start()
 
     def start(self):
-        """Begin as a process that knows nothing."""
+        """Start as a new process without any records."""
         fleet = self.fleet
         self.quarantine = Quarantine(clock=fleet.clock, metrics=self.metrics)
         self.peers = PeerNetwork(
@@ -66,7 +66,7 @@
             address=self.address,
             table=fleet.table,
             clock=fleet.clock,
-            make_heartbeat=self.beat,
+            make_heartbeat=self.heartbeat,
         )
         self.peers._send = self.send
         store_clock = StoreClock()
@@ -82,8 +82,8 @@
             unreadable_log=UnreadableLog(),
         )
 
-    def beat(self):
-        """Write this host's heartbeat."""
+    def heartbeat(self):
+        """Return this host's heartbeat."""
         return Heartbeat(
             node=self.name,
             incarnation="1",
@@ -97,123 +97,126 @@
         )
 
     def send(self, message, addresses):
-        """Let the fleet carry a datagram."""
+        """Send a message through the fleet as a datagram to each address."""
         data = write_message(message)
         for address in addresses:
-            self.fleet.carry(self, address, data)
+            self.fleet.deliver(self, address, data)
 
-    def meet(self, seconds_ran, number):
-        """Note that a target ended under the request that ends them all."""
+    def record_crash(self, seconds_ran, number):
+        """Record that a target ended while it ran the request `bad`."""
         sent_at = self.fleet.clock.now() - seconds_ran
         self.quarantine.record_ending("bad", target(number), sent_at)
 
 
 class Fleet:
-    """Carry datagrams between hosts; lose some, cut some hosts off."""
+    """Hosts and their network, which loses some datagrams and cuts some hosts off."""
 
-    def __init__(self, count, loss=0.0):
+    def __init__(self, count, loss_rate=0.0):
         self.clock, self.table = FakeClock(), MemoryTable()
-        self.rng, self.loss = random.Random(7), loss
-        self.cut, self.carried = set(), deque(maxlen=100_000)
+        self.rng, self.loss_rate = random.Random(7), loss_rate
+        self.cut_off, self.sent = set(), deque(maxlen=100_000)
         self.hosts = [Host(self, number) for number in range(count)]
         self.by_address = {host.address: host for host in self.hosts}
-        self.introduce()
+        self.exchange_heartbeats()
 
-    def introduce(self):
-        """Let every host hear every other one."""
+    def exchange_heartbeats(self):
+        """Deliver the heartbeat of every host to all others."""
         for host in self.hosts:
             for other in self.hosts:
-                host.peers._handle_message(other.beat())
-        self.carried.clear()
+                host.peers._handle_message(other.heartbeat())
+        self.sent.clear()
 
-    def carry(self, sender, address, data):
-        """Deliver a datagram at once, if it is not lost."""
+    def deliver(self, sender, address, data):
+        """Deliver a datagram at once, unless it is lost."""
         receiver = self.by_address[address]
-        self.carried.append((sender.name, receiver.name, data))
-        if self.cut & {sender.name, receiver.name} or self.rng.random() < self.loss:
+        self.sent.append((sender.name, receiver.name, data))
+        if (
+            self.cut_off & {sender.name, receiver.name}
+            or self.rng.random() < self.loss_rate
+        ):
             return
         receiver.peers.datagram_received(data, ("127.0.0.1", 1))
 
-    def settle(self, seconds=sum(SEND_DELAYS) + 0.5):
-        """Let time go by, in which hosts tell what is due."""
+    def advance(self, seconds=sum(SEND_DELAYS) + 0.5):
+        """Advance the time by steps, at each of which hosts send what is due."""
         for _ in range(int(seconds / 0.1)):
             self.clock.time += 0.1
             for host in self.hosts:
                 host.sharing.send_due()
 
-    def who_holds(self, request="bad"):
-        """Return the hosts that hold a request back."""
+    def hosts_with_quarantine(self, request="bad"):
+        """Return the hosts that have quarantined a request."""
         return [h.name for h in self.hosts if h.quarantine.is_quarantined(request)]
 
     @property
     def names(self):
-        """Return all hosts."""
+        """Return the names of all hosts."""
         return [host.name for host in self.hosts]
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 195])
 def test_each_ending_at_another_host_holds_it_back_at_all(count):
-    """Symptom: one caller's request ends dozens of engines.
+    """One caller's request crashed dozens of engines.
 
-    Sequence: it ends an engine at one host and comes again at another, three times.
-    Cause: each host counted for itself, and none beyond one exchange.
+    It crashed an engine through one host and was retried through another, three times.
+    Each host counted crashes for itself, and only within one exchange.
     """
     fleet = Fleet(count)
     for number in range(ENDINGS_TO_QUARANTINE):
-        assert fleet.who_holds() == []
-        fleet.hosts[number % count].meet(0.1, number)
-        fleet.settle()
-    assert fleet.who_holds() == fleet.names
+        assert fleet.hosts_with_quarantine() == []
+        fleet.hosts[number % count].record_crash(0.1, number)
+        fleet.advance()
+    assert fleet.hosts_with_quarantine() == fleet.names
 
 
 def test_endings_at_the_same_moment_at_three_hosts_count_together():
     fleet = Fleet(7)
     for number in range(ENDINGS_TO_QUARANTINE):
-        fleet.hosts[number].meet(0.1, number)
-    fleet.settle()
-    assert fleet.who_holds() == fleet.names
+        fleet.hosts[number].record_crash(0.1, number)
+    fleet.advance()
+    assert fleet.hosts_with_quarantine() == fleet.names
 
 
 @pytest.mark.parametrize("count", [7, 65])
 def test_lost_datagrams_do_not_lose_it(count):
-    fleet = Fleet(count, loss=0.3)
+    fleet = Fleet(count, loss_rate=0.3)
     for number in range(ENDINGS_TO_QUARANTINE):
-        fleet.hosts[number].meet(0.1, number)
-    fleet.settle()
-    assert len(fleet.who_holds()) > 0.9 * count
+        fleet.hosts[number].record_crash(0.1, number)
+    fleet.advance()
+    assert len(fleet.hosts_with_quarantine()) > 0.9 * count
 
 
 def test_a_host_that_starts_anew_asks_and_knows():
-    """Symptom: the request ends engines again wherever a host has just started.
+    """A quarantined request crashed engines again through a host that had just started.
 
-    Sequence: it is held back; a host is killed, starts, and gets it.
-    Cause: what was known went with the process.
+    The host was killed, started again and got the request. Its records were lost with
+    the earlier process.
     """
     fleet = Fleet(7)
     for number in range(ENDINGS_TO_QUARANTINE - 1):
-        fleet.hosts[number].meet(0.1, number)
-    fleet.settle()
+        fleet.hosts[number].record_crash(0.1, number)
+    fleet.advance()
     fleet.hosts[6].start()
-    fleet.introduce()
+    fleet.exchange_heartbeats()
     fleet.hosts[6].sharing.query_peers()
-    fleet.hosts[6].meet(0.1, ENDINGS_TO_QUARANTINE - 1)
-    assert fleet.who_holds() == ["n6"]
-    fleet.settle()
-    assert fleet.who_holds() == fleet.names
+    fleet.hosts[6].record_crash(0.1, ENDINGS_TO_QUARANTINE - 1)
+    assert fleet.hosts_with_quarantine() == ["n6"]
+    fleet.advance()
+    assert fleet.hosts_with_quarantine() == fleet.names
 
 
 async def test_all_hosts_that_start_anew_have_it_from_the_store():
-    """Symptom: after all hosts were killed together the request ends engines again.
+    """A quarantined request crashed engines again after all hosts were killed at once.
 
-    Sequence: it is held back while the store is away; the store comes back, all hosts
-    are killed at the same moment.
-    Cause: only the hosts' memory held it, or a write that failed was not repeated.
+    It was quarantined while the store was down; the store came back and then the hosts
+    were killed. The quarantine was only in the hosts' memory, or a failed write was not
+    retried.
     """
     fleet = Fleet(7)
     fleet.table.faults = PlatformFaults(down=True)
     for number in range(ENDINGS_TO_QUARANTINE):
-        fleet.hosts[number].meet(0.1, number)
-    fleet.settle()
+        fleet.hosts[number].record_crash(0.1, number)
+    fleet.advance()
     for host in fleet.hosts:
         await host.sharing.write()
     fleet.table.faults = PlatformFaults()
@@ -222,45 +225,45 @@
     fleet.clock.time += 100.0
     for host in fleet.hosts:
         host.start()
-    assert fleet.who_holds() == []
+    assert fleet.hosts_with_quarantine() == []
     for host in fleet.hosts:
         host.peers.is_candidate = host is fleet.hosts[0]
-    fleet.introduce()
+    fleet.exchange_heartbeats()
     assert await fleet.hosts[0].sharing.read()
-    fleet.settle()
-    assert fleet.who_holds() == fleet.names
+    fleet.advance()
+    assert fleet.hosts_with_quarantine() == fleet.names
 
 
 async def test_a_row_ends_with_its_hold():
     fleet = Fleet(2)
     for number in range(ENDINGS_TO_QUARANTINE):
-        fleet.hosts[0].meet(0.1, number)
-    fleet.settle()
+        fleet.hosts[0].record_crash(0.1, number)
+    fleet.advance()
     assert await fleet.hosts[0].sharing.write()
     assert await fleet.hosts[1].sharing.read()
     assert len((await fleet.table.scan(PREFIX)).rows) == 1
     fleet.clock.time += QUARANTINE_SECONDS
     assert await fleet.hosts[1].sharing.read()
     assert (await fleet.table.scan(PREFIX)).rows == ()
-    assert fleet.who_holds() == []
+    assert fleet.hosts_with_quarantine() == []
 
 
 def test_a_whole_answer_releases_it_everywhere():
     fleet = Fleet(7)
     for number in range(ENDINGS_TO_QUARANTINE):
-        fleet.hosts[0].meet(0.1, number)
-    fleet.settle()
-    assert fleet.who_holds() == fleet.names
+        fleet.hosts[0].record_crash(0.1, number)
+    fleet.advance()
+    assert fleet.hosts_with_quarantine() == fleet.names
     fleet.hosts[3].quarantine.record_answer("bad")
-    fleet.settle()
-    assert fleet.who_holds() == []
+    fleet.advance()
+    assert fleet.hosts_with_quarantine() == []
 
 
 def test_an_ordinary_ending_costs_a_large_fleet_few_datagrams():
-    """Symptom: when a domain fails, the hosts' links fill up with news of it.
+    """Crash records filled the hosts' links when a fabric domain failed.
 
-    Sequence: many streams break off at many hosts, each for the first time.
-    Cause: every host was told of every broken stream.
+    Many streams broke at many hosts, each for the first time, and every host was sent
+    the record of every broken stream.
     """
     fleet = Fleet(195)
     for host in fleet.hosts:
@@ -268,12 +271,12 @@
             request = f"{host.name}.{number}"
             sent_at = fleet.clock.now() - 0.4
             host.quarantine.record_ending(request, target(number), sent_at)
-    fleet.settle()
-    heard = sum(len(data) + 28 for _, name, data in fleet.carried if name == "n0")
-    # By the aim of 3 KB a second, over the time in which it is told.
-    assert heard < 3_000 * sum(SEND_DELAYS)
+    fleet.advance()
+    received = sum(len(data) + 28 for _, name, data in fleet.sent if name == "n0")
+    # The budget is 3 KB per second, over the time in which records are sent.
+    assert received < 3_000 * sum(SEND_DELAYS)
     assert {len(h.quarantine.records()) for h in fleet.hosts} <= set(range(60))
-    receivers = {r for s, r, _ in fleet.carried if s == "n1"}
+    receivers = {r for s, r, _ in fleet.sent if s == "n1"}
     assert len(receivers) <= 3 * OWNERS_PER_REQUEST
 
 
@@ -284,31 +287,31 @@
         fleet.hosts[0].quarantine.record_ending(f"r{number}", target(1), sent_at)
     fleet.clock.time += 1.0
     fleet.hosts[0].sharing.send_due()
-    (_, _, data) = fleet.carried.pop()
+    (_, _, data) = fleet.sent.pop()
     message = read_message(data)
     assert isinstance(message, CrashRecords)
     assert len(message.records) == MAX_RECORDS_PER_MESSAGE
     fleet.hosts[1].sharing.query_peers()
-    answers = [read_message(d) for s, _, d in fleet.carried if s == "n0"]
-    told = sum(len(a.records) for a in answers if a.answer)
-    assert told == MAX_ANSWER_RECORDS
+    answers = [read_message(d) for s, _, d in fleet.sent if s == "n0"]
+    answered = sum(len(a.records) for a in answers if a.answer)
+    assert answered == MAX_ANSWER_RECORDS
 
 
 async def test_a_stream_that_is_held_back_is_refused_and_not_sent():
-    """Symptom: one request ends an engine each time it comes.
+    """One request crashed an engine each time its caller retried it.
 
-    Sequence: it runs on three groups, each ends; it comes again under another id.
-    Cause: nothing but the exchange knew of the groups that had ended.
+    It ran on three groups that each ended, and was retried under another id. The ended
+    groups were known only within one exchange.
     """
     rig = await make_rig(*"abcd")
     for group in "abcd":
         rig.targets.script(f"{group}0", FakeResponse(script=[BROKEN]))
     route = replace(ROUTE, max_attempts=4)
     first = await rig.service.serve(rig.work(FakeExchange(), route))
-    # It ran, so this is no promise that it did not.
+    # The request ran, so its status does not promise that it did not.
     assert first == Refusal(status=502, reason=Reason.HELD_BACK)
     assert len(rig.targets.sends) == ENDINGS_TO_QUARANTINE
-    # What is not sent once more spends none of the repeats that all hosts share.
+    # A repeat that is refused uses up nothing of the retry budget that all hosts share.
     repeats = rig.service._metrics.retries.labels(Reason.BROKEN_STREAM.value)
     assert repeats._value.get() == ENDINGS_TO_QUARANTINE - 1
     rig.clock.time += 1.0
@@ -320,29 +323,28 @@
 
 
 async def test_a_stream_that_shared_each_group_with_it_is_still_served():
-    """Symptom: a request that harms nobody is refused for ten minutes.
+    """A harmless request was refused for ten minutes.
 
-    Sequence: it runs beside the one that ends its groups, three times.
-    Cause: both had stood on three targets that ended.
+    Three times it ran on the same group as the request that crashed the group. Both had
+    run on three targets that ended.
     """
     rig = await make_rig("d")
     rig.targets.script("d0", answer(1, 2))
     quarantine = rig.service._quarantine
-    beside, now = rig.work(FakeExchange()), rig.clock.now()
+    bystander, now = rig.work(FakeExchange()), rig.clock.now()
     for number in range(ENDINGS_TO_QUARANTINE):
-        quarantine.record_ending(beside.fingerprint, target(number), now - 0.4)
+        quarantine.record_ending(bystander.fingerprint, target(number), now - 0.4)
         quarantine.record_ending("bad", target(number), now - 0.1)
     assert quarantine.is_quarantined("bad")
-    outcome = await rig.service.serve(beside)
+    outcome = await rig.service.serve(bystander)
     assert outcome == Answered(status=200, target="d0")
 
 
 async def test_a_target_that_the_list_shows_as_restarted_counts_as_ended():
-    """Symptom: a request ends engine after engine, and none of it is noted.
+    """A request crashed engine after engine, and no ending was recorded.
 
-    Sequence: its engine ends and starts again; the list tells that before the broken
-    connection is read, and the stream is moved away.
-    Cause: only connections that broke counted.
+    Its engine ended and was restarted; the list showed that before the broken
+    connection was read, and the stream was moved. Only broken connections counted.
     """
     rig = await make_rig("a", "b")
     open_end = asyncio.get_running_loop().create_future()
--- a/mallowpond/node/tests/test_rate_limits.py
+++ b/mallowpond/node/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""What targets that named a rate limit get from the hosts."""
+"""Tests of what hosts send to targets that have named a rate limit."""
 
 import asyncio
 from collections import deque
@@ -26,38 +26,38 @@
 )
 from mallowpond.node.tests.test_calls import (
     IDEMPOTENT,
+    make_call_service,
+    make_work,
     plain,
     reply,
     serve,
-    service_of,
-    work_of,
 )
 from mallowpond.node.tests.test_dispatcher import run_pending_tasks, two_hosts
 from mallowpond.state.fleet import BreakCause
 from mallowpond.state.retry_window import RetryWindow
 from mallowpond.state.target_notice import TargetNotice
 
-NAMED = TargetNotice(rate_limit=1.0)
-SCARCE = TargetNotice(rate_limit=0.1)
+ONE_PER_SECOND = TargetNotice(rate_limit=1.0)
+ONE_PER_TEN_SECONDS = TargetNotice(rate_limit=0.1)
 
 
 def limited(limit, *numbers):
-    """Write a whole answer that names a limit."""
+    """Return a complete answer that names a limit."""
     return replace(answer(*numbers), headers={"limit": str(limit)})
 
 
 def availability_of(rig):
-    """Return the rate limits that a rig's host knows."""
+    """Return the target availability of a rig's host."""
     return rig.service._availability
 
 
 def head(rig, name):
-    """Return a target of a rig."""
+    """Return a listed target of a rig."""
     return rig.directory.targets[name]
 
 
 async def test_a_head_gets_no_more_than_the_rate_that_it_names():
-    """Guards against a head that goes on getting what its slots would bear."""
+    """Guards against a head that still gets as many requests as its slots allow."""
     rig = await make_rig("a", "b")
     rig.targets.script("a0", *(limited(1.0, 1) for _ in range(80)))
     rig.targets.script("b0", *(answer(1) for _ in range(80)))
@@ -82,9 +82,11 @@
 
 
 async def test_a_stream_that_no_group_takes_in_time_is_refused_at_once():
-    """Guards against streams that wait for a place which a rate limit withholds."""
+    """Guards against streams that wait for a slot which a rate limit does not allow."""
     rig = await make_rig("a")
-    availability_of(rig).record_notice(head(rig, "a0"), SCARCE, rig.clock.now())
+    availability_of(rig).record_notice(
+        head(rig, "a0"), ONE_PER_TEN_SECONDS, rig.clock.now()
+    )
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert (outcome.status, outcome.reason) == (503, Reason.RATE_LIMITED)
     assert outcome.retry_after > 1.0
@@ -92,9 +94,11 @@
 
 
 async def test_a_stream_that_moves_keeps_the_rate_of_where_it_goes():
-    """Guards against moved streams that a limit on first sends would not hold."""
+    """Guards against a rate limit that counts first sends only, not moved streams."""
     rig = await make_rig("a", "b", "c")
-    availability_of(rig).record_notice(head(rig, "b0"), SCARCE, rig.clock.now())
+    availability_of(rig).record_notice(
+        head(rig, "b0"), ONE_PER_TEN_SECONDS, rig.clock.now()
+    )
     rig.targets.script("a0", FakeResponse(script=[event(1), BROKEN]))
     rig.targets.script("c0", answer(2))
     outcome = await rig.service.serve(rig.work(FakeExchange()))
@@ -103,7 +107,7 @@
 
 async def test_a_waiting_stream_gets_its_place_when_the_rate_leaves_room():
     rig = await make_rig("a")
-    availability_of(rig).record_notice(head(rig, "a0"), NAMED, rig.clock.now())
+    availability_of(rig).record_notice(head(rig, "a0"), ONE_PER_SECOND, rig.clock.now())
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
     await run_pending_tasks()
     rig.service.placement.wake_all()
@@ -116,9 +120,9 @@
 
 
 async def test_a_place_that_the_rate_limit_closes_meanwhile_is_given_back():
-    """Guards against a grant that outlives the room for it.
+    """Guards against a granted slot that the rate limit no longer allows to use.
 
-    The stream waited for its place while its host heard of the limit.
+    The host received the limit while the stream waited for its slot.
     """
     site = await two_hosts("a")
     rig, unused = site.rig_a, []
@@ -126,7 +130,9 @@
     serving = asyncio.create_task(rig.service.serve(rig.work(FakeExchange())))
 
     def grant(number):
-        availability_of(rig).record_notice(head(rig, "a0"), SCARCE, rig.clock.now())
+        availability_of(rig).record_notice(
+            head(rig, "a0"), ONE_PER_TEN_SECONDS, rig.clock.now()
+        )
         return PlaceAnswer(
             node="b",
             number=number,
@@ -176,55 +182,55 @@
     directory = Directory(source=source, clock=clock)
     await directory.refresh()
     budget = RetryWindow(ratio=0.0, slack=10.0, window_seconds=10.0)
-    service = service_of(directory, fakes, clock, budget)
+    service = make_call_service(directory, fakes, clock, budget)
     target = directory.targets["a"]
-    service._availability.record_notice(target, NAMED, clock.now())
+    service._availability.record_notice(target, ONE_PER_SECOND, clock.now())
     clock.time += 1.0
     assert service._availability.can_send(target)
-    outcome = await service.serve(work_of(clock, IDEMPOTENT, FakeExchange()))
+    outcome = await service.serve(make_work(clock, IDEMPOTENT, FakeExchange()))
     assert outcome == Answered(status=200, target="a")
     assert not service._availability.can_send(target)
 
 
-class Wire:
-    """Carry news from one host to another, unless it is lost."""
+class FakePeerNetwork:
+    """Peer network that delivers broadcasts to one other host or loses them."""
 
     def __init__(self):
         self.on_rate_limits, self.other, self.losses = [], None, 0
         self.live = ()
 
-    def broadcast(self, news):
-        """Hand news to the other host."""
-        assert isinstance(news, RateLimitNews)
+    def broadcast(self, message):
+        """Deliver a message to the other host, or lose it."""
+        assert isinstance(message, RateLimitNews)
         if self.losses:
             self.losses -= 1
             return
         for notify in self.other.on_rate_limits:
-            notify(news)
+            notify(message)
 
 
-async def pair():
-    """Build the rate limits of two hosts that hear each other."""
+async def make_two_hosts():
+    """Return the rate limits of two hosts that broadcast to each other."""
     rig = await make_rig("a")
-    wires = Wire(), Wire()
-    wires[0].other, wires[1].other = wires[1], wires[0]
+    networks = FakePeerNetwork(), FakePeerNetwork()
+    networks[0].other, networks[1].other = networks[1], networks[0]
     found = [
         RateLimits(
             name=name,
             directory=rig.directory,
             clock=rig.clock,
             metrics=NodeMetrics(),
-            peers=wire,
+            peers=network,
         )
-        for name, wire in zip(("n0", "n1"), wires, strict=True)
+        for name, network in zip(("n0", "n1"), networks, strict=True)
     ]
-    return rig, wires, found
+    return rig, networks, found
 
 
 async def test_other_hosts_hear_of_a_limit_and_of_its_end():
-    """Guards against hosts that each have to find a limit by a request of their own."""
-    rig, _, (mine, other) = await pair()
-    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
+    """Guards against hosts that each learn a limit only by a request of their own."""
+    rig, _, (mine, other) = await make_two_hosts()
+    mine.record_notice(head(rig, "a0"), ONE_PER_SECOND, rig.clock.now())
     mine.send_due()
     assert other.seconds_until_available(head(rig, "a0")) > 0.0
     rig.clock.time += 1.0
@@ -234,9 +240,9 @@
 
 
 async def test_news_that_is_lost_is_told_again():
-    rig, wires, (mine, other) = await pair()
-    wires[0].losses = 2
-    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
+    rig, networks, (mine, other) = await make_two_hosts()
+    networks[0].losses = 2
+    mine.record_notice(head(rig, "a0"), ONE_PER_SECOND, rig.clock.now())
     for pause in SEND_DELAYS:
         rig.clock.time += pause
         mine.send_due()
@@ -245,31 +251,31 @@
 
 
 async def test_news_of_an_unlisted_process_is_left_out():
-    rig, wires, (mine, other) = await pair()
+    rig, networks, (mine, other) = await make_two_hosts()
     gone = replace(head(rig, "a0"), born=7)
-    mine.record_notice(gone, NAMED, rig.clock.now())
+    mine.record_notice(gone, ONE_PER_SECOND, rig.clock.now())
     mine.send_due()
     assert other.seconds_until_available(gone) == 0.0
 
 
 async def test_news_goes_out_by_itself():
-    rig, _, (mine, other) = await pair()
-    telling = asyncio.create_task(mine.run())
+    rig, _, (mine, other) = await make_two_hosts()
+    sending = asyncio.create_task(mine.run())
     await run_pending_tasks()
-    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
+    mine.record_notice(head(rig, "a0"), ONE_PER_SECOND, rig.clock.now())
     await run_pending_tasks()
     assert other.has_limits
-    await cancel_task(telling)
+    await cancel_task(sending)
 
 
 async def test_a_limit_that_lasts_is_not_forgotten_by_those_that_only_heard_of_it():
-    """Guards against hosts without a part that all forget a limit at one moment.
+    """Guards against hosts without a part of the rate that all drop a limit at once.
 
-    Each then sends the target a request at once, as many as there are hosts.
+    Each of them then sends the target a request, as many as there are hosts.
     """
-    rig, _, (mine, other) = await pair()
+    rig, _, (mine, other) = await make_two_hosts()
     for _ in range(40):
-        mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
+        mine.record_notice(head(rig, "a0"), ONE_PER_SECOND, rig.clock.now())
         mine.send_due()
         rig.clock.time += 5.0
         other.seconds_until_available(head(rig, "a0"))
@@ -277,10 +283,10 @@
 
 
 async def test_a_stream_that_has_begun_waits_for_a_group_that_may_take_it():
-    """Guards against begun streams that are cut off as all groups left are limited."""
+    """Guards against cutting off begun streams when all other groups are limited."""
     rig = await make_rig("a", "b")
     limits = availability_of(rig)
-    limits.record_notice(head(rig, "b0"), SCARCE, rig.clock.now())
+    limits.record_notice(head(rig, "b0"), ONE_PER_TEN_SECONDS, rig.clock.now())
     end = asyncio.get_running_loop().create_future()
     rig.targets.script("a0", FakeResponse(script=[event(1), end, BROKEN]))
     rig.targets.script("b0", answer(2))
@@ -296,9 +302,9 @@
 
 
 async def test_an_answer_asked_for_before_the_limit_was_named_does_not_end_it():
-    """Guards against answers that overtake each other and lift a limit in force."""
-    rig, _, (mine, _) = await pair()
-    mine.record_notice(head(rig, "a0"), NAMED, rig.clock.now())
+    """Guards against a limit that an older answer, which arrives later, ends."""
+    rig, _, (mine, _) = await make_two_hosts()
+    mine.record_notice(head(rig, "a0"), ONE_PER_SECOND, rig.clock.now())
     sent_at = rig.clock.now() - 0.1
     rig.clock.time += 0.1
     mine.record_notice(head(rig, "a0"), TargetNotice(), sent_at)
--- a/mallowpond/node/tests/test_target_availability.py
+++ b/mallowpond/node/tests/test_target_availability.py
@@ -1,4 +1,4 @@
-"""What targets that ask for backoff get from a host."""
+"""Tests of what a host sends to targets that ask for backoff or announce a stop."""
 
 from dataclasses import replace
 
@@ -15,21 +15,21 @@
 )
 from mallowpond.node.tests.test_calls import IDEMPOTENT, reply, serve
 
-SECONDS = 3.0
+BACKOFF_SECONDS = 3.0
 
 
 def shedding():
-    """Write the answer of a target that turns a request away and asks for time."""
-    headers = {"not-run": "1", "backoff": str(SECONDS)}
+    """Return the answer of a target that rejects a request and asks for backoff."""
+    headers = {"not-run": "1", "backoff": str(BACKOFF_SECONDS)}
     return FakeResponse(script=[], status=503, headers=headers)
 
 
 async def test_a_head_that_asks_for_backoff_gets_no_stream_until_its_end():
-    """Guards against pauses of this host's own that are shorter than what was asked."""
+    """Guards against a wait of this host that is shorter than the backoff."""
     rig = await make_rig("a", "b")
     rig.targets.script("a0", shedding(), answer(1))
     rig.targets.script("b0", *(answer(1) for _ in range(40)))
-    for _ in range(int(SECONDS / 0.1)):
+    for _ in range(int(BACKOFF_SECONDS / 0.1)):
         outcome = await rig.service.serve(rig.work(FakeExchange()))
         assert outcome == Answered(status=200, target="b0")
         rig.clock.time += 0.1
@@ -40,12 +40,12 @@
 
 
 async def test_a_stream_that_every_head_turned_away_is_refused_at_once():
-    """Guards against streams that wait although their heads asked for longer."""
+    """Guards against streams that wait although their heads' backoff is longer."""
     rig = await make_rig("a")
     rig.targets.script("a0", shedding())
     outcome = await rig.service.serve(rig.work(FakeExchange()))
     assert (outcome.status, outcome.reason) == (503, Reason.BACKING_OFF)
-    assert 0.5 * SECONDS < outcome.retry_after < 1.5 * SECONDS
+    assert 0.5 * BACKOFF_SECONDS < outcome.retry_after < 1.5 * BACKOFF_SECONDS
     assert len(rig.targets.sends) == 1
 
 
@@ -61,15 +61,17 @@
 
 
 async def test_a_call_that_every_target_turned_away_comes_back_after_the_backoff():
-    away = reply(503, backoff=str(SECONDS), **{"not-run": "1"})
-    outcome, sends, _ = await serve(IDEMPOTENT, away, away, targets=("a", "b"))
+    rejection = reply(503, backoff=str(BACKOFF_SECONDS), **{"not-run": "1"})
+    outcome, sends, _ = await serve(
+        IDEMPOTENT, rejection, rejection, targets=("a", "b")
+    )
     assert (outcome.status, outcome.reason) == (503, Reason.BACKING_OFF)
-    assert outcome.retry_after > 0.5 * SECONDS
+    assert outcome.retry_after > 0.5 * BACKOFF_SECONDS
     assert sorted(sends) == ["a", "b"]
 
 
 def leaving(*numbers):
-    """Write a whole answer of a target that is about to stop."""
+    """Return a complete answer of a target that announces its stop."""
     return replace(answer(*numbers), headers={"leaving": "1"})
 
 
@@ -101,7 +103,7 @@
 
 
 async def test_what_a_target_asked_for_is_forgotten_with_the_target():
-    """Guards against memory that grows with every process that ever asked."""
+    """Guards against memory that grows with every process that ever asked for it."""
     rig = await make_rig("a", "b")
     availability = rig.service._availability
     notice = rig.targets.notice(shedding())
