--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -1,4 +1,7 @@
-"""Limit concurrent calls to as many as this host can read the answers of in time."""
+"""Limit the planner's concurrent calls to engines to what this host can handle.
+
+Above the limit, answers arrive in time but are read too late.
+"""
 
 import asyncio
 from collections import deque
@@ -37,7 +40,7 @@
             self._admit_waiting()
 
     def record_result(self, *, answered: bool) -> None:
-        """Adapt the window to a call that was answered or not."""
+        """Grow the window for a call that was answered, or shrink it for one that was not."""
         if answered:
             self._window.record_success()
         else:
--- a/mallowpond/node/metrics.py
+++ b/mallowpond/node/metrics.py
@@ -33,7 +33,7 @@
             "mallowpond_store_calls", "Calls to the store", "table", "call"
         )
         self.first_event = histogram("mallowpond_first_event_seconds", "First event")
-        self.gap = histogram("mallowpond_event_gap_seconds", "Gap between events")
+        self.event_gap = histogram("mallowpond_event_gap_seconds", "Gap between events")
         self.refusal_seconds = histogram("mallowpond_refuse_seconds", "Time to refuse")
         self.waiting = Gauge(
             "mallowpond_waiting", "Requests that wait", registry=self.registry
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -93,7 +93,7 @@
         self.refresh()
         for fingerprint in self._quarantined - before:
             if fingerprint == record.request and record.has_enough_evidence:
-                # The record's sender quarantined the request too, and tells all hosts.
+                # The record's sender quarantined the request too and informs all hosts.
                 continue
             for notify in self.on_quarantined_by_merge:
                 notify(fingerprint)
--- a/mallowpond/node/tests/test_calls.py
+++ b/mallowpond/node/tests/test_calls.py
@@ -207,8 +207,8 @@
     fakes.script("a", BROKEN, reply(200))
     outcome = await service.serve(make_work(clock, ONCE, FakeExchange()))
     assert outcome == Refusal(status=502, reason=Reason.MAYBE_RUN)
-    anew = replace(a, born=1)
-    directory.apply_change(listing(anew, b, revision=2, whole=False), previous=1)
+    restarted = replace(a, born=1)
+    directory.apply_change(listing(restarted, b, revision=2, whole=False), previous=1)
     service._records[b.process].in_flight = 1
     outcome = await service.serve(make_work(clock, ONCE, FakeExchange()))
     assert outcome == Answered(status=200, target="a")
@@ -232,8 +232,8 @@
 
     async def crash(target, request, **more):
         sends.append(target.process)
-        anew = replace(target, born=1)
-        directory.apply_change(listing(anew, revision=2, whole=False), previous=1)
+        restarted = replace(target, born=1)
+        directory.apply_change(listing(restarted, revision=2, whole=False), previous=1)
         return BROKEN
 
     fakes.send = crash
