--- a/mallowpond/node/tests/test_restarts.py
+++ b/mallowpond/node/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Streams of one node while engines start again under their ids."""
+"""Stateful test of one node's streams while engines restart under their ids."""
 
 import asyncio
 from collections import defaultdict
@@ -30,7 +30,7 @@
 
 GROUPS = ("a", "b")
 ENGINES = tuple(f"{group}{rank}" for group in GROUPS for rank in (0, 1))
-# Starts of processes, in the order of their starts: clocks are set back too.
+# Start times of an engine's processes in their order: clocks may also be set back.
 STARTS = (0, 7, 3, 9, 1, 8, 2, 6, 4, 5)
 LONGER_THAN_DEADLINES = 6.0
 
@@ -39,7 +39,7 @@
 
 
 class FakeLoop(asyncio.SelectorEventLoop):
-    """Take the time from a fake clock."""
+    """An event loop that takes its time from a fake clock."""
 
     clock = None
 
@@ -50,25 +50,25 @@
 
 @dataclass(kw_only=True)
 class Run:
-    """Hold one request that runs on a process."""
+    """A request in progress on one process; its response waits for `end`."""
 
     target: Target
     script: list
     event: int
-    going_on: asyncio.Future
+    resumed: asyncio.Future
 
     def end(self, *events):
-        """Let the answer go on with these events."""
-        if not self.going_on.done():
+        """Continue the response with these events."""
+        if not self.resumed.done():
             self.script.extend(events)
-            self.going_on.set_result(None)
+            self.resumed.set_result(None)
 
 
 @dataclass(kw_only=True)
 class Platform:
-    """Hold what engines are, and what the list shows of them."""
+    """The current state of the engines, and the entries that they have listed."""
 
-    present: dict
+    current: dict
     listed: list = field(default_factory=list)
     starts: dict = field(default_factory=lambda: defaultdict(int))
 
@@ -78,41 +78,44 @@
         return len(self.listed)
 
     def register(self, engine):
-        """Write an engine's entry."""
-        self.listed.append(self.present[engine])
+        """Add an engine's current state to the list."""
+        self.listed.append(self.current[engine])
 
     def entries(self, until):
-        """Return the list as of a version."""
+        """Return the entries by id as of a version of the list."""
         return {target.id: target for target in self.listed[:until]}
 
     def restart(self, engine):
-        """Start an engine again."""
+        """Restart an engine, which loses its membership."""
         self.starts[engine] = (self.starts[engine] + 1) % len(STARTS)
         born = STARTS[self.starts[engine]]
-        self.present[engine] = replace(self.present[engine], born=born, membership=None)
+        self.current[engine] = replace(self.current[engine], born=born, membership=None)
 
-    def place(self, engine, **changes):
+    def set_membership(self, engine, **changes):
         """Change an engine's membership."""
-        known = self.present[engine]
-        place = replace(known.membership, **changes)
-        self.present[engine] = replace(known, membership=place)
+        known = self.current[engine]
+        membership = replace(known.membership, **changes)
+        self.current[engine] = replace(known, membership=membership)
 
     def holds_open_group(self, engine):
-        """Tell whether an engine takes requests."""
-        place = self.present[engine].membership
-        return place and place.rank == 0 and place.phase is GroupPhase.OPEN
+        """Return whether an engine is the head of an open group."""
+        membership = self.current[engine].membership
+        return (
+            membership and membership.rank == 0 and membership.phase is GroupPhase.OPEN
+        )
 
-    def is_whole(self, group):
-        """Tell whether both members of a group hold it."""
-        places = [self.present[f"{group}{rank}"].membership for rank in (0, 1)]
-        return all(places) and places[0].epoch == places[1].epoch
+    def is_complete(self, group):
+        """Return whether both members of a group belong to the same formation."""
+        memberships = [self.current[f"{group}{rank}"].membership for rank in (0, 1)]
+        return all(memberships) and memberships[0].epoch == memberships[1].epoch
 
 
 class Restarts(RuleBasedStateMachine):
-    """Engines start again at each step of open, close and stream, in any order.
+    """Engines restart while groups open and close and streams run, in any order.
 
-    The node hears of it late, twice, in gaps, by the list, by reports, by its peers
-    and by the answers to its streams.
+    The node learns of restarts from the list, from reports, from its peers and from the
+    answers to its streams: late, repeatedly or with gaps. It must send no stream to a
+    group known to be unusable, and report correctly whether a request ran.
     """
 
     def __init__(self):
@@ -121,10 +124,10 @@
         self.rig = self.loop.run_until_complete(make_rig(*GROUPS, slack=0.0))
         self.loop.clock = self.rig.clock
         self.directory = self.rig.directory
-        self.platform = Platform(present=dict(self.directory.targets))
+        self.platform = Platform(current=dict(self.directory.targets))
         for engine in ENGINES:
             self.platform.register(engine)
-        self.read(self.platform.listed, self.platform.version)
+        self.read_list(self.platform.listed, self.platform.version)
         self.rig.targets.send = self.answer
         self.peers = FakePeers()
         GroupWatch(
@@ -137,145 +140,145 @@
         )
         self.epoch = 1
         self.runs = defaultdict(list)
-        self.going = []
+        self.in_progress = []
         self.served = {}
         self.refused = {}
         self.just_refused = {}
-        self.turned_away = set()
-        self.lost_member = set()
+        self.refused_requests = set()
+        self.incomplete_groups = set()
         self.ended = {}
         self.reports = []
 
-    def settle(self):
-        """Let everything happen that needs no more time."""
+    def run_ready_tasks(self):
+        """Run all tasks that do not wait for a later time."""
 
-        async def some_rounds():
+        async def yield_repeatedly():
             for _ in range(60):
                 await asyncio.sleep(0)
 
-        self.loop.run_until_complete(some_rounds())
-        # Streams that are sent in the same moment do not know of one another's answer.
+        self.loop.run_until_complete(yield_repeatedly())
+        # Streams sent at the same time do not know each other's answers yet.
         self.refused |= self.just_refused
         self.just_refused = {}
-        self.turned_away = set()
+        self.refused_requests = set()
 
     # -- engines -------------------------------------------------------------
 
     async def answer(self, target, request, **more):
-        """Answer a stream as the present process of its target would."""
+        """Answer a stream as the current process of its target would."""
         key = (target.membership.group, target.membership.epoch)
         group = self.directory.groups[key]
         assert key not in self.refused, "sent to a group that had refused"
-        assert (request.id, key) not in self.turned_away, "sent there once more"
+        assert (request.id, key) not in self.refused_requests, "sent there once more"
         assert all(m.process not in self.ended for m in group.members), "had ended"
-        is_whole = len(group.members) == 2
-        assert is_whole or key not in self.lost_member, "sent without a member"
-        present = self.platform.present[target.id]
-        place = present.membership
-        if place and place.phase is GroupPhase.BROKEN:
+        is_complete = len(group.members) == 2
+        assert is_complete or key not in self.incomplete_groups, "sent without a member"
+        current = self.platform.current[target.id]
+        membership = current.membership
+        if membership and membership.phase is GroupPhase.BROKEN:
             return full()
         if not self.platform.holds_open_group(target.id):
             self.just_refused[key] = (self.rig.clock.now(), target)
-            self.turned_away.add((request.id, key))
+            self.refused_requests.add((request.id, key))
             return misdirected()
-        self.runs[request.id].append(present.process)
+        self.runs[request.id].append(current.process)
         run = Run(
-            target=present,
+            target=current,
             script=[],
             event=int(more["last_event"] or 0) + 1,
-            going_on=self.loop.create_future(),
+            resumed=self.loop.create_future(),
         )
-        run.script.append(run.going_on)
-        self.going.append(run)
+        run.script.append(run.resumed)
+        self.in_progress.append(run)
         return FakeResponse(script=run.script)
 
-    @rule(engine=engines, is_cut=st.booleans())
-    def restart(self, engine, is_cut):
-        """Start an engine again; its connections hang, or break at once."""
-        before = self.platform.present[engine].process
+    @rule(engine=engines, connections_hang=st.booleans())
+    def restart(self, engine, connections_hang):
+        """Restart an engine; its connections hang, or break at once."""
+        before = self.platform.current[engine].process
         self.platform.restart(engine)
-        if not is_cut:
-            for run in self.going:
+        if not connections_hang:
+            for run in self.in_progress:
                 if run.target.process == before:
                     run.end(BROKEN)
-        self.settle()
+        self.run_ready_tasks()
 
     @rule(group=groups)
     def form(self, group):
-        """Let the members of a group join a new formation."""
+        """Have the members of a group join a new formation."""
         self.epoch += 1
         for rank in (0, 1):
             engine = f"{group}{rank}"
-            known = self.platform.present[engine]
-            place = Membership(
+            known = self.platform.current[engine]
+            membership = Membership(
                 group=group, epoch=self.epoch, rank=rank, phase=GroupPhase.READY
             )
-            self.platform.present[engine] = replace(known, membership=place)
+            self.platform.current[engine] = replace(known, membership=membership)
 
     @rule(group=groups)
     def open(self, group):
         """Open a group that is ready."""
-        if self.platform.is_whole(group):
-            self.platform.place(f"{group}0", phase=GroupPhase.OPEN)
+        if self.platform.is_complete(group):
+            self.platform.set_membership(f"{group}0", phase=GroupPhase.OPEN)
 
     @rule(group=groups)
     def form_and_list(self, group):
-        """Form a group anew, and let its members write their entries."""
+        """Form and open a group again, and list its members."""
         self.form(group)
         self.open(group)
         for rank in (0, 1):
             self.platform.register(f"{group}{rank}")
 
     @rule(group=groups, phase=st.sampled_from([GroupPhase.READY, GroupPhase.BROKEN]))
-    def stop(self, group, phase):
-        """Close a group, or let its head find that it is broken."""
+    def stop_group(self, group, phase):
+        """Close a group, or have its head report it as broken."""
         head = f"{group}0"
         if self.platform.holds_open_group(head):
-            self.platform.place(head, phase=phase)
+            self.platform.set_membership(head, phase=phase)
 
     @rule(group=groups)
-    def close_for_a_moment(self, group):
-        """Close a group while a stream comes, and open it again, unlisted."""
-        self.stop(group, GroupPhase.READY)
-        self.send(resumable=True)
+    def close_briefly(self, group):
+        """Close a group, send a stream, and open the group again without listing it."""
+        self.stop_group(group, GroupPhase.READY)
+        self.send_stream(resumable=True)
         self.open(group)
 
     # -- streams -------------------------------------------------------------
 
     @rule(resumable=st.booleans())
-    def send(self, resumable):
-        """Let a caller send a stream."""
+    def send_stream(self, resumable):
+        """Send a caller's stream."""
         route = replace(ROUTE, resumable=resumable)
         work = self.rig.work(FakeExchange(), route)
         number = len(self.served)
         work.request = replace(work.request, id=str(number))
         serving = self.rig.service.serve(work)
         self.served[str(number)] = (route, self.loop.create_task(serving))
-        self.settle()
-
-    @precondition(lambda self: self.going)
-    @rule(data=st.data(), is_whole=st.booleans())
-    def end_run(self, data, is_whole):
-        """End an answer, or break it off."""
-        run = data.draw(st.sampled_from(self.going))
-        self.going.remove(run)
-        if is_whole and self.platform.present[run.target.id].process == (
+        self.run_ready_tasks()
+
+    @precondition(lambda self: self.in_progress)
+    @rule(data=st.data(), is_complete=st.booleans())
+    def end_response(self, data, is_complete):
+        """Complete a response, or cut it off."""
+        run = data.draw(st.sampled_from(self.in_progress))
+        self.in_progress.remove(run)
+        if is_complete and self.platform.current[run.target.id].process == (
             run.target.process
         ):
             run.end(event(run.event), End())
         else:
             run.end(BROKEN)
-        self.settle()
+        self.run_ready_tasks()
 
-    # -- what the node hears -------------------------------------------------
+    # -- list changes, reports and peer messages -----------------------------
 
     @rule(engine=engines)
     def register(self, engine):
-        """Let an engine write its entry."""
+        """Have an engine list its current state."""
         self.platform.register(engine)
 
-    def take(self, targets, *, is_whole):
-        """Work out which refusals and ends these entries overrule."""
+    def expect_entries(self, targets, *, is_full_list):
+        """Update the expected refusals and ended processes for these entries."""
         now = self.rig.clock.now()
         for target in targets:
             known = self.directory.targets.get(target.id)
@@ -283,46 +286,46 @@
                 if refused.id != target.id:
                     continue
                 is_late = now - at > STALE_ENTRY_SECONDS
-                if not is_whole or is_late or target != refused:
+                if not is_full_list or is_late or target != refused:
                     del self.refused[key]
             if known is not None and known.process != target.process:
                 self.ended[known.process] = now
                 if known.membership is not None:
-                    place = known.membership
-                    self.lost_member.add((place.group, place.epoch))
+                    membership = known.membership
+                    self.incomplete_groups.add((membership.group, membership.epoch))
                 self.ended.pop(target.process, None)
-            elif is_whole and now - self.ended.get(target.process, now) > (
+            elif is_full_list and now - self.ended.get(target.process, now) > (
                 STALE_ENTRY_SECONDS
             ):
                 del self.ended[target.process]
 
     @rule(data=st.data())
-    def hear(self, data):
-        """Pass some of the changes on that the node lacks."""
+    def forward_changes(self, data):
+        """Forward some of the changes that the node lacks."""
         known = self.directory._revision
         if self.platform.version == known:
             return
-        self.hear_until(data.draw(st.integers(known + 1, self.platform.version)))
+        self.forward_until(data.draw(st.integers(known + 1, self.platform.version)))
 
-    def hear_until(self, until):
-        """Pass the changes up to a version on."""
+    def forward_until(self, until):
+        """Forward the changes up to a version."""
         known = self.directory._revision
         changed = {t.id: t for t in self.platform.listed[known:until]}
-        self.take(changed.values(), is_whole=False)
+        self.expect_entries(changed.values(), is_full_list=False)
         change = listing(*changed.values(), revision=until, whole=False)
         self.directory.apply_change(change, previous=known)
-        self.settle()
+        self.run_ready_tasks()
 
     @rule()
-    def hear_all(self):
-        """Pass every change on that the node lacks."""
+    def apply_all_changes(self):
+        """Forward every change that the node lacks."""
         known = self.directory._revision
         if self.platform.version > known:
-            self.hear_until(self.platform.version)
+            self.forward_until(self.platform.version)
 
     @rule(data=st.data(), is_gap=st.booleans())
-    def hear_in_vain(self, data, is_gap):
-        """Pass a change on again, or one before which others got lost."""
+    def forward_stale_change(self, data, is_gap):
+        """Forward a known change again, or one after a gap of lost changes."""
         known = self.directory._revision
         before = dict(self.directory.targets)
         if is_gap and self.platform.version > known + 1:
@@ -335,68 +338,68 @@
         assert self.directory.targets == before
 
     @rule()
-    def read_whole(self):
-        """Read the whole list."""
+    def read_full_list(self):
+        """Read the full list."""
         entries = self.platform.entries(self.platform.version).values()
-        self.take(entries, is_whole=True)
-        self.read(entries, self.platform.version)
-        self.settle()
+        self.expect_entries(entries, is_full_list=True)
+        self.read_list(entries, self.platform.version)
+        self.run_ready_tasks()
 
     @rule(data=st.data())
-    def read_in_vain(self, data):
-        """Get a whole list that is older than the changes heard meanwhile."""
+    def read_outdated_list(self, data):
+        """Read a full list that is older than the changes already applied."""
         before, read_at = dict(self.directory.targets), self.directory._full_read_at
         until = data.draw(st.integers(0, self.directory._revision - 1))
-        self.read(self.platform.entries(until).values(), until)
+        self.read_list(self.platform.entries(until).values(), until)
         self.directory._full_read_at = read_at
         assert self.directory.targets == before
 
-    def read(self, entries, version):
-        """Let the node read a whole list."""
+    def read_list(self, entries, version):
+        """Have the node read a full list."""
         self.rig.source.listed.append(listing(*entries, revision=version))
         self.directory._full_read_at = float("-inf")
         self.loop.run_until_complete(self.directory.refresh())
 
     @rule(engine=engines, is_late=st.booleans())
-    def report(self, engine, is_late):
-        """Ask an engine what it holds; the answer may come later."""
+    def query_report(self, engine, is_late):
+        """Query an engine's report; the answer may arrive later."""
         listed = self.directory.targets.get(engine)
-        self.reports.append((listed, self.platform.present[engine]))
+        self.reports.append((listed, self.platform.current[engine]))
         if not is_late:
-            self.hear_report()
+            self.handle_report()
 
     @rule(engine=engines)
-    def restart_and_answer(self, engine):
-        """Start an engine again, and ask it at once."""
-        self.restart(engine, is_cut=True)
-        self.report(engine, is_late=False)
+    def restart_and_report(self, engine):
+        """Restart an engine, and query its report at once."""
+        self.restart(engine, connections_hang=True)
+        self.query_report(engine, is_late=False)
 
     @rule(engine=engines, is_listed=st.booleans())
-    def restart_alone(self, engine, is_listed):
-        """Start an engine again, known by the list or by its answer; list the head."""
+    def restart_one_member(self, engine, is_listed):
+        """Restart an engine, known from the list or its report, and list the head."""
         if is_listed:
-            self.restart(engine, is_cut=True)
+            self.restart(engine, connections_hang=True)
             self.register(engine)
-            self.hear_all()
+            self.apply_all_changes()
         else:
-            self.restart_and_answer(engine)
+            self.restart_and_report(engine)
         self.register(f"{engine[0]}0")
-        self.hear_all()
-        self.send(resumable=True)
+        self.apply_all_changes()
+        self.send_stream(resumable=True)
 
     @rule(engine=engines)
-    def restart_while_answering(self, engine):
-        """Start an engine again and form its group, while its answer is under way."""
-        self.report(engine, is_late=True)
-        self.restart(engine, is_cut=True)
+    def restart_while_reporting(self, engine):
+        """Restart an engine and form its group while its report is in transit."""
+        self.query_report(engine, is_late=True)
+        self.restart(engine, connections_hang=True)
         self.form_and_list(engine[0])
-        self.hear_all()
-        self.hear_report()
+        self.apply_all_changes()
+        self.handle_report()
 
     @precondition(lambda self: self.reports)
     @rule()
-    def hear_report(self):
-        """Take an answer, unless the list moved on since the question."""
+    def handle_report(self):
+        """Apply a report, unless the list shows another process since the query."""
         asked, answered = self.reports.pop()
         listed = self.directory.targets.get(answered.id)
         if asked is None or listed is None:
@@ -411,37 +414,37 @@
         if answered.process != listed.process and answered.process not in self.ended:
             self.ended.setdefault(listed.process, self.rig.clock.now())
         self.directory.apply_report(answered)
-        self.settle()
+        self.run_ready_tasks()
 
     @rule(group=groups, epoch=st.integers(1, 5))
-    def hear_peer(self, group, epoch):
-        """Hear of a peer that a head which this node takes for one refused."""
-        (hear,) = self.peers.on_group_broken
+    def handle_peer_message(self, group, epoch):
+        """Receive a peer's message that the head known for a group refused a stream."""
+        (on_group_broken,) = self.peers.on_group_broken
         known = self.directory.groups.get((group, epoch))
         if known is None or known.head is None:
             return
-        told = GroupBroken(
+        message = GroupBroken(
             node="n",
             group=group,
             epoch=epoch,
             head=known.head.process,
             cause=BreakCause.REFUSED,
         )
-        hear(told)
+        on_group_broken(message)
         self.refused.setdefault(known.key, (self.rig.clock.now(), known.head))
-        self.settle()
+        self.run_ready_tasks()
 
     @rule(seconds=st.sampled_from([0.1, 1.1, LONGER_THAN_DEADLINES]))
-    def let_pass(self, seconds):
-        """Let time pass."""
+    def let_time_pass(self, seconds):
+        """Advance the clock."""
         self.rig.clock.time += seconds
-        self.settle()
+        self.run_ready_tasks()
 
-    # -- what must hold ------------------------------------------------------
+    # -- invariants ----------------------------------------------------------
 
     @invariant()
-    def ends_are_true(self):
-        """Compare what callers were told with what ran."""
+    def answers_match_executions(self):
+        """Compare the answers to callers with the executions of their requests."""
         for request, (route, task) in self.served.items():
             runs = self.runs[request]
             assert route.resumable or len(runs) <= 1, "ran twice"
@@ -449,33 +452,33 @@
                 continue
             match task.result():
                 case Refusal(status=503, retry_after=after):
-                    assert not runs, "said not to have run"
+                    assert not runs, "reported as not run"
                     assert after > 0
                 case Refusal() | CutOff() | Answered():
-                    assert runs, "held for unknown though nothing ran"
+                    assert runs, "reported as possibly run"
 
     @invariant()
     def work_is_counted(self):
-        """Compare the counted streams with those that are under way."""
+        """Compare the counted streams with those in progress."""
         counted = sum(work.running for work in self.directory.loads._work.values())
         assert counted == len(self.rig.service.active)
 
     def teardown(self):
-        """Come to rest: whole open groups get streams again, whatever was before."""
+        """Check that complete open groups get streams again, whatever has happened."""
         for engine in ENGINES:
             self.platform.register(engine)
-        self.let_pass(LONGER_THAN_DEADLINES)
-        self.read_whole()
+        self.let_time_pass(LONGER_THAN_DEADLINES)
+        self.read_full_list()
         for group in GROUPS:
-            if not self.platform.is_whole(group):
+            if not self.platform.is_complete(group):
                 continue
             if self.platform.holds_open_group(f"{group}0"):
                 serving = self.directory.serving_groups("engines", "m")
                 assert group in {g.name for g in serving}
-        self.ends_are_true()
+        self.answers_match_executions()
         for _, task in self.served.values():
             task.cancel()
-        self.settle()
+        self.run_ready_tasks()
         self.loop.close()
 
 
