--- a/mallowpond/platform/call_counts.py
+++ b/mallowpond/platform/call_counts.py
@@ -10,7 +10,7 @@
 log = structlog.get_logger()
 
 # Pause between two log lines on the calls made since, in seconds.
-TOLD_SECONDS = 10.0
+LOG_INTERVAL_SECONDS = 10.0
 
 
 class CallCounts:
@@ -19,17 +19,17 @@
     def __init__(self, *, clock: Clock, metric: Metric | None = None) -> None:
         self._clock = clock
         self._metric = metric
-        self._since_told: Counter[str] = Counter()
-        self._told_at = clock.now()
+        self._unlogged: Counter[str] = Counter()
+        self._logged_at = clock.now()
 
-    def note(self, table: str, call: str) -> None:
+    def count(self, table: str, call: str) -> None:
         """Count a call that is about to be made."""
         if self._metric is not None:
             self._metric.labels(table, call).inc()
-        self._since_told[f"{table}_{call}"] += 1
+        self._unlogged[f"{table}_{call}"] += 1
         now = self._clock.now()
-        if now - self._told_at >= TOLD_SECONDS:
-            seconds = round(now - self._told_at, 1)
-            log.info("store: calls", seconds=seconds, **self._since_told)
-            self._since_told.clear()
-            self._told_at = now
+        if now - self._logged_at >= LOG_INTERVAL_SECONDS:
+            seconds = round(now - self._logged_at, 1)
+            log.info("store: calls", seconds=seconds, **self._unlogged)
+            self._unlogged.clear()
+            self._logged_at = now
--- a/mallowpond/platform/callers.py
+++ b/mallowpond/platform/callers.py
@@ -10,10 +10,10 @@
 KEY_SCHEME = "bearer "
 # Tokens above which a count is none: a thousand times the largest context in use; sums
 # of such counts go to other nodes, which read whole numbers up to 2**53.
-MOST_TOKENS = 2**31
+MAX_TOKENS = 2**31
 
 
-class PlatformCallers:
+class PlatformCallerProtocol:
     """Turn requests into the product's words, and answers back."""
 
     def read(self, request: HttpRequest) -> CallerRequest | InvalidRequest:
@@ -22,16 +22,16 @@
         attempt = found.get(names.ATTEMPT, "")
         if not attempt:
             return InvalidRequest(reason=f"{names.ATTEMPT} is missing")
-        prompt, answer = _token_counts(found.get(names.TOKEN_COUNTS, ""))
+        prompt, answer = _parse_token_counts(found.get(names.TOKEN_COUNTS, ""))
         return CallerRequest(
             id=attempt,
             host=found.get("host", "").partition(":")[0].lower(),
             method=request.method,
             target=request.target,
             body=request.body,
-            forwarded_headers=_passed(request.header_list),
-            key=_key(found.get(names.AUTHORIZATION, "")),
-            seconds_left=_seconds(found.get(names.DEADLINE, "")),
+            forwarded_headers=_forwarded(request.header_list),
+            key=_bearer_key(found.get(names.AUTHORIZATION, "")),
+            seconds_left=_parse_deadline(found.get(names.DEADLINE, "")),
             model=found.get(names.MODEL),
             prompt_tokens=prompt,
             answer_tokens=answer,
@@ -47,25 +47,25 @@
         )
 
 
-def _passed(headers: Headers) -> Headers:
+def _forwarded(headers: Headers) -> Headers:
     connection = {
         token.strip().lower()
         for name, value in headers
         if name == "connection"
         for token in value.split(",")
     }
-    dropped = names.HOP_BY_HOP | names.SET_HERE | connection
+    dropped = names.HOP_BY_HOP | names.SYSTEM_HEADERS | connection
     host = tuple((n, v) for n, v in headers if n == "host")
     return host + tuple((n, v) for n, v in headers if n not in dropped)
 
 
-def _key(authorization: str) -> str | None:
+def _bearer_key(authorization: str) -> str | None:
     if not authorization.lower().startswith(KEY_SCHEME):
         return None
     return authorization[len(KEY_SCHEME) :].strip()
 
 
-def _seconds(text: str) -> float | None:
+def _parse_deadline(text: str) -> float | None:
     try:
         seconds = float(text) / 1000.0
     except ValueError:
@@ -73,10 +73,10 @@
     return max(0.0, seconds) if isfinite(seconds) else None
 
 
-def _token_counts(text: str) -> tuple[int, int]:
+def _parse_token_counts(text: str) -> tuple[int, int]:
     prompt, _, answer = text.partition(",")
     try:
         counts = int(prompt), int(answer or 0)
     except ValueError:
         return 0, 0
-    return counts if all(0 <= count <= MOST_TOKENS for count in counts) else (0, 0)
+    return counts if all(0 <= count <= MAX_TOKENS for count in counts) else (0, 0)
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -38,14 +38,14 @@
     SiteConfiguration,
 )
 
-REPEATS = {
+REPEAT_POLICIES = {
     "idempotent": RepeatPolicy.IDEMPOTENT,
     "non_idempotent": RepeatPolicy.ONCE,
     "stream": RepeatPolicy.STREAM,
 }
-MILLISECONDS = 0.001
+SECONDS_PER_MILLISECOND = 0.001
 # Fields of an entry that may be a number or a text, with the kind of number.
-NUMBERED = {"domain": int, "version": float}
+NUMERIC_FIELDS = {"domain": int, "version": float}
 
 
 # -- the configuration -------------------------------------------------------
@@ -138,7 +138,7 @@
     tenants: tuple[_Tenant, ...] = ()
 
 
-def configuration(document: Any) -> SiteConfiguration | Unreadable:
+def decode_configuration(document: Any) -> SiteConfiguration | Unreadable:
     """Decode the operator's configuration, whole or not at all."""
     found = decode(document, _Configuration)
     if isinstance(found, Unreadable):
@@ -153,8 +153,8 @@
         limits=CallerLimits(
             header_bytes=int(limits.max_header_bytes),
             body_bytes=int(limits.max_body_bytes),
-            header_seconds=limits.header_timeout_ms * MILLISECONDS,
-            idle_seconds=limits.idle_timeout_ms * MILLISECONDS,
+            header_seconds=limits.header_timeout_ms * SECONDS_PER_MILLISECOND,
+            idle_seconds=limits.idle_timeout_ms * SECONDS_PER_MILLISECOND,
         ),
     )
 
@@ -166,15 +166,15 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.prefix,
-        repeat=REPEATS.get(route.kind, RepeatPolicy.ONCE),
+        repeat=REPEAT_POLICIES.get(route.kind, RepeatPolicy.ONCE),
         backends=tuple(Backend(service=b.service, weight=b.weight) for b in backends),
-        timeout_seconds=route.timeout_ms * MILLISECONDS,
-        objective_seconds=route.slo_ms * MILLISECONDS,
+        timeout_seconds=route.timeout_ms * SECONDS_PER_MILLISECOND,
+        objective_seconds=route.slo_ms * SECONDS_PER_MILLISECOND,
         priority=route.priority,
         max_attempts=route.max_attempts,
         needs_key=not route.no_auth,
         resumable=route.can_resume,
-        gap_objective_seconds=route.gap_target_ms * MILLISECONDS,
+        gap_objective_seconds=route.gap_target_ms * SECONDS_PER_MILLISECOND,
     )
 
 
@@ -193,9 +193,9 @@
         slots=int(engine.slots),
         models=tuple(_model(model) for model in engine.models),
         stride=int(engine.stride),
-        step_seconds=engine.step_ms * MILLISECONDS,
-        request_seconds=engine.per_seq_ms * MILLISECONDS,
-        context_seconds_per_k=engine.context_per_k * MILLISECONDS,
+        step_seconds=engine.step_ms * SECONDS_PER_MILLISECOND,
+        request_seconds=engine.per_seq_ms * SECONDS_PER_MILLISECOND,
+        context_seconds_per_k=engine.context_per_k * SECONDS_PER_MILLISECOND,
         prefill_tokens_per_second=engine.read_per_s or 1.0,
         loads_per_second=engine.loads_per_s,
         loads_at_once=int(engine.loads_at_once),
@@ -235,7 +235,7 @@
     transaction: str
 
 
-def own_row(document: Any) -> OwnRow | Unreadable:
+def decode_own_row(document: Any) -> OwnRow | Unreadable:
     """Decode what a row of the product's own tables holds."""
     found = decode(document, OwnRow)
     if isinstance(found, OwnRow) and not isinstance(found.value, Mapping):
@@ -315,17 +315,17 @@
     return isinstance(decode({"id": key}, _Key), _Key)
 
 
-def target(identifier: Any, row: Any) -> Target | Unreadable:
+def decode_target(identifier: Any, row: Any) -> Target | Unreadable:
     """Decode an engine's entry in the list; one that is not whole is none."""
     key = decode({"id": identifier}, _Key)
     if isinstance(key, Unreadable):
         return key
-    entry = decode(_one_spelling(row), _Entry)
+    entry = decode(_normalized(row), _Entry)
     if isinstance(entry, Unreadable):
         return entry
     if "born" in row and entry.born is None:
         return Unreadable(fault=DecodeFault.TYPE, field="born")
-    missing = _missing_place(entry)
+    missing = _missing_placement_field(entry)
     if missing:
         return Unreadable(fault=DecodeFault.MISSING, field=missing)
     return Target(
@@ -336,37 +336,37 @@
         slots=entry.slots,
         draining=entry.state is _State.DRAINING,
         domain=entry.domain or "",
-        model=_first(entry.models or ()),
+        model=_first_model(entry.models or ()),
         staged=entry.staged or (),
         membership=_membership(entry.group),
         born=entry.born,
     )
 
 
-def report(asked: Target, document: Any) -> EngineReport | Unreadable:
+def decode_report(listed: Target, document: Any) -> EngineReport | Unreadable:
     """Decode what an engine says of itself; the rest stays as the list has it."""
-    found = decode(_one_spelling(document), _Report)
+    found = decode(_normalized(document), _Report)
     if isinstance(found, Unreadable):
         return found
     if found.born is None and "born" in document:
         return Unreadable(fault=DecodeFault.TYPE, field="born")
-    if found.born is None and asked.born is not None:
+    if found.born is None and listed.born is not None:
         return Unreadable(fault=DecodeFault.MISSING, field="born")
     # Here `sequence` counts orders; in the list it counts heartbeats.
     return EngineReport(
         orders=found.sequence,
         target=replace(
-            asked,
-            model=_first(found.models),
+            listed,
+            model=_first_model(found.models),
             staged=found.staged,
             membership=_membership(found.group),
             # Where the list tells no start, one in a report compares with nothing.
-            born=None if asked.born is None else found.born,
+            born=None if listed.born is None else found.born,
         ),
     )
 
 
-def born_of(document: Any) -> int | None | Unreadable:
+def decode_born(document: Any) -> int | None | Unreadable:
     """Decode the start in the body of a health answer, None where there is none."""
     if not isinstance(document, Mapping) or "born" not in document:
         return None
@@ -374,7 +374,7 @@
     return found if isinstance(found, Unreadable) else found.born
 
 
-def _one_spelling(row: Any) -> Any:
+def _normalized(row: Any) -> Any:
     """Return an entry or report with each field in one of its spellings.
 
     A domain or version may be a number, a staged model an object with a name, and an
@@ -383,7 +383,7 @@
     if not isinstance(row, Mapping):
         return row
     found = dict(row)
-    for name, kind in NUMBERED.items():
+    for name, kind in NUMERIC_FIELDS.items():
         if not isinstance(decode(found.get(name), kind), Unreadable):
             found[name] = str(found[name])
     staged = found.get("staged")
@@ -395,7 +395,7 @@
     return found
 
 
-def _missing_place(entry: _Entry) -> str:
+def _missing_placement_field(entry: _Entry) -> str:
     """Return which field an engine that carries models has left out.
 
     Taken for a free engine of no domain, it would be ordered into a group.
@@ -408,7 +408,7 @@
     return missing[0] if missing else ""
 
 
-def _first(models: tuple[_Named, ...]) -> str:
+def _first_model(models: tuple[_Named, ...]) -> str:
     return models[0].name if models else ""
 
 
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -38,8 +38,8 @@
 
 # Time until an order or a question to an engine counts as unanswered, in seconds:
 # some hundred round trips; a question is asked again, so it waits less.
-ORDER_SECONDS = 0.5
-REPORT_SECONDS = 0.15
+ORDER_TIMEOUT_SECONDS = 0.5
+QUERY_TIMEOUT_SECONDS = 0.15
 JSON_HEADERS = (("content-type", "application/json"),)
 
 
@@ -100,14 +100,14 @@
 
     async def order(self, step: Step, *, fence: int, expected: int) -> OrderResult:
         """Give an engine an order that only this count of earlier ones may precede."""
-        body = {**_operation(step), "fence": fence, "expected": expected}
+        body = {**_order_body(step), "fence": fence, "expected": expected}
         answer = await self._http.fetch(
             step.target.address,
             "POST",
             "/-/order",
             headers=(*JSON_HEADERS, (names.EXPECT_INSTANCE, step.target.id)),
             body=json.dumps(body).encode(),
-            timeout=ORDER_SECONDS,
+            timeout=ORDER_TIMEOUT_SECONDS,
         )
         match answer:
             case CallFailed(reason=reason):
@@ -132,7 +132,7 @@
             "GET",
             "/-/report",
             headers=((names.EXPECT_INSTANCE, target.id),),
-            timeout=REPORT_SECONDS,
+            timeout=QUERY_TIMEOUT_SECONDS,
         )
         match answer:
             case CallFailed(reason=reason):
@@ -145,7 +145,7 @@
     def _report(self, target: Target, data: bytes) -> EngineReport | Unavailable:
         found = parse_json(data)
         if not isinstance(found, Unreadable):
-            found = documents.report(target, found)
+            found = documents.decode_report(target, found)
         if isinstance(found, Unreadable):
             self._unreadable_log.record("report", target.id, found)
             return Unavailable(reason=str(found))
@@ -158,7 +158,7 @@
             "GET",
             path,
             headers=((names.EXPECT_INSTANCE, target.id),),
-            timeout=REPORT_SECONDS,
+            timeout=QUERY_TIMEOUT_SECONDS,
         )
         match answer:
             case CallFailed(reason=reason):
@@ -166,15 +166,15 @@
             case HttpAnswer(status=421):
                 return Unavailable(reason="another engine has this address")
             case HttpAnswer(status=200):
-                return self._health(target, answer)
+                return self._check_process(target, answer)
             case _:
                 return False
 
-    def _health(self, target: Target, answer: HttpAnswer) -> bool | Unavailable:
+    def _check_process(self, target: Target, answer: HttpAnswer) -> bool | Unavailable:
         """Tell whether it is the process asked for that called itself healthy."""
         if answer.headers.get(names.INSTANCE) != target.id:
             return Unavailable(reason="another engine answered")
-        born = documents.born_of(parse_json(answer.body))
+        born = documents.decode_born(parse_json(answer.body))
         if isinstance(born, Unreadable):
             self._unreadable_log.record("health", target.id, born)
             return Unavailable(reason=str(born))
@@ -192,7 +192,7 @@
     return number if isfinite(number) and number >= 0.0 else None
 
 
-def _operation(step: Step) -> dict[str, Any]:
+def _order_body(step: Step) -> dict[str, Any]:
     match step:
         case Join():
             return {
--- a/mallowpond/platform/headers.py
+++ b/mallowpond/platform/headers.py
@@ -35,4 +35,6 @@
     }
 )
 # Headers that only this system may set towards an engine.
-SET_HERE = frozenset({AUTHORIZATION, DEADLINE, WORKSPACE, EXPECT_INSTANCE, LAST_EVENT})
+SYSTEM_HEADERS = frozenset(
+    {AUTHORIZATION, DEADLINE, WORKSPACE, EXPECT_INSTANCE, LAST_EVENT}
+)
--- a/mallowpond/platform/program.py
+++ b/mallowpond/platform/program.py
@@ -17,7 +17,7 @@
 from mallowpond.node.settings import NodeSettings
 from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform.call_counts import CallCounts
-from mallowpond.platform.callers import PlatformCallers
+from mallowpond.platform.callers import PlatformCallerProtocol
 from mallowpond.platform.early_listener import settings_path
 from mallowpond.platform.engines import PlatformEngines
 from mallowpond.platform.store import PlatformStore
@@ -34,7 +34,7 @@
 # goes on to older ones: what the program and the list of targets consist of stays for
 # good, and going through it took 5 of 100 of a host's processor time (0.231 -> 0.220 of
 # a core with 25 streams a second on loopback, one run each).
-COLLECTION_THRESHOLDS = (20_000, 50, 100)
+GC_THRESHOLDS = (20_000, 50, 100)
 
 
 def _reload(path: Path, running: NodeSettings) -> None:
@@ -62,7 +62,7 @@
         http=http, address=settings.store, unreadable_log=unreadable_log, counts=counts
     )
     ports = NodePorts(
-        callers=PlatformCallers(),
+        callers=PlatformCallerProtocol(),
         source=store,
         targets=PlatformEngines(http=http, unreadable_log=unreadable_log),
         table=store,
@@ -98,5 +98,5 @@
         sys.exit(EXIT_USAGE)
     set_up_node_logs(settings.log, BootClock())
     gc.freeze()
-    gc.set_threshold(*COLLECTION_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
     asyncio.run(run_node(settings, path, listener))
--- a/mallowpond/platform/rows.py
+++ b/mallowpond/platform/rows.py
@@ -29,11 +29,11 @@
     rows: tuple[StoredRow, ...]
     # By the store's steady clock, in seconds.
     answered_at: float | None = None
-    nameless: tuple[Unreadable, ...] = ()
+    keyless_faults: tuple[Unreadable, ...] = ()
     has_more: bool = False
 
     @property
-    def latest(self) -> list[StoredRow]:
+    def latest_rows(self) -> list[StoredRow]:
         """Return the last state of each row: a feed may hold several of one row.
 
         Taking the first, a node went on with an older configuration although it had
@@ -77,28 +77,28 @@
     key: str
 
 
-def store_answer(data: bytes) -> StoreAnswer | Unreadable:
+def decode_answer(data: bytes) -> StoreAnswer | Unreadable:
     """Decode an answer that holds rows."""
     found = _decode_json(data, _Answer)
     if isinstance(found, Unreadable):
         return found
-    rows = [_row(row) for row in found.rows]
+    rows = [_decode_row(row) for row in found.rows]
     return StoreAnswer(
         version=found.ver,
         answered_at=None if found.now_ms is None else found.now_ms / 1000.0,
         rows=tuple(row for row in rows if isinstance(row, StoredRow)),
-        nameless=tuple(row for row in rows if isinstance(row, Unreadable)),
+        keyless_faults=tuple(row for row in rows if isinstance(row, Unreadable)),
         has_more=found.more_pages,
     )
 
 
-def committed_version(data: bytes) -> int | Unreadable:
+def decode_committed_version(data: bytes) -> int | Unreadable:
     """Decode the answer to a change that took effect."""
     found = _decode_json(data, _Version)
     return found if isinstance(found, Unreadable) else found.ver
 
 
-def conflicting_keys(data: bytes) -> tuple[str, ...]:
+def decode_conflicting_keys(data: bytes) -> tuple[str, ...]:
     """Decode which rows spoke against a change, as far as the answer can be read."""
     found = _decode_json(data, _Conflicts)
     if isinstance(found, Unreadable):
@@ -107,7 +107,7 @@
     return tuple(f"{p.table}/{p.key}" for p in places if isinstance(p, _Place))
 
 
-def _row(row: Any) -> StoredRow | Unreadable:
+def _decode_row(row: Any) -> StoredRow | Unreadable:
     keyed = decode(row, _Key)
     if isinstance(keyed, Unreadable):
         return keyed
@@ -115,23 +115,23 @@
     removal = decode(row, _Removed)
     return StoredRow(
         key=keyed.key,
-        document=removal if isinstance(removal, Unreadable) else _document(row),
-        value=_value(row) or b"",
+        document=removal if isinstance(removal, Unreadable) else _decode_document(row),
+        value=_decode_value(row) or b"",
         version=0 if isinstance(version, Unreadable) else version.ver,
         removed=isinstance(removal, _Removed) and removal.removed,
     )
 
 
-def _document(row: dict[str, Any]) -> Any | Unreadable:
+def _decode_document(row: dict[str, Any]) -> Any | Unreadable:
     if "value" not in row:
         return Unreadable(fault=DecodeFault.MISSING, field="value")
-    value = _value(row)
+    value = _decode_value(row)
     if value is None:
         return Unreadable(fault=DecodeFault.BYTES, field="value")
     return parse_json(value)
 
 
-def _value(row: dict[str, Any]) -> bytes | None:
+def _decode_value(row: dict[str, Any]) -> bytes | None:
     try:
         return base64.b64decode(row.get("value"), validate=True)
     except (TypeError, ValueError):
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -25,9 +25,9 @@
 from mallowpond.platform.rows import (
     StoreAnswer,
     StoredRow,
-    committed_version,
-    conflicting_keys,
-    store_answer,
+    decode_answer,
+    decode_committed_version,
+    decode_conflicting_keys,
 )
 from mallowpond.state.decoding import DecodeFault, Unreadable, parse_json
 from mallowpond.state.fleet import Target
@@ -36,7 +36,7 @@
 
 # Time beyond what a call is asked to wait until it counts as lost, in seconds: the
 # store may be slow by a factor of some tens over its usual 4 ms.
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 # Changed rows of one feed answer are kept whole up to this page of a full read.
 PAGE_ROWS = 500
 CONFIGURATION_TABLE = "op"
@@ -69,16 +69,16 @@
     ) -> ConfigurationRead | HistoryLost | Unavailable:
         """Wait for a configuration after `since`; 0 reads the newest at once."""
         if since == 0:
-            answer = await self._rows(CONFIGURATION_TABLE)
+            answer = await self._read_table(CONFIGURATION_TABLE)
         else:
-            answer = await self._feed(CONFIGURATION_TABLE, since, wait_seconds)
+            answer = await self._read_changes(CONFIGURATION_TABLE, since, wait_seconds)
         if isinstance(answer, HistoryLost | Unavailable):
             return answer
-        if answer.nameless:
+        if answer.keyless_faults:
             # It may be the newest configuration: passed over, it would never be read.
-            self._unreadable_log.record("configuration", "", answer.nameless[0])
-            return Unavailable(reason=f"row without a key: {answer.nameless[0]}")
-        for row in answer.latest:
+            self._unreadable_log.record("configuration", "", answer.keyless_faults[0])
+            return Unavailable(reason=f"row without a key: {answer.keyless_faults[0]}")
+        for row in answer.latest_rows:
             if row.key == CONFIGURATION_KEY and not row.removed:
                 read = self._configuration_read(answer.version, row)
                 return replace(read, answered_at=answer.answered_at)
@@ -92,7 +92,7 @@
     def _configuration_read(self, revision: int, row: StoredRow) -> ConfigurationRead:
         found = row.document
         if not isinstance(found, Unreadable):
-            found = documents.configuration(found)
+            found = documents.decode_configuration(found)
         if isinstance(found, Unreadable):
             self._unreadable_log.record("configuration", row.key, found)
             return ConfigurationRead(
@@ -106,7 +106,7 @@
         """Decode a configuration as it stands in the store, None if that fails."""
         found = parse_json(document)
         if not isinstance(found, Unreadable):
-            found = documents.configuration(found)
+            found = documents.decode_configuration(found)
         if isinstance(found, Unreadable):
             self._unreadable_log.record("configuration", "", found)
             return None
@@ -115,16 +115,20 @@
     async def targets(self, since: int) -> TargetsRead | HistoryLost | Unavailable:
         """Return what changed after `since`; 0 reads all of them."""
         if since == 0:
-            answer = await self._rows(TARGETS_TABLE)
+            answer = await self._read_table(TARGETS_TABLE)
         else:
-            answer = await self._feed(TARGETS_TABLE, since, 0.0)
+            answer = await self._read_changes(TARGETS_TABLE, since, 0.0)
         if isinstance(answer, HistoryLost | Unavailable):
             return answer
-        for reason in answer.nameless:
+        for reason in answer.keyless_faults:
             self._unreadable_log.record("target", "", reason)
-        found = {row.key: self._target(row) for row in answer.latest if not row.removed}
+        found = {
+            row.key: self._decode_target(row)
+            for row in answer.latest_rows
+            if not row.removed
+        }
         bad = [key for key, target in found.items() if not isinstance(target, Target)]
-        removed = [row.key for row in answer.latest if row.removed]
+        removed = [row.key for row in answer.latest_rows if row.removed]
         # What stands under another key was never a target, and is none to drop.
         return TargetsRead(
             revision=answer.version,
@@ -134,10 +138,10 @@
             whole=since == 0,
         )
 
-    def _target(self, row: StoredRow) -> Target | Unreadable:
+    def _decode_target(self, row: StoredRow) -> Target | Unreadable:
         found = row.document
         if not isinstance(found, Unreadable):
-            found = documents.target(row.key, found)
+            found = documents.decode_target(row.key, found)
         if isinstance(found, Unreadable):
             self._unreadable_log.record("target", row.key, found)
         return found
@@ -147,18 +151,18 @@
     async def read(self, key: str) -> Row | UnreadableRow | None | Unavailable:
         """Return the row, None when it is absent."""
         table, _, name = key.partition("/")
-        self._counts.note(table, "read")
+        self._counts.count(table, "read")
         query = f"table={quote(table)}&part=&from={quote(name)}&limit=1"
         answer = await self._get(f"/-/rows-get?{query}")
         if isinstance(answer, HistoryLost | Unavailable):
             return _as_unavailable(answer)
-        if answer.nameless:
+        if answer.keyless_faults:
             # It may be the row asked for: taken for absent, it would be replaced.
-            return Unavailable(reason=f"row without a key: {answer.nameless[0]}")
+            return Unavailable(reason=f"row without a key: {answer.keyless_faults[0]}")
         rows = [row for row in answer.rows if row.key == name]
         if not rows:
             return None
-        found = self._own_row(table, rows[0])
+        found = self._decode_own_row(table, rows[0])
         if found.version == 0:
             # No change could name the version that it replaces.
             return Unavailable(reason="row without a version")
@@ -167,24 +171,28 @@
     async def scan(self, prefix: str, since: int = 0) -> Scanned | Unavailable:
         """Return the rows of a table that changed after version `since`."""
         table = prefix.partition("/")[0]
-        answer = await (self._feed(table, since, 0.0) if since else self._rows(table))
+        answer = await (
+            self._read_changes(table, since, 0.0) if since else self._read_table(table)
+        )
         if isinstance(answer, HistoryLost | Unavailable):
             return _as_unavailable(answer)
-        for reason in answer.nameless:
+        for reason in answer.keyless_faults:
             self._unreadable_log.record(table, "", reason)
-        rows = [self._own_row(table, r) for r in answer.latest if not r.removed]
+        rows = [
+            self._decode_own_row(table, r) for r in answer.latest_rows if not r.removed
+        ]
         return Scanned(
             rows=tuple(row for row in rows if isinstance(row, Row)),
-            deleted=tuple(f"{table}/{r.key}" for r in answer.latest if r.removed),
+            deleted=tuple(f"{table}/{r.key}" for r in answer.latest_rows if r.removed),
             version=answer.version,
             unreadable=tuple(row for row in rows if isinstance(row, UnreadableRow)),
         )
 
-    def _own_row(self, table: str, row: StoredRow) -> Row | UnreadableRow:
+    def _decode_own_row(self, table: str, row: StoredRow) -> Row | UnreadableRow:
         key = f"{table}/{row.key}"
         found = row.document
         if not isinstance(found, Unreadable):
-            found = documents.own_row(found)
+            found = documents.decode_own_row(found)
         if row.version == 0 and not isinstance(found, Unreadable):
             found = Unreadable(fault=DecodeFault.MISSING, field="ver")
         if isinstance(found, Unreadable):
@@ -199,16 +207,19 @@
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
         """Apply a transaction and tell what is known of its effect."""
-        self._counts.note(_table_of(transaction), "write")
+        self._counts.count(_table_of(transaction), "write")
         body = {
             "expected": [
-                {**_place(c.key), "ver": c.version} for c in transaction.checks
+                {**_row_address(c.key), "ver": c.version} for c in transaction.checks
             ],
             "writes": [
-                {**_place(p.key), "value": _packed(p.value, transaction.transaction)}
+                {
+                    **_row_address(p.key),
+                    "value": _encode_value(p.value, transaction.transaction),
+                }
                 for p in transaction.puts
             ],
-            "delete": [_place(key) for key in transaction.deletes],
+            "delete": [_row_address(key) for key in transaction.deletes],
         }
         answer = await self._http.fetch(
             self._address,
@@ -216,7 +227,7 @@
             "/-/rows-tx",
             headers=JSON_HEADERS,
             body=json.dumps(body).encode(),
-            timeout=CALL_SECONDS,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
         match answer:
             case CallFailed() if answer.bytes_left:
@@ -224,38 +235,38 @@
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
             case (200, data):
-                return _committed(committed_version(data))
+                return _commit_result(decode_committed_version(data))
             case (412, data):
-                return Conflict(keys=conflicting_keys(data))
+                return Conflict(keys=decode_conflicting_keys(data))
             case (status, _):
                 # Every other status of the store says that nothing was done.
                 return Unavailable(reason=f"status {status}")
 
     # -- calls ---------------------------------------------------------------
 
-    async def _rows(self, table: str) -> StoreAnswer | HistoryLost | Unavailable:
+    async def _read_table(self, table: str) -> StoreAnswer | HistoryLost | Unavailable:
         """Read a whole table; pages after the first may be a little newer."""
         pages: list[StoreAnswer] = []
         start = ""
         while True:
-            self._counts.note(table, "whole")
+            self._counts.count(table, "whole")
             query = f"table={quote(table)}&part=&from={quote(start)}&limit={PAGE_ROWS}"
             answer = await self._get(f"/-/rows-get?{query}")
             if isinstance(answer, HistoryLost | Unavailable):
                 return answer
             pages.append(answer)
             if not answer.has_more:
-                return _joined(pages)
+                return _join_pages(pages)
             following = answer.rows[-1].key + "\0" if answer.rows else ""
             if following <= start:
                 # Asked again from the same place, the store would answer for ever.
                 return Unavailable(reason="page without an end")
             start = following
 
-    async def _feed(
+    async def _read_changes(
         self, table: str, since: int, wait_seconds: float
     ) -> StoreAnswer | HistoryLost | Unavailable:
-        self._counts.note(table, "changes")
+        self._counts.count(table, "changes")
         wait = int(wait_seconds * 1000)
         query = f"table={quote(table)}&since_rev={since}&wait_ms={wait}"
         return await self._get(f"/-/rows-feed?{query}", wait_seconds)
@@ -264,19 +275,21 @@
         self, target: str, wait_seconds: float = 0.0
     ) -> StoreAnswer | HistoryLost | Unavailable:
         answer = await self._http.fetch(
-            self._address, "GET", target, timeout=wait_seconds + CALL_SECONDS
+            self._address, "GET", target, timeout=wait_seconds + CALL_TIMEOUT_SECONDS
         )
         match answer:
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
             case (200, data):
-                return self._readable(store_answer(data))
+                return self._reject_unreadable(decode_answer(data))
             case (410, _):
                 return HistoryLost()
             case (status, _):
                 return Unavailable(reason=f"status {status}")
 
-    def _readable(self, answer: StoreAnswer | Unreadable) -> StoreAnswer | Unavailable:
+    def _reject_unreadable(
+        self, answer: StoreAnswer | Unreadable
+    ) -> StoreAnswer | Unavailable:
         if not isinstance(answer, Unreadable):
             return answer
         self._unreadable_log.record("store", "", answer)
@@ -288,7 +301,7 @@
     return keys[0].partition("/")[0] if keys else "none"
 
 
-def _joined(pages: list[StoreAnswer]) -> StoreAnswer:
+def _join_pages(pages: list[StoreAnswer]) -> StoreAnswer:
     """Return the pages of a table as one answer, of the version of the first page.
 
     Changes after the first page are read again by the next feed.
@@ -299,11 +312,11 @@
         # their time an answer that waited seems as old as its wait.
         answered_at=pages[0].answered_at,
         rows=tuple(row for page in pages for row in page.rows),
-        nameless=tuple(fault for page in pages for fault in page.nameless),
+        keyless_faults=tuple(fault for page in pages for fault in page.keyless_faults),
     )
 
 
-def _committed(version: int | Unreadable) -> Committed | Unknown:
+def _commit_result(version: int | Unreadable) -> Committed | Unknown:
     if isinstance(version, Unreadable):
         # It took effect, but a later change has to name its version.
         return Unknown(reason=str(version))
@@ -316,11 +329,11 @@
     return Unavailable(reason="the history asked for is lost")
 
 
-def _place(key: str) -> dict[str, str]:
+def _row_address(key: str) -> dict[str, str]:
     table, _, name = key.partition("/")
     return {"table": table, "part": "", "key": name}
 
 
-def _packed(value: dict[str, Any], transaction: str) -> str:
+def _encode_value(value: dict[str, Any], transaction: str) -> str:
     text = json.dumps({"value": value, "transaction": transaction})
     return base64.b64encode(text.encode()).decode()
--- a/mallowpond/platform/tests/test_any_document.py
+++ b/mallowpond/platform/tests/test_any_document.py
@@ -19,7 +19,7 @@
 from mallowpond.state.rows import LeaseRow
 from mallowpond.state.site_configuration import SiteConfiguration
 
-ASKED = documents.target("i-1", ENTRY)
+ASKED = documents.decode_target("i-1", ENTRY)
 TEXTS = st.text(max_size=6) | st.sampled_from(
     [
         "",
@@ -99,9 +99,9 @@
 @given(TEXTS | VALUES, VALUES, changed(ENTRY))
 def test_an_entry_is_a_whole_target_or_none(key, value, entry):
     for found in (
-        documents.target(key, ENTRY),
-        documents.target("i-1", value),
-        documents.target("i-1", entry),
+        documents.decode_target(key, ENTRY),
+        documents.decode_target("i-1", value),
+        documents.decode_target("i-1", entry),
     ):
         if not isinstance(found, Unreadable):
             assert_whole(found)
@@ -110,19 +110,19 @@
 @CASES
 @given(VALUES | changed(REPORT))
 def test_a_report_is_whole_or_none(value):
-    found = documents.report(ASKED, value)
+    found = documents.decode_report(ASKED, value)
     if not isinstance(found, Unreadable):
         assert isinstance(found, EngineReport)
         assert type(found.orders) is int
         assert found.orders >= 0
         assert_whole(found.target)
-    assert isinstance(documents.born_of(value), int | None | Unreadable)
+    assert isinstance(documents.decode_born(value), int | None | Unreadable)
 
 
 @CASES
 @given(VALUES | changed(DOCUMENT))
 def test_a_configuration_is_whole_or_none(value):
-    found = documents.configuration(value)
+    found = documents.decode_configuration(value)
     if isinstance(found, Unreadable):
         return
     assert isinstance(found, SiteConfiguration)
@@ -144,7 +144,7 @@
     if any(isinstance(row, dict) and row.get("key") == "i-2" for row in others):
         return
     assert found.revision == 40
-    assert documents.target("i-2", ENTRY) in found.targets
+    assert documents.decode_target("i-2", ENTRY) in found.targets
     for target in found.targets:
         assert_whole(target)
         assert target.id not in found.unreadable
@@ -153,10 +153,14 @@
 @CASES
 @given(BYTES)
 def test_any_bytes_are_an_answer_or_none(data):
-    for read in (rows.store_answer, rows.committed_version, rows.conflicting_keys):
+    for read in (
+        rows.decode_answer,
+        rows.decode_committed_version,
+        rows.decode_conflicting_keys,
+    ):
         read(data)
     document = parse_json(data)
-    assert not isinstance(documents.target("i-1", document), Target)
+    assert not isinstance(documents.decode_target("i-1", document), Target)
     assert not isinstance(decode(document, LeaseRow), LeaseRow)
     value = base64.b64encode(data).decode()
     answer = {"rows": [{**GOOD, "key": "i-1", "value": value}], "ver": 4}
@@ -167,7 +171,7 @@
 @CASES
 @given(VALUES | changed(json.loads(json.dumps({"rows": [GOOD], "ver": 4}))))
 def test_any_answer_is_read_or_none(value):
-    found = rows.store_answer(json.dumps(value).encode())
+    found = rows.decode_answer(json.dumps(value).encode())
     if not isinstance(found, Unreadable):
         assert type(found.version) is int
         assert all(isinstance(row.key, str) for row in found.rows)
@@ -186,7 +190,7 @@
 @CASES
 @given(CBOR.map(cbor2.dumps))
 def test_cbor_is_no_json(data):
-    assert isinstance(documents.target("i-1", parse_json(data)), Unreadable)
+    assert isinstance(documents.decode_target("i-1", parse_json(data)), Unreadable)
 
 
 def test_a_value_nested_too_deep_is_unreadable():
--- a/mallowpond/platform/tests/test_callers.py
+++ b/mallowpond/platform/tests/test_callers.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mallowpond.node.ports import InvalidRequest
-from mallowpond.platform.callers import MOST_TOKENS, PlatformCallers
+from mallowpond.platform.callers import MAX_TOKENS, PlatformCallerProtocol
 from mallowpond.transport.http_server import HttpRequest
 
 WHOLE = (
@@ -33,7 +33,7 @@
         body=b"b",
         header_list=tuple(headers),
     )
-    return PlatformCallers().read(request)
+    return PlatformCallerProtocol().read(request)
 
 
 def test_each_header_is_decoded_once():
@@ -88,8 +88,8 @@
         ("x-mallowpond-token-counts", text),
         ("x-mallowpond-deadline-ms", text),
     )
-    assert 0 <= found.prompt_tokens <= MOST_TOKENS
-    assert 0 <= found.answer_tokens <= MOST_TOKENS
+    assert 0 <= found.prompt_tokens <= MAX_TOKENS
+    assert 0 <= found.answer_tokens <= MAX_TOKENS
     assert found.seconds_left is None or 0 <= found.seconds_left < float("inf")
 
 
--- a/mallowpond/platform/tests/test_documents.py
+++ b/mallowpond/platform/tests/test_documents.py
@@ -64,7 +64,7 @@
 
 
 def test_a_configuration_is_decoded_whole():
-    site = documents.configuration(DOCUMENT)
+    site = documents.decode_configuration(DOCUMENT)
     stream, other = site.routes
     assert site.version == 7
     assert (stream.repeat, stream.resumable) == (RepeatPolicy.STREAM, True)
@@ -85,11 +85,13 @@
     Sequence: a new kind of route comes into force before this program knows it.
     Cause: an unknown kind was taken for one that may be repeated.
     """
-    assert documents.configuration(DOCUMENT).routes[1].repeat is RepeatPolicy.ONCE
+    assert (
+        documents.decode_configuration(DOCUMENT).routes[1].repeat is RepeatPolicy.ONCE
+    )
 
 
 def test_an_empty_configuration_is_one():
-    site = documents.configuration({"version": 1})
+    site = documents.decode_configuration({"version": 1})
     assert site.routes == ()
     assert not site.uses_keys
 
@@ -110,16 +112,16 @@
         "staged": ["m"],
         "group": {"name": "g", "epoch": 3, "rank": 0, "state": "open"},
     }
-    target = documents.target("i-1", row)
+    target = documents.decode_target("i-1", row)
     assert target.draining
     assert (target.service, target.address) == ("s", "10.0.0.1:80")
     assert (target.data_centre, target.slots) == ("a", 13)
     assert (target.domain, target.model, target.staged) == ("d1", "m", ("m",))
     assert target.membership.phase is GroupPhase.OPEN
     assert target.process == Process(id="i-1", born=1_733_184_000_000)
-    free = documents.target("i-2", {**row, "group": None})
+    free = documents.decode_target("i-2", {**row, "group": None})
     assert free.membership is None
-    assert documents.target("i-3", {}) == Unreadable(
+    assert documents.decode_target("i-3", {}) == Unreadable(
         fault=DecodeFault.MISSING, field="service"
     )
 
@@ -168,7 +170,7 @@
     Cause: its decoding raised in the task that follows the configuration; taken in
     part, what is missing of it would be refused for a reason that is not true.
     """
-    assert isinstance(documents.configuration(document), Unreadable)
+    assert isinstance(documents.decode_configuration(document), Unreadable)
 
 
 @pytest.mark.parametrize(
@@ -190,36 +192,38 @@
     for step in part:
         holder = holder[step]
     del holder[name]
-    found = documents.configuration(document)
+    found = documents.decode_configuration(document)
     assert isinstance(found, Unreadable)
     assert found.fault is DecodeFault.MISSING
 
 
 @pytest.mark.parametrize("document", [None, 7, "x", True, [], [DOCUMENT], {}])
 def test_what_is_no_configuration_is_unreadable(document):
-    assert isinstance(documents.configuration(document), Unreadable)
+    assert isinstance(documents.decode_configuration(document), Unreadable)
 
 
 def test_an_empty_key_lets_nobody_in():
     tenants = [{"name": "w", "api_keys": [""]}]
-    found = documents.configuration({**DOCUMENT, "tenants": tenants})
+    found = documents.decode_configuration({**DOCUMENT, "tenants": tenants})
     assert isinstance(found, Unreadable)
 
 
 @pytest.mark.parametrize("path", ["x", "/a b", "/é", "/a\r\nx: y"])
 def test_a_health_path_that_cannot_be_asked_for_is_unreadable(path):
     services = [{"name": "s", "health_path": path}]
-    found = documents.configuration({**DOCUMENT, "services": services})
+    found = documents.decode_configuration({**DOCUMENT, "services": services})
     assert isinstance(found, Unreadable)
 
 
 def test_null_and_unknown_fields_count_as_missing():
     document = {"version": 1, "routes": None, "limits": None, "x": {"y": [1]}}
-    assert documents.configuration(document) == documents.configuration({"version": 1})
+    assert documents.decode_configuration(document) == documents.decode_configuration(
+        {"version": 1}
+    )
 
 
 @pytest.mark.parametrize("name", ["", " ", "w ", "wörk", "a\r\nx: y"])
 def test_a_workspace_that_no_header_can_name_is_unreadable(name):
     tenants = [{"name": name, "api_keys": ["k"]}]
-    found = documents.configuration({**DOCUMENT, "tenants": tenants})
+    found = documents.decode_configuration({**DOCUMENT, "tenants": tenants})
     assert isinstance(found, Unreadable)
--- a/mallowpond/platform/tests/test_engines.py
+++ b/mallowpond/platform/tests/test_engines.py
@@ -45,7 +45,7 @@
     Which field was wrong cannot be seen where the machine stood still for the 0.15 s
     that a report may take: one of these tests failed so beside other work.
     """
-    monkeypatch.setattr(engines_module, "REPORT_SECONDS", 10.0)
+    monkeypatch.setattr(engines_module, "QUERY_TIMEOUT_SECONDS", 10.0)
 
 
 def target_at(address):
--- a/mallowpond/platform/tests/test_entries.py
+++ b/mallowpond/platform/tests/test_entries.py
@@ -82,7 +82,7 @@
 
 
 def test_a_whole_entry_is_a_target():
-    target = documents.target("i-1", ENTRY)
+    target = documents.decode_target("i-1", ENTRY)
     assert isinstance(target, Target)
     assert (target.born, target.slots, target.domain) == (1_733_184_000_000, 13, "d1")
 
@@ -96,25 +96,27 @@
     Cause: its decoding raised, and with it that of the whole answer; or the value was
     taken as it was, and work was sent by it.
     """
-    assert not isinstance(documents.target("i-1", with_field(name, value)), Target)
+    assert not isinstance(
+        documents.decode_target("i-1", with_field(name, value)), Target
+    )
 
 
 @pytest.mark.parametrize(("name", "value"), BAD_GROUPS)
 def test_an_entry_with_a_bad_group_is_no_target(name, value):
-    found = documents.target("i-1", with_group_field(name, value))
+    found = documents.decode_target("i-1", with_group_field(name, value))
     assert not isinstance(found, Target)
 
 
 @pytest.mark.parametrize("row", [None, 7, "x", True, [], [1], {}, [ENTRY]])
 def test_what_is_no_entry_at_all_is_no_target(row):
-    assert not isinstance(documents.target("i-1", row), Target)
+    assert not isinstance(documents.decode_target("i-1", row), Target)
 
 
 @pytest.mark.parametrize(
     "key", ["", " ", "a b", "a\n", "é", "x" * 129, "a/b", 7, None, "i-"]
 )
 def test_an_entry_under_a_key_that_is_no_id_is_no_target(key):
-    assert not isinstance(documents.target(key, ENTRY), Target)
+    assert not isinstance(documents.decode_target(key, ENTRY), Target)
 
 
 @pytest.mark.parametrize(
@@ -139,4 +141,6 @@
 )
 def test_what_may_differ_between_whole_entries_makes_none_unreadable(changes):
     entry = {k: v for k, v in {**ENTRY, **changes}.items() if v is not GONE}
-    assert isinstance(documents.target("i-1", json.loads(json.dumps(entry))), Target)
+    assert isinstance(
+        documents.decode_target("i-1", json.loads(json.dumps(entry))), Target
+    )
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -15,7 +15,7 @@
 from mallowpond.node.outcomes import Answered
 from mallowpond.node.tests.fakes import FakeClock, FakeSource
 from mallowpond.node.traffic import TrafficSeen
-from mallowpond.platform.callers import PlatformCallers
+from mallowpond.platform.callers import PlatformCallerProtocol
 from mallowpond.state.fleet import EngineProfile, ModelSpec
 from mallowpond.state.site_configuration import (
     Backend,
@@ -82,7 +82,7 @@
         clock.time += 5.0
     calls = FakeService()
     ingress = Ingress(
-        callers=PlatformCallers(),
+        callers=PlatformCallerProtocol(),
         configuration=follower,
         streams=FakeService(),
         calls=calls,
