--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -40,7 +40,7 @@
             self._admit_waiting()
 
     def record_result(self, *, answered: bool) -> None:
-        """Grow the window for a call that was answered, or shrink it for one that was not."""
+        """Grow the window for an answered call, shrink it for an unanswered one."""
         if answered:
             self._window.record_success()
         else:
