--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -349,7 +349,7 @@
             self.placement.wake(work.model.name)
         else:
             gap = now - stream.last_event_at
-            self._metrics.gap.observe(gap)
+            self._metrics.event_gap.observe(gap)
             load = self._directory.loads.load_of(stream.group, stream.work.profile)
             predicted = pass_seconds(work.profile, work.model, load)
             self._directory.loads.record_gap(stream.key, gap, predicted)
