--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallFailed:
-    """A call failed; `bytes_left` tells whether the server may have seen any of it."""
+    """Describe a failed call: the phase it failed in and the reason."""
 
     phase: FailurePhase
     reason: str
 
     @property
     def bytes_left(self) -> bool:
-        """Tell whether any byte of the request may have left this host."""
+        """Return whether any byte of the request may have left this host."""
         return self.phase not in (
             FailurePhase.CONNECT,
             FailurePhase.CLOSED_BEFORE_SEND,
@@ -238,8 +238,8 @@
         An answer whose header `echo` has another value belongs to an earlier request
         and is skipped.
 
-        With `fresh` no kept connection is used: a server may close one at the very
-        moment of sending, and then nobody can tell whether the request ran.
+        `fresh` opens a connection of its own: a server may close an idle one while
+        the request is being sent, and then it is unknown whether the request ran.
         """
         connection = None if fresh else self._take(address)
         if connection is None:
