--- a/mallowpond/gateway/dispatch.py
+++ b/mallowpond/gateway/dispatch.py
@@ -118,7 +118,7 @@
     match answer:
         case CallFailed(phase=FailurePhase.CONNECT):
             return NotStarted(reason="connect_failed")
-        case CallFailed() if not answer.bytes_left:
+        case CallFailed() if not answer.may_have_sent:
             return NotStarted(reason="connection_closed")
         case CallFailed(phase=phase):
             return MaybeRun(reason=f"cut_{phase.value}")
--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -217,8 +217,8 @@
             last_event=None,
         )
         if isinstance(response, CallFailed):
-            reason = Reason.MAYBE_RUN if response.bytes_left else Reason.CONNECT
-            return NoReply(reason=reason, may_have_run=response.bytes_left)
+            reason = Reason.MAYBE_RUN if response.may_have_sent else Reason.CONNECT
+            return NoReply(reason=reason, may_have_run=response.may_have_sent)
         try:
             body = await response.read()
         finally:
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -264,7 +264,7 @@
             last_event=work.last_event_id,
         )
         if isinstance(response, CallFailed):
-            if response.bytes_left:
+            if response.may_have_sent:
                 return Interrupted(reason=Reason.BROKEN_STREAM)
             self._back_off(work, stream.group)
             self._log_rejected(work, stream.group, Reason.CONNECT)
--- a/mallowpond/transport/engine_client.py
+++ b/mallowpond/transport/engine_client.py
@@ -26,7 +26,7 @@
             address, "POST", "/engine/order", body=to_json(order), timeout=self._timeout
         )
         match answer:
-            case CallFailed() if answer.bytes_left:
+            case CallFailed() if answer.may_have_sent:
                 return OrderUnknown(reason=answer.reason)
             case CallFailed(reason=reason):
                 return OrderRefused(reason=reason)
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -43,7 +43,7 @@
     reason: str
 
     @property
-    def bytes_left(self) -> bool:
+    def may_have_sent(self) -> bool:
         """Return whether any byte of the request may have left this host."""
         return self.phase not in (
             FailurePhase.CONNECT,
--- a/mallowpond/transport/table_client.py
+++ b/mallowpond/transport/table_client.py
@@ -50,7 +50,7 @@
             timeout=self._timeout,
         )
         match answer:
-            case CallFailed() if answer.bytes_left:
+            case CallFailed() if answer.may_have_sent:
                 return Unknown(reason=answer.reason)
             case CallFailed():
                 return Unavailable(reason=answer.reason)
--- a/mallowpond/transport/tests/test_http_client.py
+++ b/mallowpond/transport/tests/test_http_client.py
@@ -31,7 +31,7 @@
 async def test_refused_connection_left_no_byte():
     answer = await call("127.0.0.1:1")
     assert answer.phase is FailurePhase.CONNECT
-    assert not answer.bytes_left
+    assert not answer.may_have_sent
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
     async with scripted.scripted_server(script) as address:
         answer = await call(address)
     assert isinstance(answer, CallFailed)
-    assert answer.bytes_left
+    assert answer.may_have_sent
 
 
 async def test_whole_chunked_answer_is_whole():
