--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -30,8 +30,8 @@
 )
 from mallowpond.state.target_notice import TargetNotice
 from mallowpond.transport.http_client import (
+    BufferedResponse,
     CallFailed,
-    HttpAnswer,
     HttpClient,
     HttpResponse,
 )
@@ -163,14 +163,16 @@
         match answer:
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
-            case HttpAnswer(status=421):
+            case BufferedResponse(status=421):
                 return Unavailable(reason="another engine has this address")
-            case HttpAnswer(status=200):
+            case BufferedResponse(status=200):
                 return self._check_process(target, answer)
             case _:
                 return False
 
-    def _check_process(self, target: Target, answer: HttpAnswer) -> bool | Unavailable:
+    def _check_process(
+        self, target: Target, answer: BufferedResponse
+    ) -> bool | Unavailable:
         """Tell whether it is the process asked for that called itself healthy."""
         if answer.headers.get(names.INSTANCE) != target.id:
             return Unavailable(reason="another engine answered")
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -206,7 +206,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HttpAnswer:
+class BufferedResponse:
     """Hold one answer, read to its end."""
 
     status: int
@@ -289,7 +289,7 @@
         headers: Headers = (),
         body: bytes = b"",
         timeout: float = 5.0,
-    ) -> HttpAnswer | CallFailed:
+    ) -> BufferedResponse | CallFailed:
         """Send a request and return its whole answer, within `timeout`."""
         response: HttpResponse | CallFailed | None = None
         try:
@@ -309,7 +309,9 @@
                 response.close()
         if isinstance(data, CallFailed):
             return data
-        return HttpAnswer(status=response.status, headers=response.headers, body=data)
+        return BufferedResponse(
+            status=response.status, headers=response.headers, body=data
+        )
 
     def give_back(self, connection: _Connection) -> None:
         """Keep a connection for the next request to its server."""
