--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -153,7 +153,7 @@
 
     async def is_healthy(self, target: Target, path: str) -> bool | Unavailable:
         """Ask whether a target is healthy and not leaving; a full one says no."""
-        answer = await self._http.ask(
+        answer = await self._http.fetch_response(
             target.address,
             "GET",
             path,
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -273,14 +273,14 @@
         timeout: float = 5.0,
     ) -> tuple[int, bytes] | CallFailed:
         """Send a request and return status and whole body, within `timeout`."""
-        answer = await self.ask(
+        answer = await self.fetch_response(
             address, method, target, headers=headers, body=body, timeout=timeout
         )
         return (
             answer if isinstance(answer, CallFailed) else (answer.status, answer.body)
         )
 
-    async def ask(
+    async def fetch_response(
         self,
         address: str,
         method: str,
