--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -197,7 +197,7 @@
             self._accept, limit=READ_SIZE, backlog=1024, **where
         )
 
-    def keep_no_connections(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Let a connection carry one request only; close those that wait for another.
 
         A connection whose answer began before a stop was announced does not know of it:
--- a/mallowpond/transport/tests/test_http_server.py
+++ b/mallowpond/transport/tests/test_http_server.py
@@ -157,7 +157,7 @@
         # own task would go on with them one later.
         for _ in range(2):
             await asyncio.sleep(0)
-        server.keep_no_connections()
+        server.disable_keep_alive()
         assert (await reader.read()).endswith(b"hello")
     writer.close()
     await server.close()
@@ -192,7 +192,7 @@
         writer.write(OK.replace(b"/", b"/first", 1))
         while not targets:
             await asyncio.sleep(0.001)
-        server.keep_no_connections()
+        server.disable_keep_alive()
         writer.write(OK.replace(b"/", b"/next", 1))
         await asyncio.sleep(0.01)
         end.set()
