--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -319,7 +319,7 @@
                 self.streams.placement.end_waits()
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._release_lease()
-        self.ingress.server.refuse_more()
+        self.ingress.server.refuse_new_requests()
         log.info("node: drained", in_flight=self.ingress.in_flight)
 
     async def _release_lease(self) -> None:
--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -208,7 +208,7 @@
         for task in list(self._idle):
             task.cancel()
 
-    def refuse_more(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Take no further request; those in progress go on.
 
         Without this, a request that came between the end of the last one and the
--- a/mallowpond/transport/tests/test_http_server.py
+++ b/mallowpond/transport/tests/test_http_server.py
@@ -122,7 +122,7 @@
     busy_writer.write(OK)
     while not taken:
         await asyncio.sleep(0.01)
-    server.refuse_more()
+    server.refuse_new_requests()
     late_writer.write(OK)
     async with asyncio.timeout(5.0):
         assert await _read_all(late) == b""
@@ -256,7 +256,7 @@
         while not handed_over.is_set():
             got += len(await reader.read(1024))
         if stops_first:
-            server.refuse_more()
+            server.refuse_new_requests()
         closing = asyncio.create_task(server.close())
         await asyncio.sleep(0.05)
         while data := await reader.read(1024):
@@ -301,7 +301,7 @@
             closing = asyncio.create_task(server.close())
             await asyncio.sleep(0)
         else:
-            server.refuse_more()
+            server.refuse_new_requests()
         while data := await reader.read(1024):
             got += len(data)
         if closes:
