--- a/mallowpond/gateway/service.py
+++ b/mallowpond/gateway/service.py
@@ -36,7 +36,7 @@
 from mallowpond.transport.http_client import HttpClient
 from mallowpond.transport.http_server import (
     BadInput,
-    ClientGone,
+    ClientDisconnected,
     Exchange,
     HttpRequest,
     HttpServer,
@@ -183,7 +183,7 @@
         try:
             with structlog.contextvars.bound_contextvars(request=request_id):
                 await self._serve(request, exchange, request_id)
-        except (ClientGone, asyncio.CancelledError):
+        except (ClientDisconnected, asyncio.CancelledError):
             self.metrics.clients_gone.inc()
             raise
         except Exception:
--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -56,7 +56,7 @@
     detail: str
 
 
-class ClientGone(Exception):
+class ClientDisconnected(Exception):
     """The client closed its connection before the answer was complete."""
 
 
@@ -122,7 +122,7 @@
 
     async def _write(self, data: bytes) -> None:
         if self._writer.is_closing():
-            raise ClientGone
+            raise ClientDisconnected
         self._writer.write(data)
         if self._writer.transport.get_write_buffer_size() == 0:
             # All of it went out: waiting would only cost time on every chunk.
@@ -133,7 +133,7 @@
             async with asyncio.timeout(self._send_seconds):
                 await self._writer.drain()
         except (ConnectionError, TimeoutError) as error:
-            raise ClientGone from error
+            raise ClientDisconnected from error
 
 
 Handler = Callable[[HttpRequest, Exchange], Awaitable[None]]
@@ -243,7 +243,7 @@
         self._connections.add(task)
         try:
             await self._converse(reader, writer)
-        except (ConnectionError, asyncio.CancelledError, ClientGone):
+        except (ConnectionError, asyncio.CancelledError, ClientDisconnected):
             pass
         finally:
             await self._part(task, writer)
@@ -330,7 +330,7 @@
             await asyncio.wait({work, watch}, return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
                 work.cancel("client gone")
-            with contextlib.suppress(asyncio.CancelledError, ClientGone):
+            with contextlib.suppress(asyncio.CancelledError, ClientDisconnected):
                 await work
         finally:
             work.cancel()
