--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -169,7 +169,7 @@
         self._idle: set[asyncio.Task[None]] = set()
         self._parting: set[asyncio.Task[None]] = set()
         self._cut: set[asyncio.Task[None]] = set()
-        self._refusing = False
+        self._refuses_requests = False
         self._keeps_connections = True
         self._is_closing = False
 
@@ -214,7 +214,7 @@
         Without this, a request that came between the end of the last one and the
         close of the server was passed on and cut off.
         """
-        self._refusing = True
+        self._refuses_requests = True
         if self._server is not None:
             self._server.close()
         # Cancelled, a connection that is being closed would drop the end of its answer.
@@ -277,7 +277,7 @@
             h11.SERVER, max_incomplete_event_size=self._limits.header_bytes
         )
         for earlier in itertools.count():
-            if self._refusing or self._is_closing:
+            if self._refuses_requests or self._is_closing:
                 # Accepted in the last pass of the loop, it was not among those that
                 # the close ended, and its request was served after it.
                 return
@@ -294,7 +294,7 @@
             except _Unreadable as unreadable:
                 await self._on_bad_input(unreadable.bad, exchange)
                 return
-            if request is None or self._refusing:
+            if request is None or self._refuses_requests:
                 return
             task = asyncio.current_task()
             assert task is not None
@@ -375,7 +375,7 @@
         except TimeoutError:
             return await _read_arrived(reader)
         except asyncio.CancelledError:
-            if self._refusing or self._is_closing:
+            if self._refuses_requests or self._is_closing:
                 raise
             task.uncancel()
             return await _read_arrived(reader)
