--- a/mallowpond/gateway/request_parser.py
+++ b/mallowpond/gateway/request_parser.py
@@ -10,7 +10,7 @@
 from mallowpond.gateway.serving import TargetPool
 from mallowpond.protocol.caller import (
     CallerHeaders,
-    Completion,
+    CompletionRequest,
     parse_completion,
     parse_headers,
 )
@@ -153,7 +153,7 @@
         workspace: Workspace,
         pool: TargetPool,
         repeatable: bool,
-        completion: Completion | None,
+        completion: CompletionRequest | None,
         deadline: float,
     ) -> ParsedRequest:
         attempt = Attempt(
--- a/mallowpond/gateway/tests/test_bad_input.py
+++ b/mallowpond/gateway/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 from mallowpond.gateway.tests.callers import counter, runs, send, serving_site
 from mallowpond.protocol.caller import (
     CallerHeaders,
-    Completion,
+    CompletionRequest,
     parse_completion,
     parse_headers,
 )
@@ -94,13 +94,15 @@
 @given(st.dictionaries(fields, json_values), st.booleans())
 def test_any_json_is_read_or_refused(asked, is_chat):
     read = parse_completion(json.dumps(asked).encode(), is_chat=is_chat)
-    assert isinstance(read, Completion | Problem)
+    assert isinstance(read, CompletionRequest | Problem)
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.binary(), st.booleans())
 def test_any_bytes_are_read_or_refused(body, is_chat):
-    assert isinstance(parse_completion(body, is_chat=is_chat), Completion | Problem)
+    assert isinstance(
+        parse_completion(body, is_chat=is_chat), CompletionRequest | Problem
+    )
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
--- a/mallowpond/protocol/caller.py
+++ b/mallowpond/protocol/caller.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Completion:
+class CompletionRequest:
     """Hold what the gateway needs to know of a completion."""
 
     model: str
@@ -57,7 +57,7 @@
     )
 
 
-def parse_completion(body: bytes, *, is_chat: bool) -> Completion | Problem:
+def parse_completion(body: bytes, *, is_chat: bool) -> CompletionRequest | Problem:
     """Read the body of a completion."""
     try:
         asked = json.loads(body)
@@ -78,7 +78,7 @@
     if prefix is None:
         field = "'messages' is a list of objects" if is_chat else "'prompt' is a text"
         return _bad("bad_field", f"{field}, and not empty.")
-    return Completion(
+    return CompletionRequest(
         model=asked["model"],
         stream=bool(asked.get("stream")),
         max_tokens=tokens,
