--- a/mallowpond/transport/__init__.py
+++ b/mallowpond/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets: HTTP by h11, links between our processes by websockets."""
+"""Sockets: HTTP over h11, links between processes over websockets."""
 
 __all__ = [
     "engine_client",
--- a/mallowpond/transport/engine_client.py
+++ b/mallowpond/transport/engine_client.py
@@ -1,4 +1,4 @@
-"""Order and observe engines over HTTP."""
+"""Send orders to engines and read their status over HTTP."""
 
 from mallowpond.coordination.ports import (
     EngineStatus,
@@ -14,14 +14,14 @@
 
 
 class EngineClient:
-    """Reach the engines on target hosts."""
+    """HTTP client of the engines on target hosts."""
 
     def __init__(self, *, http: HttpClient, timeout: float = 1.0) -> None:
         self._http = http
         self._timeout = timeout
 
     async def order(self, address: str, order: Order) -> OrderResult:
-        """Send one order."""
+        """Send one order; `OrderUnknown` means that it may have arrived."""
         answer = await self._http.fetch(
             address, "POST", "/engine/order", body=to_json(order), timeout=self._timeout
         )
@@ -38,7 +38,7 @@
                 return OrderUnknown(reason=f"status {status}")
 
     async def status(self, address: str) -> EngineStatus | Unavailable:
-        """Ask an engine what it holds."""
+        """Return an engine's status."""
         answer = await self._http.fetch(
             address, "GET", "/engine/status", timeout=self._timeout
         )
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -1,4 +1,4 @@
-"""Call HTTP/1.1 servers with h11 and tell exactly how far a call came."""
+"""HTTP/1.1 client on h11 that reports in which phase a call failed."""
 
 import asyncio
 import re
@@ -11,22 +11,23 @@
 import h11
 
 from mallowpond.transport.headers import decode_headers, list_headers
-from mallowpond.transport.timeouts import answer_timeout
+from mallowpond.transport.timeouts import lag_tolerant_timeout
 
 READ_SIZE = 65536
-MAX_IDLE_PER_ADDRESS = 32
-# Share of a server's announced idle timeout up to which a connection is used again.
-IDLE_SHARE = 0.75
-# Answers to earlier requests that are skipped on one connection, at most.
-MAX_SKIPPED_ANSWERS = 4
+MAX_IDLE_PER_SERVER = 32
+# Fraction of a server's announced keep-alive timeout during which an idle connection
+# is reused.
+KEEP_ALIVE_FRACTION = 0.75
+# Largest number of responses to earlier requests that are skipped for one request.
+MAX_STALE_RESPONSES = 4
 METHODS_WITHOUT_BODY = frozenset({"GET", "HEAD", "DELETE"})
-# A number of more digits, which may not fit into a time, counts as none.
-KEEP_ALIVE_SECONDS = re.compile(r"timeout=([0-9]{1,9})(?![0-9])")
+# Longer numbers may overflow a float, so the header then counts as absent.
+KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=([0-9]{1,9})(?![0-9])")
 Headers = tuple[tuple[str, str], ...]
 
 
 class FailurePhase(str, Enum):
-    """Say where on its way a call failed."""
+    """Phase in which a call failed."""
 
     CONNECT = "connect"
     CLOSED_BEFORE_SEND = "closed_before_send"
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Chunk:
-    """Carry bytes of an answer; chunks that arrived together come as one."""
+    """Bytes of a response body; chunks that arrived together are merged."""
 
     data: bytes
 
 
 @dataclass(frozen=True, kw_only=True)
 class End:
-    """Mark that the answer arrived whole."""
+    """The response is complete."""
 
 
 BodyEvent = Chunk | End | CallFailed
@@ -81,11 +82,11 @@
         if time.monotonic() > self.reusable_until:
             return False
         if self.writer.transport.get_write_buffer_size() > 0:
-            # The server answered before it read the whole body; a next request
-            # would stand where the rest of that body is due.
+            # The server answered before it read the whole request body; it would take
+            # the next request for the rest of that body.
             return False
-        # Bytes that came after a whole answer belong to no request: the next
-        # caller on this connection would be given them as its own answer.
+        # Bytes after a complete response belong to no request; the next caller on
+        # this connection would receive them as its response.
         return not (self.reader._buffer or self.state.trailing_data[0])
 
     def abort(self) -> None:
@@ -93,44 +94,50 @@
 
 
 class _SilenceWatch:
-    """Abort a connection that falls silent, at no cost for each chunk."""
+    """Aborts a connection that receives no bytes for `seconds`.
+
+    One timer that is rearmed when it fires; received bytes only record the time.
+    """
 
     def __init__(self, *, connection: _Connection, seconds: float | None) -> None:
         self._connection = connection
         self._seconds = seconds
         self._loop = asyncio.get_running_loop()
-        self._heard_at = self._loop.time()
+        self._last_data_at = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
         if seconds is not None:
-            self._timer = self._loop.call_later(seconds, self._look)
+            self._timer = self._loop.call_later(seconds, self._check)
 
-    def note(self) -> None:
-        """Note that bytes came."""
-        self._heard_at = self._loop.time()
+    def on_data(self) -> None:
+        """Record that bytes were received."""
+        self._last_data_at = self._loop.time()
 
     def close(self) -> None:
         """Stop watching."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _look(self) -> None:
-        left = self._heard_at + (self._seconds or 0.0) - self._loop.time()
+    def _check(self) -> None:
+        left = self._last_data_at + (self._seconds or 0.0) - self._loop.time()
         if left <= 0:
-            # The reader wakes with the end of the stream, short of its own end.
+            # The pending read returns the end of the stream, before the response's end.
             self._connection.abort()
             return
-        self._timer = self._loop.call_later(left, self._look)
+        self._timer = self._loop.call_later(left, self._check)
 
 
 class HttpResponse:
-    """Read one answer; closing it early drops the connection, never reuses it."""
+    """A response whose head has arrived and whose body is read as a stream.
+
+    Closing it before the end aborts its connection instead of reusing it.
+    """
 
     def __init__(
         self, *, head: h11.Response, connection: _Connection, client: "HttpClient"
     ) -> None:
         self._connection = connection
         self._client = client
-        self._done = False
+        self._is_complete = False
         self.status = head.status_code
         self.headers = decode_headers(head.headers)
         self.header_list = list_headers(head.headers)
@@ -138,7 +145,10 @@
     async def events(
         self, silence_seconds: float | None = None
     ) -> AsyncIterator[BodyEvent]:
-        """Yield chunks, then one `End` or `CallFailed`; a silent body fails."""
+        """Yield chunks, then one `End` or `CallFailed`.
+
+        Without a byte for `silence_seconds` the response fails.
+        """
         watch = _SilenceWatch(connection=self._connection, seconds=silence_seconds)
         try:
             async for event in self._events(watch):
@@ -164,14 +174,14 @@
                     except ConnectionError as error:
                         yield CallFailed(phase=FailurePhase.BODY, reason=str(error))
                         return
-                    watch.note()
+                    watch.on_data()
                     continue
             if pending:
                 yield Chunk(data=bytes(pending))
                 pending.clear()
             match event:
                 case h11.EndOfMessage():
-                    self._done = True
+                    self._is_complete = True
                     yield End()
                     return
                 case CallFailed():
@@ -182,7 +192,7 @@
                     return
 
     async def read(self, limit: int = 64 * 1024 * 1024) -> bytes | CallFailed:
-        """Return the whole body."""
+        """Return the whole body; it fails above `limit` bytes."""
         body = bytearray()
         async for event in self.events():
             match event:
@@ -195,19 +205,19 @@
         return bytes(body)
 
     def close(self) -> None:
-        """Give the connection back when the answer was whole, else drop it."""
-        # A connection with an unread rest would hand one caller's late answer to
-        # the next caller; one would notice it by answers that do not match.
-        if self._done and self._connection.state.our_state is h11.DONE:
+        """Release the connection for reuse; abort it if the response is incomplete."""
+        # On a connection with unread bytes, the next caller would receive the rest of
+        # this response, and responses would no longer match their requests.
+        if self._is_complete and self._connection.state.our_state is h11.DONE:
             self._connection.reusable_until = _reusable_until(self.headers)
-            self._client.give_back(self._connection)
+            self._client.release(self._connection)
         else:
             self._connection.abort()
 
 
 @dataclass(frozen=True, kw_only=True)
 class BufferedResponse:
-    """Hold one answer, read to its end."""
+    """A response that was read completely."""
 
     status: int
     headers: dict[str, str]
@@ -215,7 +225,7 @@
 
 
 class HttpClient:
-    """Keep connections to many servers."""
+    """HTTP client with a pool of idle connections for each server."""
 
     def __init__(self, *, connect_seconds: float = 1.0) -> None:
         self._connect_seconds = connect_seconds
@@ -233,34 +243,34 @@
         fresh: bool = False,
         echo: tuple[str, str] | None = None,
     ) -> HttpResponse | CallFailed:
-        """Send a request and return once the head of the answer is here.
+        """Send a request and return when the head of the response has arrived.
 
-        An answer whose header `echo` has another value belongs to an earlier request
-        and is skipped.
+        `echo` is a header name and value that the server copies from the request. A
+        response with another value belongs to an earlier request and is skipped.
 
         `fresh` opens a connection of its own: a server may close an idle one while
         the request is being sent, and then it is unknown whether the request ran.
         """
-        connection = None if fresh else self._take(address)
+        connection = None if fresh else self._take_idle(address)
         if connection is None:
-            opened = await self._open(address)
-            if isinstance(opened, CallFailed):
-                return opened
-            connection = opened
+            connected = await self._connect(address)
+            if isinstance(connected, CallFailed):
+                return connected
+            connection = connected
         try:
             data = _start_request(connection, method, target, headers, body)
-            answer = await _exchange(connection, data)
+            response = await _exchange(connection, data)
             if echo is not None:
-                answer = await _own_answer(
-                    connection, answer, method, target, headers, body, echo
+                response = await _skip_stale_responses(
+                    connection, response, method, target, headers, body, echo
                 )
         except BaseException:
             connection.abort()
             raise
-        if isinstance(answer, CallFailed):
+        if isinstance(response, CallFailed):
             connection.abort()
-            return answer
-        return HttpResponse(head=answer, connection=connection, client=self)
+            return response
+        return HttpResponse(head=response, connection=connection, client=self)
 
     async def fetch(
         self,
@@ -272,12 +282,14 @@
         body: bytes = b"",
         timeout: float = 5.0,
     ) -> tuple[int, bytes] | CallFailed:
-        """Send a request and return status and whole body, within `timeout`."""
-        answer = await self.fetch_response(
+        """Send a request; return status and whole body within `timeout` seconds."""
+        response = await self.fetch_response(
             address, method, target, headers=headers, body=body, timeout=timeout
         )
         return (
-            answer if isinstance(answer, CallFailed) else (answer.status, answer.body)
+            response
+            if isinstance(response, CallFailed)
+            else (response.status, response.body)
         )
 
     async def fetch_response(
@@ -290,10 +302,10 @@
         body: bytes = b"",
         timeout: float = 5.0,
     ) -> BufferedResponse | CallFailed:
-        """Send a request and return its whole answer, within `timeout`."""
+        """Send a request; return the whole response within `timeout` seconds."""
         response: HttpResponse | CallFailed | None = None
         try:
-            async with answer_timeout(timeout):
+            async with lag_tolerant_timeout(timeout):
                 response = await self.send(
                     address, method, target, headers=headers, body=body
                 )
@@ -301,8 +313,8 @@
                     return response
                 data = await response.read()
         except TimeoutError:
-            # The connection itself is opened under a shorter limit of its own, so
-            # a timeout here means that bytes may have left.
+            # Connecting has a shorter timeout of its own, so bytes of the request may
+            # have left when this one expires.
             return CallFailed(phase=FailurePhase.BEFORE_HEAD, reason="timeout")
         finally:
             if isinstance(response, HttpResponse):
@@ -313,10 +325,10 @@
             status=response.status, headers=response.headers, body=data
         )
 
-    def give_back(self, connection: _Connection) -> None:
-        """Keep a connection for the next request to its server."""
+    def release(self, connection: _Connection) -> None:
+        """Return a connection to the pool for the next request to its server."""
         idle = self._idle[connection.address]
-        if self._closed or len(idle) >= MAX_IDLE_PER_ADDRESS:
+        if self._closed or len(idle) >= MAX_IDLE_PER_SERVER:
             connection.abort()
             return
         try:
@@ -327,14 +339,14 @@
         idle.append(connection)
 
     async def close(self) -> None:
-        """Drop every kept connection."""
+        """Close every idle connection."""
         self._closed = True
         for connections in self._idle.values():
             for connection in connections:
                 connection.abort()
         self._idle.clear()
 
-    def _take(self, address: str) -> _Connection | None:
+    def _take_idle(self, address: str) -> _Connection | None:
         idle = self._idle[address]
         while idle:
             connection = idle.pop()
@@ -343,10 +355,10 @@
             connection.abort()
         return None
 
-    async def _open(self, address: str) -> _Connection | CallFailed:
+    async def _connect(self, address: str) -> _Connection | CallFailed:
         host, _, port = address.rpartition(":")
         try:
-            async with answer_timeout(self._connect_seconds):
+            async with lag_tolerant_timeout(self._connect_seconds):
                 reader, writer = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError) as error:
             reason = str(error) or "connect timeout"
@@ -355,17 +367,17 @@
 
 
 def _reusable_until(headers: dict[str, str]) -> float:
-    found = KEEP_ALIVE_SECONDS.search(headers.get("keep-alive", ""))
+    found = KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
     if found is None:
         return float("inf")
-    return time.monotonic() + IDLE_SHARE * int(found.group(1))
+    return time.monotonic() + KEEP_ALIVE_FRACTION * int(found.group(1))
 
 
 def _start_request(
     connection: _Connection, method: str, target: str, headers: Headers, body: bytes
 ) -> bytes:
-    given = {name for name, _ in headers}
-    fixed = () if "host" in given else (("host", connection.address),)
+    names = {name for name, _ in headers}
+    fixed = () if "host" in names else (("host", connection.address),)
     if body or method not in METHODS_WITHOUT_BODY:
         fixed = (*fixed, ("content-length", str(len(body))))
     request = h11.Request(method=method, target=target, headers=fixed + headers)
@@ -378,8 +390,8 @@
 async def _exchange(connection: _Connection, data: bytes) -> h11.Response | CallFailed:
     if not connection.is_usable:
         return CallFailed(phase=FailurePhase.CLOSED_BEFORE_SEND, reason="closed")
-    # Nothing waits for the body to go out: a server may answer before it has read
-    # a long body, and waiting would hold that answer until the timeout.
+    # No drain: a server may answer before it has read a long body, and waiting for
+    # the body to go out would delay that response until the timeout.
     connection.writer.write(data)
     try:
         return await _read_head(connection)
@@ -387,35 +399,38 @@
         return CallFailed(phase=FailurePhase.BEFORE_HEAD, reason=str(error))
 
 
-async def _own_answer(
+async def _skip_stale_responses(
     connection: _Connection,
-    answer: h11.Response | CallFailed,
+    response: h11.Response | CallFailed,
     method: str,
     target: str,
     headers: Headers,
     body: bytes,
     echo: tuple[str, str],
 ) -> h11.Response | CallFailed:
-    """Skip answers to earlier requests that came late on a kept connection."""
+    """Skip responses to earlier requests that arrive late on a reused connection.
+
+    After each of them the request is replayed to a new h11 state, not to the server.
+    """
     name, value = echo
-    for _ in range(MAX_SKIPPED_ANSWERS):
-        if isinstance(answer, CallFailed):
-            return answer
-        if decode_headers(answer.headers).get(name, value) == value:
-            return answer
+    for _ in range(MAX_STALE_RESPONSES):
+        if isinstance(response, CallFailed):
+            return response
+        if decode_headers(response.headers).get(name, value) == value:
+            return response
         try:
             rest = await _skip_body(connection)
             connection.state = h11.Connection(h11.CLIENT)
             _start_request(connection, method, target, headers, body)
             connection.state.receive_data(rest)
-            answer = await _read_head(connection)
+            response = await _read_head(connection)
         except (ConnectionError, h11.ProtocolError) as error:
             return CallFailed(phase=FailurePhase.BEFORE_HEAD, reason=str(error))
-    return CallFailed(phase=FailurePhase.BEFORE_HEAD, reason="answers of others")
+    return CallFailed(phase=FailurePhase.BEFORE_HEAD, reason="stale responses")
 
 
 async def _skip_body(connection: _Connection) -> bytes:
-    """Read an answer to its end and return the bytes that follow it."""
+    """Read a response to its end and return the bytes that follow it."""
     while True:
         event = connection.state.next_event()
         match event:
--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -1,4 +1,4 @@
-"""Meet HTTP/1.1 clients with h11 on asyncio streams."""
+"""HTTP/1.1 server on h11 and asyncio streams."""
 
 import asyncio
 import contextlib
@@ -14,15 +14,19 @@
 
 READ_SIZE = 65536
 MAX_HEADER_BYTES = 16384
-# Time in which answers that were handed over whole may still go out when the server
-# closes, in seconds: less than the 0.7 s that a stopping node keeps for closing.
+# Time for complete responses to leave the send buffers when the server closes, in
+# seconds: less than the 0.7 s that a stopping node reserves for closing.
 FLUSH_SECONDS = 0.5
 Headers = tuple[tuple[str, str], ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class ServerLimits:
-    """Bound what one client may make the server hold or wait for."""
+    """Limits on the memory and time that one client may take.
+
+    `idle_seconds` bounds the wait for a request's first byte, `receive_seconds` the
+    time from there to its end, `send_seconds` each wait for a full send buffer.
+    """
 
     header_bytes: int = MAX_HEADER_BYTES
     body_bytes: int = 4 * 1024 * 1024
@@ -33,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HttpRequest:
-    """Hold one request, its body read whole."""
+    """A request with its complete body."""
 
     method: str
     target: str
@@ -43,13 +47,13 @@
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """Return the target without the query string."""
         return self.target.partition("?")[0]
 
 
 @dataclass(frozen=True, kw_only=True)
 class BadInput:
-    """Tell why a request could not be read."""
+    """Why a request could not be read, and the status to answer it with."""
 
     status: int
     reason: str
@@ -57,26 +61,28 @@
 
 
 class ClientDisconnected(Exception):
-    """The client closed its connection before the answer was complete."""
+    """The client closed its connection, or stopped reading, during the response."""
 
 
 @dataclass(kw_only=True)
 class Exchange:
-    """Answer one request; an answer left open is cut, never ended as if whole.
+    """Sends the response to one request.
 
-    `earlier` counts the requests that came before on the same connection.
+    A response that the handler doesn't end is broken off, so that the client can't take
+    it for a complete one. `previous_requests` counts the requests before this one on
+    the same connection.
     """
 
     _connection: h11.Connection
     _writer: asyncio.StreamWriter
     _send_seconds: float
-    earlier: int = 0
+    previous_requests: int = 0
     started: bool = field(default=False, init=False)
     finished: bool = field(default=False, init=False)
     _close_after: bool = field(default=False, init=False)
 
     def close_after(self) -> None:
-        """Tell the client that its connection closes after this answer."""
+        """Announce in the response that the connection closes after it."""
         self._close_after = True
 
     async def respond(
@@ -86,7 +92,10 @@
         headers: Headers = (),
         content_type: str | None = "application/json",
     ) -> None:
-        """Send a whole answer; with no `content_type` only `headers` describe it."""
+        """Send a complete response.
+
+        Without a `content_type`, no header of that name is added to `headers`.
+        """
         fixed = (("content-length", str(len(body))),)
         if content_type is not None:
             fixed = (("content-type", content_type), *fixed)
@@ -97,15 +106,15 @@
         await self._write(data)
 
     async def start(self, status: int, headers: Headers = ()) -> None:
-        """Send the head of a chunked answer."""
+        """Send the head of a chunked response."""
         await self._write(self._head(status, headers))
 
     async def send(self, data: bytes) -> None:
-        """Send one part of a chunked answer."""
+        """Send one part of a chunked response."""
         await self._write(self._connection.send(h11.Data(data=data)) or b"")
 
     async def end(self) -> None:
-        """Mark a chunked answer as whole."""
+        """End a chunked response."""
         self.finished = True
         await self._write(self._connection.send(h11.EndOfMessage()) or b"")
 
@@ -125,11 +134,11 @@
             raise ClientDisconnected
         self._writer.write(data)
         if self._writer.transport.get_write_buffer_size() == 0:
-            # All of it went out: waiting would only cost time on every chunk.
+            # Nothing is left to send; draining would only cost time on every chunk.
             return
         try:
-            # A client that stops reading would hold its stream's memory and its
-            # group's slot for ever; one notices it by slots that never free.
+            # A client that stops reading would otherwise keep its stream's memory and
+            # its group's slot for ever.
             async with asyncio.timeout(self._send_seconds):
                 await self._writer.drain()
         except (ConnectionError, TimeoutError) as error:
@@ -140,25 +149,25 @@
 BadInputHandler = Callable[[BadInput, Exchange], Awaitable[None]]
 
 
-async def _plain_bad_input(bad: BadInput, exchange: Exchange) -> None:
+async def _respond_bad_input(bad: BadInput, exchange: Exchange) -> None:
     await exchange.respond(bad.status, bad.detail.encode(), content_type="text/plain")
 
 
-class _Unreadable(Exception):
+class _UnreadableRequest(Exception):
     def __init__(self, bad: BadInput) -> None:
         super().__init__(bad.detail)
         self.bad = bad
 
 
 class HttpServer:
-    """Serve one handler on one address."""
+    """Runs a handler for each request that arrives on one address."""
 
     def __init__(
         self,
         *,
         handler: Handler,
         limits: ServerLimits = ServerLimits(),
-        on_bad_input: BadInputHandler = _plain_bad_input,
+        on_bad_input: BadInputHandler = _respond_bad_input,
     ) -> None:
         self._handler = handler
         self._limits = limits
@@ -167,67 +176,71 @@
         self._connections: set[asyncio.Task[None]] = set()
         self._busy: dict[asyncio.Task[None], Exchange] = {}
         self._idle: set[asyncio.Task[None]] = set()
-        self._parting: set[asyncio.Task[None]] = set()
-        self._cut: set[asyncio.Task[None]] = set()
+        self._flushing: set[asyncio.Task[None]] = set()
+        self._aborting: set[asyncio.Task[None]] = set()
         self._refuses_requests = False
-        self._keeps_connections = True
+        self._keeps_alive = True
         self._is_closing = False
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the port that the server listens on."""
         assert self._server is not None
         return self._server.sockets[0].getsockname()[1]
 
     @property
     def is_busy(self) -> bool:
-        """Tell whether a request was read whole and its answer has not gone out."""
-        return bool(self._busy or self._parting)
+        """Return whether a complete request still awaits the end of its response."""
+        return bool(self._busy or self._flushing)
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Apply new limits to everything that is read from now on."""
+        """Apply new limits to connections and reads from now on."""
         self._limits = limits
 
     async def start(
         self, host: str, port: int, listener: socket.socket | None = None
     ) -> None:
-        """Serve an address, or a socket that listens; port 0 takes any free one."""
-        where = {"host": host, "port": port} if listener is None else {"sock": listener}
+        """Listen on an address or serve `listener`; port 0 takes a free port."""
+        endpoint = (
+            {"host": host, "port": port} if listener is None else {"sock": listener}
+        )
         self._server = await asyncio.start_server(
-            self._accept, limit=READ_SIZE, backlog=1024, **where
+            self._on_connection, limit=READ_SIZE, backlog=1024, **endpoint
         )
 
     def disable_keep_alive(self) -> None:
-        """Let a connection carry one request only; close those that wait for another.
+        """Close idle connections, and each other one after its current response.
 
-        A connection whose answer began before a stop was announced does not know of it:
-        kept, it brought requests to a process until its end, which cut them off, while
-        new connections went elsewhere.
+        A response that began before the stop doesn't announce that its connection
+        closes. If it stayed open, its client would send requests to this process up to
+        its end, which would cut them off, while new connections went elsewhere.
         """
-        self._keeps_connections = False
+        self._keeps_alive = False
         for task in list(self._idle):
             task.cancel()
 
     def refuse_new_requests(self) -> None:
-        """Take no further request; those in progress go on.
+        """Stop listening and serve no further request; those in progress go on.
 
-        Without this, a request that came between the end of the last one and the
-        close of the server was passed on and cut off.
+        Otherwise a request that arrives between the end of the last one and the close
+        of the server would be dispatched and then cut off.
         """
         self._refuses_requests = True
         if self._server is not None:
             self._server.close()
-        # Cancelled, a connection that is being closed would drop the end of its answer.
-        for task in self._connections - self._busy.keys() - self._parting:
+        # A connection that is flushing would drop the end of its response if cancelled.
+        for task in self._connections - self._busy.keys() - self._flushing:
             task.cancel()
 
     async def close(self) -> None:
-        """Stop listening, cut answers in progress, and let whole ones go out."""
+        """Stop listening, abort responses in progress and flush complete ones."""
         if self._server is not None:
             self._server.close()
         self._is_closing = True
-        self._cut = {task for task, each in self._busy.items() if not each.finished}
-        for task in self._connections - self._parting:
+        self._aborting = {
+            task for task, each in self._busy.items() if not each.finished
+        }
+        for task in self._connections - self._flushing:
             task.cancel()
         if self._connections:
             await asyncio.wait(self._connections, timeout=FLUSH_SECONDS)
@@ -235,32 +248,32 @@
             task.cancel()
         await asyncio.gather(*self._connections, return_exceptions=True)
 
-    async def _accept(
+    async def _on_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._connections.add(task)
         try:
-            await self._converse(reader, writer)
+            await self._serve_connection(reader, writer)
         except (ConnectionError, asyncio.CancelledError, ClientDisconnected):
             pass
         finally:
-            await self._part(task, writer)
+            await self._flush_and_close(task, writer)
             self._connections.discard(task)
 
-    async def _part(
+    async def _flush_and_close(
         self, task: asyncio.Task[None], writer: asyncio.StreamWriter
     ) -> None:
-        """Close a connection once what was written has gone out.
+        """Close a connection after its send buffer has been flushed.
 
-        A handler ends while up to 64 KiB of its answer stand in the buffer. Dropped
-        with the connection, the caller of a slow link got a part of a whole answer.
+        When a handler ends, up to 64 KiB of its response may still be in the buffer.
+        If they were dropped, a caller on a slow link would get a part of the response.
         """
-        if task in self._cut:
+        if task in self._aborting:
             writer.transport.abort()
             return
-        self._parting.add(task)
+        self._flushing.add(task)
         writer.close()
         try:
             async with asyncio.timeout(self._limits.send_seconds):
@@ -268,30 +281,30 @@
         except (ConnectionError, TimeoutError, asyncio.CancelledError):
             writer.transport.abort()
         finally:
-            self._parting.discard(task)
+            self._flushing.discard(task)
 
-    async def _converse(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         connection = h11.Connection(
             h11.SERVER, max_incomplete_event_size=self._limits.header_bytes
         )
-        for earlier in itertools.count():
+        for previous_requests in itertools.count():
             if self._refuses_requests or self._is_closing:
-                # Accepted in the last pass of the loop, it was not among those that
-                # the close ended, and its request was served after it.
+                # A connection accepted in the last pass of the event loop is not among
+                # those that `close` ended; its request would be served afterwards.
                 return
             exchange = Exchange(
                 _connection=connection,
                 _writer=writer,
                 _send_seconds=self._limits.send_seconds,
-                earlier=earlier,
+                previous_requests=previous_requests,
             )
             try:
                 request = await self._receive(
-                    connection, reader, writer, is_kept=earlier > 0
+                    connection, reader, writer, is_reused=previous_requests > 0
                 )
-            except _Unreadable as unreadable:
+            except _UnreadableRequest as unreadable:
                 await self._on_bad_input(unreadable.bad, exchange)
                 return
             if request is None or self._refuses_requests:
@@ -304,16 +317,16 @@
             finally:
                 del self._busy[task]
             if not exchange.finished or connection.our_state is not h11.DONE:
-                # No closing chunk goes out: the client sees the answer broken off.
+                # Without a final chunk the client sees that the response is incomplete.
                 return
             if connection.their_state is not h11.DONE:
                 return
             connection.start_next_cycle()
-            if not self._keeps_connections and not connection.trailing_data[0]:
-                arrived = await _read_arrived(reader)
-                if not arrived:
+            if not self._keeps_alive and not connection.trailing_data[0]:
+                pending = await _read_buffered(reader)
+                if not pending:
                     return
-                connection.receive_data(arrived)
+                connection.receive_data(pending)
 
     async def _handle(
         self,
@@ -322,20 +335,22 @@
         connection: h11.Connection,
         reader: asyncio.StreamReader,
     ) -> None:
-        # A client that leaves must free its group's slot at once, so the socket
-        # is watched while the handler runs and the handler is cancelled.
-        work = asyncio.ensure_future(self._handler(request, exchange))
-        watch = asyncio.ensure_future(_watch_departure(connection, reader))
+        # A client that disconnects must free its group's slot at once, so the socket is
+        # watched while the handler runs, and the handler is cancelled.
+        handler_task = asyncio.ensure_future(self._handler(request, exchange))
+        disconnect_task = asyncio.ensure_future(_watch_disconnect(connection, reader))
         try:
-            await asyncio.wait({work, watch}, return_when=asyncio.FIRST_COMPLETED)
-            if not work.done():
-                work.cancel("client gone")
+            await asyncio.wait(
+                {handler_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED
+            )
+            if not handler_task.done():
+                handler_task.cancel("client gone")
             with contextlib.suppress(asyncio.CancelledError, ClientDisconnected):
-                await work
+                await handler_task
         finally:
-            work.cancel()
-            watch.cancel()
-            await asyncio.gather(work, watch, return_exceptions=True)
+            handler_task.cancel()
+            disconnect_task.cancel()
+            await asyncio.gather(handler_task, disconnect_task, return_exceptions=True)
 
     async def _receive(
         self,
@@ -343,18 +358,18 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        is_kept: bool,
+        is_reused: bool,
     ) -> HttpRequest | None:
         if not connection.trailing_data[0]:
-            first = await self._read_first(reader, is_kept=is_kept)
-            if first == b"":
+            first_bytes = await self._read_first_bytes(reader, is_reused=is_reused)
+            if first_bytes == b"":
                 return None
-            connection.receive_data(first)
+            connection.receive_data(first_bytes)
         try:
             async with asyncio.timeout(self._limits.receive_seconds):
                 return await self._read_request(connection, reader, writer)
         except TimeoutError:
-            raise _Unreadable(
+            raise _UnreadableRequest(
                 BadInput(
                     status=408,
                     reason="slow_sender",
@@ -362,23 +377,23 @@
                 )
             ) from None
 
-    async def _read_first(
-        self, reader: asyncio.StreamReader, *, is_kept: bool
+    async def _read_first_bytes(
+        self, reader: asyncio.StreamReader, *, is_reused: bool
     ) -> bytes:
         task = asyncio.current_task()
         assert task is not None
-        if is_kept:
+        if is_reused:
             self._idle.add(task)
         try:
             async with asyncio.timeout(self._limits.idle_seconds):
                 return await reader.read(READ_SIZE)
         except TimeoutError:
-            return await _read_arrived(reader)
+            return await _read_buffered(reader)
         except asyncio.CancelledError:
             if self._refuses_requests or self._is_closing:
                 raise
             task.uncancel()
-            return await _read_arrived(reader)
+            return await _read_buffered(reader)
         finally:
             self._idle.discard(task)
 
@@ -394,12 +409,12 @@
             try:
                 event = connection.next_event()
             except h11.RemoteProtocolError as error:
-                raise _Unreadable(_bad_protocol(error)) from error
+                raise _UnreadableRequest(_describe_protocol_error(error)) from error
             match event:
                 case h11.NEED_DATA:
                     if connection.they_are_waiting_for_100_continue:
-                        go_on = h11.InformationalResponse(status_code=100, headers=[])
-                        writer.write(connection.send(go_on) or b"")
+                        proceed = h11.InformationalResponse(status_code=100, headers=[])
+                        writer.write(connection.send(proceed) or b"")
                     connection.receive_data(await reader.read(READ_SIZE))
                 case h11.Request():
                     head = event
@@ -407,7 +422,7 @@
                 case h11.Data():
                     body += event.data
                     if len(body) > self._limits.body_bytes:
-                        raise _Unreadable(
+                        raise _UnreadableRequest(
                             BadInput(
                                 status=413,
                                 reason="body_too_large",
@@ -416,7 +431,7 @@
                         )
                 case h11.EndOfMessage():
                     assert head is not None
-                    return _whole_request(head, bytes(body))
+                    return _build_request(head, bytes(body))
                 case _:
                     return None
 
@@ -424,7 +439,7 @@
         # h11 limits only headers that arrive in parts.
         size = sum(len(name) + len(value) for name, value in head.headers)
         if size > self._limits.header_bytes:
-            raise _Unreadable(_too_large_headers())
+            raise _UnreadableRequest(_too_large_headers())
 
 
 def _too_large_headers() -> BadInput:
@@ -433,7 +448,7 @@
     )
 
 
-def _whole_request(head: h11.Request, body: bytes) -> HttpRequest:
+def _build_request(head: h11.Request, body: bytes) -> HttpRequest:
     return HttpRequest(
         method=head.method.decode("latin-1"),
         target=head.target.decode("latin-1"),
@@ -443,17 +458,17 @@
     )
 
 
-def _bad_protocol(error: h11.RemoteProtocolError) -> BadInput:
+def _describe_protocol_error(error: h11.RemoteProtocolError) -> BadInput:
     if error.error_status_hint == 431:
         return _too_large_headers()
     return BadInput(status=400, reason="malformed_http", detail=str(error))
 
 
-async def _read_arrived(reader: asyncio.StreamReader) -> bytes:
-    """Return what has been read from the socket already, nothing if nothing has.
+async def _read_buffered(reader: asyncio.StreamReader) -> bytes:
+    """Return the bytes that were already received, without waiting for more.
 
-    Dropped with its connection, a request that came in the same pass of the loop as the
-    connection's end, or behind its last answer, stayed unanswered.
+    They may be a request that arrived in the same pass of the event loop in which the
+    connection was to close, or after its last response; it must still be answered.
     """
     try:
         async with asyncio.timeout(0):
@@ -462,17 +477,18 @@
         return b""
 
 
-async def _watch_departure(
+async def _watch_disconnect(
     connection: h11.Connection, reader: asyncio.StreamReader
 ) -> None:
-    held = 0
-    while held < READ_SIZE:
+    """Return when the client disconnects; buffer a bounded part of its next request."""
+    buffered = 0
+    while buffered < READ_SIZE:
         try:
             data = await reader.read(READ_SIZE)
         except ConnectionError:
             return
         if not data:
             return
-        held += len(data)
+        buffered += len(data)
         connection.receive_data(data)
     await asyncio.Event().wait()
--- a/mallowpond/transport/peer_link.py
+++ b/mallowpond/transport/peer_link.py
@@ -1,4 +1,4 @@
-"""Carry messages between our processes over websockets."""
+"""Websocket links between gateways and controllers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,24 +15,24 @@
 
 
 class LinkClosed(Exception):
-    """The link to the peer is gone."""
+    """The link to the peer was closed or broke, or the peer sent a bad message."""
 
 
 class PeerLink:
-    """Send and receive messages on one websocket."""
+    """Sends and receives messages on one websocket."""
 
     def __init__(self, *, socket) -> None:
         self._socket = socket
 
     async def send(self, message: Message) -> None:
-        """Send one message."""
+        """Send a message; raise `LinkClosed` if the link is closed."""
         try:
             await self._socket.send(encode(message))
         except (WebSocketException, OSError) as error:
             raise LinkClosed(str(error)) from error
 
     async def receive(self) -> Message:
-        """Return the next message."""
+        """Return the next message; raise `LinkClosed` if there will be none."""
         try:
             return decode(await self._socket.recv())
         except (WebSocketException, OSError, BadMessage) as error:
@@ -45,7 +45,7 @@
 async def serve_links(
     handler: LinkHandler, host: str, port: int, stack: AsyncExitStack
 ) -> int:
-    """Serve links until `stack` closes; return the port."""
+    """Run `handler` on each incoming link until `stack` closes; return the port."""
 
     async def on_socket(socket: ServerConnection) -> None:
         try:
@@ -71,7 +71,7 @@
 async def open_link(
     address: str, stack: AsyncExitStack, timeout: float = 1.0
 ) -> PeerLink:
-    """Open a link that lives as long as `stack`."""
+    """Open a link that `stack` closes; raise `LinkClosed` if it fails."""
     try:
         socket = await stack.enter_async_context(
             connect(
--- a/mallowpond/transport/table_client.py
+++ b/mallowpond/transport/table_client.py
@@ -1,4 +1,4 @@
-"""Speak the table service's HTTP protocol and tell its outcomes apart."""
+"""HTTP client of the table service; distinguishes the outcomes of a commit."""
 
 import json
 from urllib.parse import quote
@@ -19,7 +19,7 @@
 
 
 class TableClient:
-    """Reach the platform's table service and host list over HTTP."""
+    """Client of the platform's table service and host list."""
 
     def __init__(self, *, http: HttpClient, address: str, timeout: float = 2.0) -> None:
         self._http = http
@@ -27,7 +27,7 @@
         self._timeout = timeout
 
     async def read(self, key: str) -> Row | None | Unavailable:
-        """Return the row, None when it is absent."""
+        """Return the row, None if it does not exist."""
         data = await self._get(f"/table/row?key={quote(key, safe='')}")
         if isinstance(data, Unavailable):
             return data
@@ -35,13 +35,16 @@
         return None if value is None else from_plain(value, Row)
 
     async def scan(self, prefix: str, since: int = 0) -> Scanned | Unavailable:
-        """Return the rows below `prefix` changed after table version `since`."""
+        """Return the rows under `prefix` that changed after table version `since`."""
         where = f"prefix={quote(prefix, safe='')}&since={since}"
         data = await self._get(f"/table/scan?{where}")
         return data if isinstance(data, Unavailable) else from_json(data, Scanned)
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Apply a transaction and tell what is known of its effect."""
+        """Commit a transaction.
+
+        `Unavailable` means that it was not applied, `Unknown` that it may have been.
+        """
         answer = await self._http.fetch(
             self._address,
             "POST",
@@ -59,13 +62,13 @@
             case (409, body):
                 return from_json(body, Conflict)
             case (503, body):
-                # The service says in so many words that it did nothing.
+                # With this status the service states that it applied nothing.
                 return Unavailable(reason=body.decode(errors="replace"))
             case (status, _):
                 return Unknown(reason=f"status {status}")
 
     async def hosts(self) -> tuple[Host, ...] | Unavailable:
-        """Return the hosts that the platform knows now."""
+        """Return the platform's current host list."""
         data = await self._get("/hosts")
         if isinstance(data, Unavailable):
             return data
--- a/mallowpond/transport/tests/test_http_server.py
+++ b/mallowpond/transport/tests/test_http_server.py
@@ -176,7 +176,7 @@
     """
     if not was_watched:
         never = asyncio.Event()
-        monkeypatch.setattr(http_server, "_watch_departure", lambda *_: never.wait())
+        monkeypatch.setattr(http_server, "_watch_disconnect", lambda *_: never.wait())
     targets, end = [], asyncio.Event()
 
     async def answer(request, exchange):
@@ -293,7 +293,7 @@
     assert b"200" in await reader.readuntil(b"\r\n\r\n")
     got = 0
     async with asyncio.timeout(5.0):
-        while not server._parting:
+        while not server._flushing:
             got += len(await reader.read(1024))
         # A stop that has time left waits for it as for any answer.
         was_busy = server.is_busy
--- a/mallowpond/transport/tests/test_timeouts.py
+++ b/mallowpond/transport/tests/test_timeouts.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from mallowpond.transport.timeouts import MOST_DELAYS, answer_timeout
+from mallowpond.transport.timeouts import MAX_EXTENSIONS, lag_tolerant_timeout
 
 
 async def test_a_limit_ends_a_wait_that_nothing_answers():
     started = time.monotonic()
     with pytest.raises(TimeoutError):
-        async with answer_timeout(0.05):
+        async with lag_tolerant_timeout(0.05):
             await asyncio.Event().wait()
     assert 0.04 < time.monotonic() - started < 0.5
 
@@ -27,7 +27,7 @@
     near, far = socket.socketpair()
     left, _held = await asyncio.open_connection(sock=near)
     _held_too, right = await asyncio.open_connection(sock=far)
-    async with answer_timeout(0.05):
+    async with lag_tolerant_timeout(0.05):
         right.write(b"answer")
         await right.drain()
         time.sleep(0.2)
@@ -46,16 +46,16 @@
 
     busy = asyncio.ensure_future(stand_still())
     with pytest.raises(TimeoutError):
-        async with answer_timeout(0.02):
+        async with lag_tolerant_timeout(0.02):
             await asyncio.Event().wait()
     busy.cancel()
     await asyncio.gather(busy, return_exceptions=True)
-    assert turns < 10 * MOST_DELAYS
+    assert turns < 10 * MAX_EXTENSIONS
 
 
 async def test_a_cancelled_wait_stays_cancelled():
     async def wait():
-        async with answer_timeout(5.0):
+        async with lag_tolerant_timeout(5.0):
             await asyncio.Event().wait()
 
     task = asyncio.ensure_future(wait())
