--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -1,4 +1,8 @@
-"""Plan the groups of all model services, send the orders and handle their results."""
+"""Plan the groups of all model services, send the orders and handle their results.
+
+An order is one planned step for one target. "The list" is the platform's list of
+targets, which `Directory` mirrors; it shows the effect of an order with some delay.
+"""
 
 import asyncio
 from collections.abc import Awaitable
@@ -77,9 +81,8 @@
 LEASE_CHECK_SECONDS = 0.3
 # Number of epochs reserved for the groups of one fencing number.
 EPOCHS_PER_FENCE = 1_000_000
-# Suspicions of one group that probes cleared, and the time in seconds within which so
-# many cause the group to be formed again: its members answer but cannot reach one
-# another.
+# A group is formed again after this many suspicions that were cleared by probes, within
+# this time in seconds: its members answer but cannot reach one another.
 CLEARED_SUSPICIONS = 4
 CLEARED_SECONDS = 2.0
 
@@ -438,6 +441,7 @@
         return True
 
     async def _order_count(self, target: Target) -> int | None:
+        """Return how many orders a target has begun, or None to retry the order."""
         known = self._book.count(target)
         if known is not None:
             return known
@@ -540,6 +544,7 @@
             self._spawn(self._probe_group(group))
 
     async def _probe_group(self, group: Group) -> None:
+        """Clear the suspicion of a group if all of its members answer."""
         members = [m for m in group.members if m.id not in self._probes.lost]
         answers = await asyncio.gather(*(self._probes.probe(m) for m in members))
         if not all(answers) or len(members) < len(group.members):
