--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -26,7 +26,7 @@
 from mallowpond.state.stopping import can_finish
 from mallowpond.transport.http_server import (
     BadInput,
-    ClientGone,
+    ClientDisconnected,
     Exchange,
     HttpRequest,
     HttpServer,
@@ -99,7 +99,7 @@
             )
         try:
             await self._serve(request, exchange)
-        except ClientGone:
+        except ClientDisconnected:
             self._metrics.clients_gone.inc()
             raise
         except asyncio.CancelledError:
@@ -124,7 +124,7 @@
             return
         try:
             outcome = await self._admit_and_serve(caller_request, exchange, started_at)
-        except (ClientGone, asyncio.CancelledError):
+        except (ClientDisconnected, asyncio.CancelledError):
             log.info(
                 "ingress: caller left",
                 request=caller_request.id,
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -311,7 +311,7 @@
             await self._release_lease()
         # The balancer now sends new connections to other hosts, but connections opened
         # before the drain still bring requests.
-        self.ingress.server.keep_no_connections()
+        self.ingress.server.disable_keep_alive()
         # The server is checked instead of `in_flight`, which does not count a request
         # that was just read: one that was missed was forwarded and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
@@ -319,7 +319,7 @@
                 self.streams.placement.end_waits()
             await self._clock.sleep(DRAIN_CHECK_SECONDS)
             await self._release_lease()
-        self.ingress.server.refuse_more()
+        self.ingress.server.refuse_new_requests()
         log.info("node: drained", in_flight=self.ingress.in_flight)
 
     async def _release_lease(self) -> None:
--- a/mallowpond/node/tests/test_service.py
+++ b/mallowpond/node/tests/test_service.py
@@ -115,7 +115,7 @@
     began = clock.now()
     await node.drain()
     assert began < node.ingress.shutdown_at < began + SETTINGS.bounds.grace
-    assert node.ingress.server._refusing
+    assert node.ingress.server._refuses_requests
 
 
 @dataclass(kw_only=True)
