--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -264,7 +264,7 @@
             last_event=work.last_event_id,
         )
         if isinstance(response, CallFailed):
-            if response.bytes_left:
+            if response.may_have_sent:
                 return Interrupted(reason=Reason.BROKEN_STREAM)
             self._back_off(work, stream.group)
             self._log_rejected(work, stream.group, Reason.CONNECT)
@@ -349,7 +349,7 @@
             self.placement.wake(work.model.name)
         else:
             gap = now - stream.last_event_at
-            self._metrics.gap.observe(gap)
+            self._metrics.event_gap.observe(gap)
             load = self._directory.loads.load_of(stream.group, stream.work.profile)
             predicted = pass_seconds(work.profile, work.model, load)
             self._directory.loads.record_gap(stream.key, gap, predicted)
--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -56,7 +56,7 @@
     detail: str
 
 
-class ClientGone(Exception):
+class ClientDisconnected(Exception):
     """The client closed its connection before the answer was complete."""
 
 
@@ -122,7 +122,7 @@
 
     async def _write(self, data: bytes) -> None:
         if self._writer.is_closing():
-            raise ClientGone
+            raise ClientDisconnected
         self._writer.write(data)
         if self._writer.transport.get_write_buffer_size() == 0:
             # All of it went out: waiting would only cost time on every chunk.
@@ -133,7 +133,7 @@
             async with asyncio.timeout(self._send_seconds):
                 await self._writer.drain()
         except (ConnectionError, TimeoutError) as error:
-            raise ClientGone from error
+            raise ClientDisconnected from error
 
 
 Handler = Callable[[HttpRequest, Exchange], Awaitable[None]]
@@ -169,7 +169,7 @@
         self._idle: set[asyncio.Task[None]] = set()
         self._parting: set[asyncio.Task[None]] = set()
         self._cut: set[asyncio.Task[None]] = set()
-        self._refusing = False
+        self._refuses_requests = False
         self._keeps_connections = True
         self._is_closing = False
 
@@ -197,7 +197,7 @@
             self._accept, limit=READ_SIZE, backlog=1024, **where
         )
 
-    def keep_no_connections(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Let a connection carry one request only; close those that wait for another.
 
         A connection whose answer began before a stop was announced does not know of it:
@@ -208,13 +208,13 @@
         for task in list(self._idle):
             task.cancel()
 
-    def refuse_more(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Take no further request; those in progress go on.
 
         Without this, a request that came between the end of the last one and the
         close of the server was passed on and cut off.
         """
-        self._refusing = True
+        self._refuses_requests = True
         if self._server is not None:
             self._server.close()
         # Cancelled, a connection that is being closed would drop the end of its answer.
@@ -243,7 +243,7 @@
         self._connections.add(task)
         try:
             await self._converse(reader, writer)
-        except (ConnectionError, asyncio.CancelledError, ClientGone):
+        except (ConnectionError, asyncio.CancelledError, ClientDisconnected):
             pass
         finally:
             await self._part(task, writer)
@@ -277,7 +277,7 @@
             h11.SERVER, max_incomplete_event_size=self._limits.header_bytes
         )
         for earlier in itertools.count():
-            if self._refusing or self._is_closing:
+            if self._refuses_requests or self._is_closing:
                 # Accepted in the last pass of the loop, it was not among those that
                 # the close ended, and its request was served after it.
                 return
@@ -294,7 +294,7 @@
             except _Unreadable as unreadable:
                 await self._on_bad_input(unreadable.bad, exchange)
                 return
-            if request is None or self._refusing:
+            if request is None or self._refuses_requests:
                 return
             task = asyncio.current_task()
             assert task is not None
@@ -330,7 +330,7 @@
             await asyncio.wait({work, watch}, return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
                 work.cancel("client gone")
-            with contextlib.suppress(asyncio.CancelledError, ClientGone):
+            with contextlib.suppress(asyncio.CancelledError, ClientDisconnected):
                 await work
         finally:
             work.cancel()
@@ -375,7 +375,7 @@
         except TimeoutError:
             return await _read_arrived(reader)
         except asyncio.CancelledError:
-            if self._refusing or self._is_closing:
+            if self._refuses_requests or self._is_closing:
                 raise
             task.uncancel()
             return await _read_arrived(reader)
