--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -86,6 +86,7 @@
         self._version = 0
         self._renewed_at = float("-inf")
         self._started_at = clock.now()
+        # The lease row's version, and the time at which it was first seen.
         self._unchanged_since: tuple[int, float] | None = None
         self.on_acquired: list[Callable[[], None]] = []
 
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -215,7 +215,7 @@
         self.streams.on_end.append(self._on_slot_freed)
         self.dispatcher_client.on_unused_grant.append(self._on_slot_freed)
         self.readers.grant_number = lambda: self.dispatcher_client.grant_number
-        self.sharing = ConfigurationSharing(
+        self.configuration_sharing = ConfigurationSharing(
             name=settings.name,
             peers=self.peers,
             readers=self.readers,
