--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -94,7 +94,7 @@
             log.info(
                 "ingress: reached while stopping",
                 target=request.path,
-                earlier=exchange.earlier,
+                earlier=exchange.previous_requests,
                 left=round(self.shutdown_at - self._clock.now(), 3),
             )
         try:
