--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -248,8 +248,8 @@
         `echo` is a header name and value that the server copies from the request. A
         response with another value belongs to an earlier request and is skipped.
 
-        With `fresh` no idle connection is reused: a server may close one while the
-        request is being sent, and then it is unknown whether the request ran.
+        With `fresh` no idle connection is reused: a server may close one
+        while the request is being sent; it is then unknown whether the request ran.
         """
         connection = None if fresh else self._take_idle(address)
         if connection is None:
