--- a/mallowpond/platform/__init__.py
+++ b/mallowpond/platform/__init__.py
@@ -1,1 +1,4 @@
-"""The adapter to the observatory platform: names, formats and calls, no decisions."""
+"""Adapter to the observatory platform: header names, document formats and calls.
+
+It decides nothing; it implements the interfaces of `mallowpond.node.ports`.
+"""
--- a/mallowpond/platform/call_counts.py
+++ b/mallowpond/platform/call_counts.py
@@ -1,4 +1,4 @@
-"""Count the calls to the store by what they are for."""
+"""Count the calls to the store by table and purpose."""
 
 from collections import Counter
 
@@ -9,12 +9,12 @@
 
 log = structlog.get_logger()
 
-# Pause between two log lines on the calls made since, in seconds.
+# Time between two log lines with the calls made since the last one, in seconds.
 LOG_INTERVAL_SECONDS = 10.0
 
 
 class CallCounts:
-    """Count calls in a metric, and tell their sums in the log at times."""
+    """Counts calls in a metric, and logs their sums at intervals."""
 
     def __init__(self, *, clock: Clock, metric: Metric | None = None) -> None:
         self._clock = clock
@@ -23,7 +23,7 @@
         self._logged_at = clock.now()
 
     def count(self, table: str, call: str) -> None:
-        """Count a call that is about to be made."""
+        """Count a call that is about to be made; log the sums when they are due."""
         if self._metric is not None:
             self._metric.labels(table, call).inc()
         self._unlogged[f"{table}_{call}"] += 1
--- a/mallowpond/platform/callers.py
+++ b/mallowpond/platform/callers.py
@@ -1,4 +1,4 @@
-"""Read callers' requests as the platform's protocol writes them."""
+"""Decode callers' requests from the headers of the platform's protocol."""
 
 from math import isfinite
 
@@ -8,34 +8,34 @@
 from mallowpond.transport.http_server import HttpRequest
 
 KEY_SCHEME = "bearer "
-# Tokens above which a count is none: a thousand times the largest context in use; sums
-# of such counts go to other nodes, which read whole numbers up to 2**53.
+# Larger token counts are invalid. This is a thousand times the largest context in use;
+# sums of counts are sent to other nodes, which decode integers up to 2**53.
 MAX_TOKENS = 2**31
 
 
 class PlatformCallerProtocol:
-    """Turn requests into the product's words, and answers back."""
+    """Decodes callers' requests, and selects the headers of answers."""
 
     def read(self, request: HttpRequest) -> CallerRequest | InvalidRequest:
-        """Return the request in the product's words."""
-        found = request.headers
-        attempt = found.get(names.ATTEMPT, "")
+        """Return the decoded request, or why it cannot be decoded."""
+        headers = request.headers
+        attempt = headers.get(names.ATTEMPT, "")
         if not attempt:
             return InvalidRequest(reason=f"{names.ATTEMPT} is missing")
-        prompt, answer = _parse_token_counts(found.get(names.TOKEN_COUNTS, ""))
+        prompt, answer = _parse_token_counts(headers.get(names.TOKEN_COUNTS, ""))
         return CallerRequest(
             id=attempt,
-            host=found.get("host", "").partition(":")[0].lower(),
+            host=headers.get("host", "").partition(":")[0].lower(),
             method=request.method,
             target=request.target,
             body=request.body,
             forwarded_headers=_forwarded(request.header_list),
-            key=_bearer_key(found.get(names.AUTHORIZATION, "")),
-            seconds_left=_parse_deadline(found.get(names.DEADLINE, "")),
-            model=found.get(names.MODEL),
+            key=_bearer_key(headers.get(names.AUTHORIZATION, "")),
+            seconds_left=_parse_deadline(headers.get(names.DEADLINE, "")),
+            model=headers.get(names.MODEL),
             prompt_tokens=prompt,
             answer_tokens=answer,
-            last_event=found.get(names.LAST_EVENT),
+            last_event=headers.get(names.LAST_EVENT),
         )
 
     def answer_headers(self, response: HttpResponse) -> Headers:
@@ -48,6 +48,10 @@
 
 
 def _forwarded(headers: Headers) -> Headers:
+    """Return the headers that go to the target, `host` first.
+
+    Headers of one connection only, and those that only this system sets, are left out.
+    """
     connection = {
         token.strip().lower()
         for name, value in headers
@@ -60,12 +64,14 @@
 
 
 def _bearer_key(authorization: str) -> str | None:
+    """Return the API key, None unless the scheme is Bearer."""
     if not authorization.lower().startswith(KEY_SCHEME):
         return None
     return authorization[len(KEY_SCHEME) :].strip()
 
 
 def _parse_deadline(text: str) -> float | None:
+    """Return the remaining time in seconds, None if the header is not a number."""
     try:
         seconds = float(text) / 1000.0
     except ValueError:
@@ -74,6 +80,7 @@
 
 
 def _parse_token_counts(text: str) -> tuple[int, int]:
+    """Return the prompt and answer tokens, (0, 0) if a count is invalid."""
     prompt, _, answer = text.partition(",")
     try:
         counts = int(prompt), int(answer or 0)
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -1,7 +1,7 @@
-"""Decode the platform's documents into the product's types.
+"""Decode the platform's documents into the types of `mallowpond.state`.
 
 The private classes declare each document as the platform writes it: field names,
-types, and what may be missing.
+types, and defaults of optional fields.
 """
 
 from collections.abc import Mapping
@@ -44,7 +44,7 @@
     "stream": RepeatPolicy.STREAM,
 }
 SECONDS_PER_MILLISECOND = 0.001
-# Fields of an entry that may be a number or a text, with the kind of number.
+# Fields of an entry or report that may be text or a number of this type.
 NUMERIC_FIELDS = {"domain": int, "version": float}
 
 
@@ -124,7 +124,7 @@
 @dataclass(frozen=True, kw_only=True)
 class _Tenant:
     name: HeaderText
-    # An empty key would let in who sends an empty one.
+    # An empty key would admit callers that send an empty one.
     api_keys: tuple[Name, ...] = ()
     priority: int = 0
 
@@ -139,17 +139,17 @@
 
 
 def decode_configuration(document: Any) -> SiteConfiguration | Unreadable:
-    """Decode the operator's configuration, whole or not at all."""
-    found = decode(document, _Configuration)
-    if isinstance(found, Unreadable):
-        return found
-    limits = found.limits
+    """Decode the operator's configuration; one invalid field makes all unreadable."""
+    decoded = decode(document, _Configuration)
+    if isinstance(decoded, Unreadable):
+        return decoded
+    limits = decoded.limits
     return SiteConfiguration(
-        version=found.version,
-        routes=tuple(_route(route) for route in found.routes),
-        services={service.name: _service(service) for service in found.services},
-        keys=_keys(found.tenants),
-        uses_keys=bool(found.tenants),
+        version=decoded.version,
+        routes=tuple(_route(route) for route in decoded.routes),
+        services={service.name: _service(service) for service in decoded.services},
+        keys=_keys(decoded.tenants),
+        uses_keys=bool(decoded.tenants),
         limits=CallerLimits(
             header_bytes=int(limits.max_header_bytes),
             body_bytes=int(limits.max_body_bytes),
@@ -219,31 +219,31 @@
 def _keys(tenants: tuple[_Tenant, ...]) -> dict[str, KeyOwner]:
     keys = {}
     for tenant in tenants:
-        holder = KeyOwner(workspace=tenant.name, priority=tenant.priority)
-        keys |= {key: holder for key in tenant.api_keys}
+        owner = KeyOwner(workspace=tenant.name, priority=tenant.priority)
+        keys |= {key: owner for key in tenant.api_keys}
     return keys
 
 
-# -- the product's own rows --------------------------------------------------
+# -- rows that this system writes --------------------------------------------
 
 
 @dataclass(frozen=True, kw_only=True)
 class OwnRow:
-    """Hold what a row of ours says, and the transaction that wrote it."""
+    """Value of a row that this system wrote, and the transaction that wrote it."""
 
     value: Any
     transaction: str
 
 
 def decode_own_row(document: Any) -> OwnRow | Unreadable:
-    """Decode what a row of the product's own tables holds."""
-    found = decode(document, OwnRow)
-    if isinstance(found, OwnRow) and not isinstance(found.value, Mapping):
+    """Decode a row of this system's own tables; its value must be an object."""
+    decoded = decode(document, OwnRow)
+    if isinstance(decoded, OwnRow) and not isinstance(decoded.value, Mapping):
         return Unreadable(fault=DecodeFault.TYPE, field="value")
-    return found
+    return decoded
 
 
-# -- what engines say of themselves ------------------------------------------
+# -- entries and reports of engines ------------------------------------------
 
 
 class _State(str, Enum):
@@ -274,9 +274,9 @@
     state: _State
     cold_left_ms: float
     sequence: int
-    # Not every platform's engines tell their start.
+    # Start time of the process; engines of some platforms do not publish it.
     born: int | None = None
-    # Services without models report none of these.
+    # Targets of services without models have none of these.
     domain: str | None = None
     models: tuple[_Named, ...] | None = None
     staged: tuple[Name, ...] | None = None
@@ -311,12 +311,15 @@
 
 
 def is_identifier(key: Any) -> bool:
-    """Tell whether a key can be an engine's."""
+    """Return whether a key is a valid engine id."""
     return isinstance(decode({"id": key}, _Key), _Key)
 
 
 def decode_target(identifier: Any, row: Any) -> Target | Unreadable:
-    """Decode an engine's entry in the list; one that is not whole is none."""
+    """Decode an engine's entry in the list of targets.
+
+    One missing or invalid field makes the whole entry unreadable.
+    """
     key = decode({"id": identifier}, _Key)
     if isinstance(key, Unreadable):
         return key
@@ -344,61 +347,64 @@
 
 
 def decode_report(listed: Target, document: Any) -> EngineReport | Unreadable:
-    """Decode what an engine says of itself; the rest stays as the list has it."""
-    found = decode(_normalized(document), _Report)
-    if isinstance(found, Unreadable):
-        return found
-    if found.born is None and "born" in document:
+    """Decode an engine's report; its other fields stay as in its list entry."""
+    decoded = decode(_normalized(document), _Report)
+    if isinstance(decoded, Unreadable):
+        return decoded
+    if decoded.born is None and "born" in document:
         return Unreadable(fault=DecodeFault.TYPE, field="born")
-    if found.born is None and listed.born is not None:
+    if decoded.born is None and listed.born is not None:
         return Unreadable(fault=DecodeFault.MISSING, field="born")
-    # Here `sequence` counts orders; in the list it counts heartbeats.
+    # In a report `sequence` counts orders; in the list it counts heartbeats.
     return EngineReport(
-        orders=found.sequence,
+        orders=decoded.sequence,
         target=replace(
             listed,
-            model=_first_model(found.models),
-            staged=found.staged,
-            membership=_membership(found.group),
-            # Where the list tells no start, one in a report compares with nothing.
-            born=None if listed.born is None else found.born,
+            model=_first_model(decoded.models),
+            staged=decoded.staged,
+            membership=_membership(decoded.group),
+            # Without a start time in the list, there is nothing to compare this one to.
+            born=None if listed.born is None else decoded.born,
         ),
     )
 
 
 def decode_born(document: Any) -> int | None | Unreadable:
-    """Decode the start in the body of a health answer, None where there is none."""
+    """Decode the process start time in the body of a health answer, None if absent."""
     if not isinstance(document, Mapping) or "born" not in document:
         return None
-    found = decode(document, _Born)
-    return found if isinstance(found, Unreadable) else found.born
+    decoded = decode(document, _Born)
+    return decoded if isinstance(decoded, Unreadable) else decoded.born
 
 
 def _normalized(row: Any) -> Any:
-    """Return an entry or report with each field in one of its spellings.
+    """Return an entry or report with variants of a field replaced by one form.
 
-    A domain or version may be a number, a staged model an object with a name, and an
-    engine without a group may say so by an empty one.
+    A domain or version may be a number, a staged model an object with a name, and the
+    group of an engine without one may be an empty object or have an empty name.
     """
     if not isinstance(row, Mapping):
         return row
-    found = dict(row)
+    normalized = dict(row)
     for name, kind in NUMERIC_FIELDS.items():
-        if not isinstance(decode(found.get(name), kind), Unreadable):
-            found[name] = str(found[name])
-    staged = found.get("staged")
+        if not isinstance(decode(normalized.get(name), kind), Unreadable):
+            normalized[name] = str(normalized[name])
+    staged = normalized.get("staged")
     if isinstance(staged, list):
-        found["staged"] = [s.get("name") if isinstance(s, dict) else s for s in staged]
-    group = found.get("group")
+        normalized["staged"] = [
+            s.get("name") if isinstance(s, dict) else s for s in staged
+        ]
+    group = normalized.get("group")
     if group == {} or (isinstance(group, dict) and group.get("name") == ""):
-        found["group"] = None
-    return found
+        normalized["group"] = None
+    return normalized
 
 
 def _missing_placement_field(entry: _Entry) -> str:
-    """Return which field an engine that carries models has left out.
+    """Return a placement field that an engine with models lacks, "" if none.
 
-    Taken for a free engine of no domain, it would be ordered into a group.
+    Without this check the planner would take it for a free engine without a domain, and
+    order it into a group.
     """
     places = {"domain": entry.domain, "models": entry.models, "staged": entry.staged}
     missing = [name for name, value in places.items() if value is None]
--- a/mallowpond/platform/early_listener.py
+++ b/mallowpond/platform/early_listener.py
@@ -1,10 +1,10 @@
 """Listen for callers before the rest of the program is loaded.
 
-Loading it takes some tenths of a second. The callers of a host that was killed would be
-turned away meanwhile, and most of them ask twice only; on a socket that listens they
-wait, and are answered as soon as the host can. With a shorter start, 0.9 of 100
-requests failed on a day that ends with the loss of all hosts, in place of 2.4 (one play
-each).
+Loading takes some tenths of a second. While a killed host starts again, the kernel
+would refuse its callers' connections, and most callers try only twice. On a listening
+socket connections wait in the backlog until the host can answer. With a shorter start,
+0.9% of requests failed instead of 2.4% in a scenario that ends with the loss of all
+hosts (one run each).
 """
 
 import os
@@ -13,20 +13,20 @@
 
 SETTINGS_VARIABLE = "MALLOWPOND_BOOT"
 DEFAULT_SETTINGS_PATH = "/etc/mallowpond/local.conf"
-# Callers that may wait for the program: those of some seconds at a host's usual load.
+# Connections that may wait for the program: some seconds of a host's usual load.
 BACKLOG = 1024
 
 
 def settings_path() -> str:
-    """Return where the platform puts the settings."""
+    """Return the path of the settings file that the platform wrote."""
     return os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
 
 
 def listen_for_callers() -> socket.socket | None:
-    """Open the callers' socket, None where that fails.
+    """Open the callers' socket, non-blocking; return None if that fails.
 
-    What is wrong with the settings, or with the address, is told a moment later by
-    their check and by the node, which then listens itself.
+    Errors in the settings or the address are reported later: by the validation of the
+    settings, and by the node, which then opens the socket itself.
     """
     try:
         with open(settings_path(), "rb") as file:
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -1,4 +1,4 @@
-"""Send requests and orders to the platform's engines."""
+"""Send requests, orders and queries to the platform's engines over HTTP."""
 
 import json
 from math import isfinite
@@ -36,15 +36,15 @@
     HttpResponse,
 )
 
-# Time until an order or a question to an engine counts as unanswered, in seconds:
-# some hundred round trips; a question is asked again, so it waits less.
+# Timeouts of orders, and of reports and health checks, in seconds: some hundred round
+# trips. Reports and health checks are repeated, so they wait less.
 ORDER_TIMEOUT_SECONDS = 0.5
 QUERY_TIMEOUT_SECONDS = 0.15
 JSON_HEADERS = (("content-type", "application/json"),)
 
 
 class PlatformEngines:
-    """Speak to engines and plain services."""
+    """Sends requests, orders and queries to engines and plain services."""
 
     def __init__(
         self, *, http: HttpClient, unreadable_log: UnreadableLog | None = None
@@ -61,7 +61,10 @@
         seconds_left: float,
         last_event: str | None,
     ) -> HttpResponse | CallFailed:
-        """Send a request and return once the head of its answer is here."""
+        """Send a request and return once the header of its answer has arrived.
+
+        Answers that do not repeat the request's id are skipped.
+        """
         left = max(1, int(seconds_left * 1000))
         headers = request.forwarded_headers + (
             (names.DEADLINE, str(left)),
@@ -81,15 +84,15 @@
         )
 
     def is_not_run(self, response: HttpResponse) -> bool:
-        """Tell whether an answer proves that the request did not run."""
+        """Return whether an answer proves that the request did not run."""
         return self.is_misdirected(response) or names.NOT_RUN in response.headers
 
     def is_misdirected(self, response: HttpResponse) -> bool:
-        """Tell whether another engine answered, or one that holds no open group."""
+        """Return whether another engine answered, or one without an open group."""
         return response.status == 421
 
     def notice(self, response: HttpResponse) -> TargetNotice:
-        """Return what an engine's answer says of the engine itself."""
+        """Return what an answer announces about the engine itself."""
         found = response.headers
         is_backoff = response.status == 503
         return TargetNotice(
@@ -99,7 +102,11 @@
         )
 
     async def order(self, step: Step, *, fence: int, expected: int) -> OrderResult:
-        """Give an engine an order that only this count of earlier ones may precede."""
+        """Send an engine an order, and return the result.
+
+        fence: fencing number of the planner that gives the order.
+        expected: number of orders that the engine must have begun before this one.
+        """
         body = {**_order_body(step), "fence": fence, "expected": expected}
         answer = await self._http.fetch(
             step.target.address,
@@ -126,7 +133,7 @@
                 return OrderLost(reason=f"status {status}")
 
     async def report(self, target: Target) -> EngineReport | Unavailable:
-        """Ask an engine what it holds."""
+        """Query an engine's state and the number of orders that it has begun."""
         answer = await self._http.fetch(
             target.address,
             "GET",
@@ -152,7 +159,7 @@
         return found
 
     async def is_healthy(self, target: Target, path: str) -> bool | Unavailable:
-        """Ask whether a target is healthy and not leaving; a full one says no."""
+        """Query whether a target is healthy and not stopping; False also if full."""
         answer = await self._http.ask(
             target.address,
             "GET",
@@ -171,7 +178,7 @@
                 return False
 
     def _check_process(self, target: Target, answer: HttpAnswer) -> bool | Unavailable:
-        """Tell whether it is the process asked for that called itself healthy."""
+        """Return True if the queried process itself sent this healthy answer."""
         if answer.headers.get(names.INSTANCE) != target.id:
             return Unavailable(reason="another engine answered")
         born = documents.decode_born(parse_json(answer.body))
@@ -184,7 +191,7 @@
 
 
 def _number(headers: dict[str, str], name: str) -> float | None:
-    """Return a header's number, None if there is none that makes sense."""
+    """Return a header's value, None unless it is a finite number of at least 0."""
     try:
         number = float(headers[name])
     except (KeyError, ValueError):
@@ -193,6 +200,7 @@
 
 
 def _order_body(step: Step) -> dict[str, Any]:
+    """Return the order as engines decode it, without fence and count."""
     match step:
         case Join():
             return {
--- a/mallowpond/platform/program.py
+++ b/mallowpond/platform/program.py
@@ -27,18 +27,18 @@
 
 log = structlog.get_logger()
 # Time to open a connection to an engine or the store, in seconds: some tens of round
-# trips; a host that is dark answers nothing.
+# trips. A host that is down does not answer at all.
 CONNECT_SECONDS = 0.25
 EXIT_USAGE = 2
-# Objects made before the collector of cycles looks at the youngest, and how often it
-# goes on to older ones: what the program and the list of targets consist of stays for
-# good, and going through it took 5 of 100 of a host's processor time (0.231 -> 0.220 of
-# a core with 25 streams a second on loopback, one run each).
+# Thresholds of the three garbage collector generations. The program and the list of
+# targets stay in memory for good, and traversing them with lower thresholds took 5% of
+# a host's processor time (0.231 -> 0.220 of a core at 25 streams per second on
+# loopback, one run each).
 GC_THRESHOLDS = (20_000, 50, 100)
 
 
 def _reload(path: Path, running: NodeSettings) -> None:
-    """Read the settings again; a bad file changes nothing and is told of."""
+    """Reload the settings; an invalid file changes nothing and is logged."""
     settings = load_settings(path, NodeSettings)
     if isinstance(settings, Faults):
         faults = [f"{fault.path}: {fault.message}" for fault in settings.faults]
@@ -46,14 +46,18 @@
         return
     set_up_node_logs(settings.log, BootClock())
     changed = [n for n, v in vars(settings).items() if v != getattr(running, n)]
-    # Addresses and bounds stay as they are while requests are under way.
+    # Only the log settings take effect: addresses and bounds must not change while
+    # requests are in progress.
     log.info("node: reloaded", changed=changed, in_force=["log"])
 
 
 async def run_node(
     settings: NodeSettings, path: Path, listener: socket.socket | None = None
 ) -> None:
-    """Run a node until it is told to stop."""
+    """Run a node until SIGTERM or SIGINT, then drain it.
+
+    `listener` is the callers' socket if it is already open.
+    """
     http = HttpClient(connect_seconds=CONNECT_SECONDS)
     metrics = NodeMetrics()
     unreadable_log = UnreadableLog(counter=metrics.unreadable)
@@ -89,7 +93,10 @@
 
 
 def main(listener: socket.socket | None = None) -> None:
-    """Read the settings that the platform filled in, and run."""
+    """Load the settings that the platform wrote, and run a node.
+
+    Exits with EXIT_USAGE if the settings are invalid.
+    """
     path = Path(settings_path())
     settings = load_settings(path, NodeSettings)
     if isinstance(settings, Faults):
--- a/mallowpond/platform/rows.py
+++ b/mallowpond/platform/rows.py
@@ -1,4 +1,7 @@
-"""Decode the answers of the platform's table service, each row by itself."""
+"""Decode answers of the platform's table service.
+
+Each row is decoded on its own, so that an unreadable one does not affect the others.
+"""
 
 import base64
 from dataclasses import dataclass
@@ -9,9 +12,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StoredRow:
-    """Hold one row; `document` is what its value says, or why it cannot be read.
+    """One row of a table, or the removal of one.
 
-    `version` 0 stands for one that cannot be read.
+    document: the decoded value, or an `Unreadable` with the reason.
+    value: the raw value, empty if it cannot be decoded.
+    version: table version of the row's last change, 0 if unreadable.
     """
 
     key: str
@@ -23,21 +28,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StoreAnswer:
-    """Hold the rows of one answer; one without a key names no row, only a fault."""
+    """The rows of one answer.
+
+    version: table version up to which the answer is complete.
+    answered_at: when the store answered, in seconds of its own monotonic clock.
+    keyless_faults: one fault for each row without a readable key.
+    has_more: whether further pages follow.
+    """
 
     version: int
     rows: tuple[StoredRow, ...]
-    # By the store's steady clock, in seconds.
     answered_at: float | None = None
     keyless_faults: tuple[Unreadable, ...] = ()
     has_more: bool = False
 
     @property
     def latest_rows(self) -> list[StoredRow]:
-        """Return the last state of each row: a feed may hold several of one row.
+        """Return the last state of each row; an answer may contain several of one row.
 
-        Taking the first, a node went on with an older configuration although it had
-        read past the newer one, and refused keys that were in force.
+        When the first state was used, a node kept an older configuration although it
+        had read past the newer one, and refused keys that were in force.
         """
         return list({row.key: row for row in self.rows}.values())
 
@@ -47,7 +57,7 @@
     ver: int
     rows: tuple[Any, ...]
     more_pages: bool = False
-    # The store's steady clock, in milliseconds.
+    # The store's monotonic clock, in milliseconds.
     now_ms: float | None = None
 
 
@@ -78,32 +88,32 @@
 
 
 def decode_answer(data: bytes) -> StoreAnswer | Unreadable:
-    """Decode an answer that holds rows."""
-    found = _decode_json(data, _Answer)
-    if isinstance(found, Unreadable):
-        return found
-    rows = [_decode_row(row) for row in found.rows]
+    """Decode an answer that contains rows."""
+    decoded = _decode_json(data, _Answer)
+    if isinstance(decoded, Unreadable):
+        return decoded
+    rows = [_decode_row(row) for row in decoded.rows]
     return StoreAnswer(
-        version=found.ver,
-        answered_at=None if found.now_ms is None else found.now_ms / 1000.0,
+        version=decoded.ver,
+        answered_at=None if decoded.now_ms is None else decoded.now_ms / 1000.0,
         rows=tuple(row for row in rows if isinstance(row, StoredRow)),
         keyless_faults=tuple(row for row in rows if isinstance(row, Unreadable)),
-        has_more=found.more_pages,
+        has_more=decoded.more_pages,
     )
 
 
 def decode_committed_version(data: bytes) -> int | Unreadable:
-    """Decode the answer to a change that took effect."""
-    found = _decode_json(data, _Version)
-    return found if isinstance(found, Unreadable) else found.ver
+    """Decode the table version from the answer to a committed transaction."""
+    decoded = _decode_json(data, _Version)
+    return decoded if isinstance(decoded, Unreadable) else decoded.ver
 
 
 def decode_conflicting_keys(data: bytes) -> tuple[str, ...]:
-    """Decode which rows spoke against a change, as far as the answer can be read."""
-    found = _decode_json(data, _Conflicts)
-    if isinstance(found, Unreadable):
+    """Decode the keys (TABLE/KEY) of conflicting rows; unreadable ones are skipped."""
+    decoded = _decode_json(data, _Conflicts)
+    if isinstance(decoded, Unreadable):
         return ()
-    places = [decode(row, _Place) for row in found.rows]
+    places = [decode(row, _Place) for row in decoded.rows]
     return tuple(f"{p.table}/{p.key}" for p in places if isinstance(p, _Place))
 
 
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -1,4 +1,4 @@
-"""Reach the platform's table service over its published protocol."""
+"""Client for the platform's table service."""
 
 import base64
 import json
@@ -34,10 +34,10 @@
 from mallowpond.state.site_configuration import SiteConfiguration
 from mallowpond.transport.http_client import CallFailed, HttpClient
 
-# Time beyond what a call is asked to wait until it counts as lost, in seconds: the
-# store may be slow by a factor of some tens over its usual 4 ms.
+# Timeout of a call beyond the time that it asks the store to wait, in seconds. The
+# store may be some tens of times slower than its usual 4 ms.
 CALL_TIMEOUT_SECONDS = 1.0
-# Changed rows of one feed answer are kept whole up to this page of a full read.
+# Rows per page when a whole table is read; answers with changes have no pages.
 PAGE_ROWS = 500
 CONFIGURATION_TABLE = "op"
 CONFIGURATION_KEY = "config"
@@ -47,7 +47,11 @@
 
 
 class PlatformStore:
-    """Read and change rows; keys of the port are written TABLE/KEY."""
+    """Reads and changes rows of the table service; keys have the form TABLE/KEY.
+
+    It is the node's source of the configuration and the list of targets, and its table
+    for rows of this system.
+    """
 
     def __init__(
         self,
@@ -67,7 +71,10 @@
     async def configuration(
         self, since: int, wait_seconds: float
     ) -> ConfigurationRead | HistoryLost | Unavailable:
-        """Wait for a configuration after `since`; 0 reads the newest at once."""
+        """Wait up to `wait_seconds` for a configuration after revision `since`.
+
+        With `since` 0 return the newest one at once.
+        """
         if since == 0:
             answer = await self._read_table(CONFIGURATION_TABLE)
         else:
@@ -75,7 +82,8 @@
         if isinstance(answer, HistoryLost | Unavailable):
             return answer
         if answer.keyless_faults:
-            # It may be the newest configuration: passed over, it would never be read.
+            # This row may be the newest configuration. The next read begins after it, so
+            # it must not be skipped.
             self._unreadable_log.record("configuration", "", answer.keyless_faults[0])
             return Unavailable(reason=f"row without a key: {answer.keyless_faults[0]}")
         for row in answer.latest_rows:
@@ -103,7 +111,7 @@
         )
 
     def parse_configuration(self, document: bytes) -> SiteConfiguration | None:
-        """Decode a configuration as it stands in the store, None if that fails."""
+        """Decode a configuration as it is stored, None if that fails."""
         found = parse_json(document)
         if not isinstance(found, Unreadable):
             found = documents.decode_configuration(found)
@@ -113,7 +121,7 @@
         return found
 
     async def targets(self, since: int) -> TargetsRead | HistoryLost | Unavailable:
-        """Return what changed after `since`; 0 reads all of them."""
+        """Return what changed after revision `since`, or all targets if it is 0."""
         if since == 0:
             answer = await self._read_table(TARGETS_TABLE)
         else:
@@ -129,7 +137,8 @@
         }
         bad = [key for key, target in found.items() if not isinstance(target, Target)]
         removed = [row.key for row in answer.latest_rows if row.removed]
-        # What stands under another key was never a target, and is none to drop.
+        # A row with a key that is no engine id was never a target: it is neither
+        # removed nor unreadable.
         return TargetsRead(
             revision=answer.version,
             targets=tuple(t for t in found.values() if isinstance(t, Target)),
@@ -146,10 +155,10 @@
             self._unreadable_log.record("target", row.key, found)
         return found
 
-    # -- the product's own rows ---------------------------------------------
+    # -- rows that this system writes ----------------------------------------
 
     async def read(self, key: str) -> Row | UnreadableRow | None | Unavailable:
-        """Return the row, None when it is absent."""
+        """Return the row, None if it is absent."""
         table, _, name = key.partition("/")
         self._counts.count(table, "read")
         query = f"table={quote(table)}&part=&from={quote(name)}&limit=1"
@@ -157,19 +166,20 @@
         if isinstance(answer, HistoryLost | Unavailable):
             return _as_unavailable(answer)
         if answer.keyless_faults:
-            # It may be the row asked for: taken for absent, it would be replaced.
+            # This may be the requested row. If it counted as absent, the caller would
+            # replace it.
             return Unavailable(reason=f"row without a key: {answer.keyless_faults[0]}")
         rows = [row for row in answer.rows if row.key == name]
         if not rows:
             return None
         found = self._decode_own_row(table, rows[0])
         if found.version == 0:
-            # No change could name the version that it replaces.
+            # A transaction that replaces it could not name its version.
             return Unavailable(reason="row without a version")
         return found
 
     async def scan(self, prefix: str, since: int = 0) -> Scanned | Unavailable:
-        """Return the rows of a table that changed after version `since`."""
+        """Return the changes to a table after version `since`, all rows if it is 0."""
         table = prefix.partition("/")[0]
         answer = await (
             self._read_changes(table, since, 0.0) if since else self._read_table(table)
@@ -206,7 +216,7 @@
         )
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Apply a transaction and tell what is known of its effect."""
+        """Apply a transaction and return what is known of its effect."""
         self._counts.count(_table_of(transaction), "write")
         body = {
             "expected": [
@@ -239,13 +249,13 @@
             case (412, data):
                 return Conflict(keys=decode_conflicting_keys(data))
             case (status, _):
-                # Every other status of the store says that nothing was done.
+                # With any other status the store has changed nothing.
                 return Unavailable(reason=f"status {status}")
 
     # -- calls ---------------------------------------------------------------
 
     async def _read_table(self, table: str) -> StoreAnswer | HistoryLost | Unavailable:
-        """Read a whole table; pages after the first may be a little newer."""
+        """Read a whole table page by page; later pages may be newer than the first."""
         pages: list[StoreAnswer] = []
         start = ""
         while True:
@@ -259,8 +269,10 @@
                 return _join_pages(pages)
             following = answer.rows[-1].key + "\0" if answer.rows else ""
             if following <= start:
-                # Asked again from the same place, the store would answer for ever.
-                return Unavailable(reason="page without an end")
+                # The next request would start at the same row: the loop would not end.
+                return Unavailable(
+                    reason="page announces more rows but does not advance"
+                )
             start = following
 
     async def _read_changes(
@@ -302,14 +314,15 @@
 
 
 def _join_pages(pages: list[StoreAnswer]) -> StoreAnswer:
-    """Return the pages of a table as one answer, of the version of the first page.
+    """Return the pages of a table as one answer with the version of the first page.
 
-    Changes after the first page are read again by the next feed.
+    The next read of changes returns those made after the first page again.
     """
     return StoreAnswer(
         version=pages[0].version,
-        # Whole reads are the fast ones, by which the store's clock is learnt: without
-        # their time an answer that waited seems as old as its wait.
+        # Only reads of whole tables are fast enough to estimate the offset of the
+        # store's clock. Without their time, an answer to a read that waited would seem
+        # as old as the wait.
         answered_at=pages[0].answered_at,
         rows=tuple(row for page in pages for row in page.rows),
         keyless_faults=tuple(fault for page in pages for fault in page.keyless_faults),
@@ -318,7 +331,7 @@
 
 def _commit_result(version: int | Unreadable) -> Committed | Unknown:
     if isinstance(version, Unreadable):
-        # It took effect, but a later change has to name its version.
+        # It took effect, but later transactions need its version, which is unknown.
         return Unknown(reason=str(version))
     return Committed(version=version)
 
@@ -326,7 +339,7 @@
 def _as_unavailable(answer: HistoryLost | Unavailable) -> Unavailable:
     if isinstance(answer, Unavailable):
         return answer
-    return Unavailable(reason="the history asked for is lost")
+    return Unavailable(reason="the store no longer has the requested changes")
 
 
 def _row_address(key: str) -> dict[str, str]:
