--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -30,8 +30,8 @@
 )
 from mallowpond.state.target_notice import TargetNotice
 from mallowpond.transport.http_client import (
+    BufferedResponse,
     CallFailed,
-    HttpAnswer,
     HttpClient,
     HttpResponse,
 )
@@ -160,7 +160,7 @@
 
     async def is_healthy(self, target: Target, path: str) -> bool | Unavailable:
         """Query whether a target is healthy and not stopping; False also if full."""
-        answer = await self._http.ask(
+        answer = await self._http.fetch_response(
             target.address,
             "GET",
             path,
@@ -170,14 +170,16 @@
         match answer:
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
-            case HttpAnswer(status=421):
+            case BufferedResponse(status=421):
                 return Unavailable(reason="another engine has this address")
-            case HttpAnswer(status=200):
+            case BufferedResponse(status=200):
                 return self._check_process(target, answer)
             case _:
                 return False
 
-    def _check_process(self, target: Target, answer: HttpAnswer) -> bool | Unavailable:
+    def _check_process(
+        self, target: Target, answer: BufferedResponse
+    ) -> bool | Unavailable:
         """Return True if the queried process itself sent this healthy answer."""
         if answer.headers.get(names.INSTANCE) != target.id:
             return Unavailable(reason="another engine answered")
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -240,7 +240,7 @@
             timeout=CALL_TIMEOUT_SECONDS,
         )
         match answer:
-            case CallFailed() if answer.bytes_left:
+            case CallFailed() if answer.may_have_sent:
                 return Unknown(reason=answer.reason)
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
