--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallFailed:
-    """A call failed; `bytes_left` tells whether the server may have seen any of it."""
+    """Describe a failed call: the phase it failed in and the reason."""
 
     phase: FailurePhase
     reason: str
 
     @property
-    def bytes_left(self) -> bool:
-        """Tell whether any byte of the request may have left this host."""
+    def may_have_sent(self) -> bool:
+        """Return whether any byte of the request may have left this host."""
         return self.phase not in (
             FailurePhase.CONNECT,
             FailurePhase.CLOSED_BEFORE_SEND,
@@ -206,7 +206,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HttpAnswer:
+class BufferedResponse:
     """Hold one answer, read to its end."""
 
     status: int
@@ -238,8 +238,8 @@
         An answer whose header `echo` has another value belongs to an earlier request
         and is skipped.
 
-        With `fresh` no kept connection is used: a server may close one at the very
-        moment of sending, and then nobody can tell whether the request ran.
+        `fresh` opens a connection of its own: a server may close an idle one while
+        the request is being sent, and then it is unknown whether the request ran.
         """
         connection = None if fresh else self._take(address)
         if connection is None:
@@ -273,14 +273,14 @@
         timeout: float = 5.0,
     ) -> tuple[int, bytes] | CallFailed:
         """Send a request and return status and whole body, within `timeout`."""
-        answer = await self.ask(
+        answer = await self.fetch_response(
             address, method, target, headers=headers, body=body, timeout=timeout
         )
         return (
             answer if isinstance(answer, CallFailed) else (answer.status, answer.body)
         )
 
-    async def ask(
+    async def fetch_response(
         self,
         address: str,
         method: str,
@@ -289,7 +289,7 @@
         headers: Headers = (),
         body: bytes = b"",
         timeout: float = 5.0,
-    ) -> HttpAnswer | CallFailed:
+    ) -> BufferedResponse | CallFailed:
         """Send a request and return its whole answer, within `timeout`."""
         response: HttpResponse | CallFailed | None = None
         try:
@@ -309,7 +309,9 @@
                 response.close()
         if isinstance(data, CallFailed):
             return data
-        return HttpAnswer(status=response.status, headers=response.headers, body=data)
+        return BufferedResponse(
+            status=response.status, headers=response.headers, body=data
+        )
 
     def give_back(self, connection: _Connection) -> None:
         """Keep a connection for the next request to its server."""
