--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -82,8 +82,8 @@
         if isinstance(answer, HistoryLost | Unavailable):
             return answer
         if answer.keyless_faults:
-            # This row may be the newest configuration. The next read begins after it, so
-            # it must not be skipped.
+            # This row may be the newest configuration. The next read begins after it,
+            # so it must not be skipped.
             self._unreadable_log.record("configuration", "", answer.keyless_faults[0])
             return Unavailable(reason=f"row without a key: {answer.keyless_faults[0]}")
         for row in answer.latest_rows:
