--- a/mallowpond/gateway/dispatch.py
+++ b/mallowpond/gateway/dispatch.py
@@ -111,7 +111,7 @@
                 # A kept connection can be closed by the target while the request is
                 # on its way; for a request that must not be repeated nobody could
                 # tell then whether it ran.
-                fresh=not attempt.repeatable,
+                new_connection=not attempt.repeatable,
             )
     except TimeoutError:
         return MaybeRun(reason="first_byte_timeout")
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -240,7 +240,7 @@
         *,
         headers: Headers = (),
         body: bytes = b"",
-        fresh: bool = False,
+        new_connection: bool = False,
         echo: tuple[str, str] | None = None,
     ) -> HttpResponse | CallFailed:
         """Send a request and return when the head of the response has arrived.
@@ -248,10 +248,10 @@
         `echo` is a header name and value that the server copies from the request. A
         response with another value belongs to an earlier request and is skipped.
 
-        With `fresh` no idle connection is reused: a server may close one
+        With `new_connection` no idle connection is reused: a server may close one
         while the request is being sent; it is then unknown whether the request ran.
         """
-        connection = None if fresh else self._take_idle(address)
+        connection = None if new_connection else self._take_idle(address)
         if connection is None:
             connected = await self._connect(address)
             if isinstance(connected, CallFailed):
--- a/mallowpond/transport/tests/test_http_client.py
+++ b/mallowpond/transport/tests/test_http_client.py
@@ -14,11 +14,13 @@
 from mallowpond.transport.tests import scripted
 
 
-async def call(address, fresh=False):
+async def call(address, new_connection=False):
     http = HttpClient(connect_seconds=0.5)
     try:
         async with asyncio.timeout(1.0):
-            answer = await http.send(address, "POST", "/x", body=b"hello", fresh=fresh)
+            answer = await http.send(
+                address, "POST", "/x", body=b"hello", new_connection=new_connection
+            )
         if isinstance(answer, CallFailed):
             return answer
         body = await answer.read()
