--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -1,4 +1,4 @@
-"""Hold a named lease while this process owns the name and its heartbeat moves."""
+"""Named leases, held while this process owns the name and renews its heartbeat."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -10,7 +10,7 @@
     TableView,
     TypedPut,
     Versioned,
-    commit_settled,
+    commit_and_resolve,
     transaction,
 )
 from mallowpond.state.lease import HeldLease
@@ -19,7 +19,7 @@
 
 
 class NamedLease:
-    """Take, hold and give back the lease on one name."""
+    """Acquires, holds and releases the lease on one name."""
 
     def __init__(
         self,
@@ -39,8 +39,8 @@
         self._draw_id = draw_id
 
     @property
-    def held(self) -> HeldLease | None:
-        """Return the lease while this process may act under it."""
+    def current(self) -> HeldLease | None:
+        """Return the lease if this process holds it and it is valid, else None."""
         row = self._row
         if row is None or not self._is_mine(row.value):
             return None
@@ -53,7 +53,7 @@
 
     @property
     def is_mine(self) -> bool:
-        """Tell whether the row names this process, valid or not."""
+        """Return whether the row names this process, even if the lease has expired."""
         row = self._row
         return row is not None and self._is_mine(row.value)
 
@@ -62,24 +62,28 @@
         """Return the key of the lease's row."""
         return SHARED + LEASES + self._name
 
-    async def keep(self) -> HeldLease | None:
-        """Take the lease when it is ours to take, give it back when it is not."""
+    async def maintain(self) -> HeldLease | None:
+        """Acquire the lease if this process owns the name, release it if another does.
+
+        Return the lease if it is valid. A lease acquired by this call is returned from
+        the next one on.
+        """
         me = self._membership.identity
-        owner = owner_of(self._name, self._membership.takers())
+        owner = owner_of(self._name, self._membership.eligible_owners())
         row = self._row
         if row is not None and self._is_mine(row.value):
             if owner not in (None, me.name):
                 await self.release()
                 return None
-            return self.held
+            return self.current
         if owner == me.name and self._is_free(row):
             fence = row.value.fence + 1 if row else 1
-            taken = LeaseRow(holder=me.name, incarnation=me.incarnation, fence=fence)
-            await self._put(taken, row)
+            acquired = LeaseRow(holder=me.name, incarnation=me.incarnation, fence=fence)
+            await self._put(acquired, row)
         return None
 
     async def release(self) -> None:
-        """Give the lease back; the fencing number stays in the row."""
+        """Release the lease; its fencing number stays in the row."""
         row = self._row
         if row is not None and self._is_mine(row.value):
             await self._put(replace(row.value, holder="", incarnation=""), row)
@@ -95,10 +99,12 @@
     def _is_free(self, row: Versioned[LeaseRow] | None) -> bool:
         if row is None or not row.value.holder:
             return True
-        return self._membership.is_gone(row.value.holder, row.value.incarnation)
+        return self._membership.is_lease_expired(
+            row.value.holder, row.value.incarnation
+        )
 
     async def _put(self, lease: LeaseRow, row: Versioned[LeaseRow] | None) -> None:
         expect = row.version if row else 0
         put = TypedPut(key=self.key, value=lease, expect=expect)
-        await commit_settled(self._table, transaction(self._draw_id(), put))
+        await commit_and_resolve(self._table, transaction(self._draw_id(), put))
         await self._shared.refresh()
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -1,9 +1,9 @@
-"""Let a few hosts read the store, and tell the others.
+"""Elect a few hosts that read the store and broadcast what they find.
 
-The load pattern: each host reads the configuration and the list of targets several
-times a second, so that a fleet of 70 made 212 calls a second to the store, most of
-them for the same news. Two hosts read; the others follow what they tell, and read for
-themselves as soon as they hear nothing or miss a change.
+If every host reads the configuration and the list of targets several times a second, a
+fleet of 70 makes 212 calls a second to the store, most of them for the same changes.
+Instead, two readers poll the store. The other hosts follow their broadcasts, and read
+the store themselves as soon as these stop or a change is missed.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.configuration import ConfigurationFollower
 from mallowpond.node.directory import Directory
-from mallowpond.node.fanout import MOST_PARTS, Fanout, PartCollector
+from mallowpond.node.fanout import MAX_PARTS, Fanout, PartCollector
 from mallowpond.node.messages import (
     Digest,
     Heartbeat,
@@ -22,40 +22,49 @@
     VersionAnswer,
     VersionQuestion,
     Work,
-    heartbeat_loads,
-    loads_of,
+    decode_loads,
+    encode_loads,
 )
-from mallowpond.node.peer_work import Figures
+from mallowpond.node.peer_loads import LoadsByGroup
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.node.ports import TargetsRead
 from mallowpond.state.ownership import ranked_by_capacity
 
 log = structlog.get_logger()
 
-# Hosts that read for all: with one, its death leaves the others to themselves until
-# its heartbeats are missed. The first of them is also the next to plan.
-READERS = 2
+# Number of readers. With a single one, its failure would leave the other hosts on their
+# own until its missing heartbeats are noticed. The first reader is also the next to
+# plan.
+READER_COUNT = 2
 READERS_KEY = "planner"
-# Hosts that may read or plan next: their death has to be noticed soon.
-SENIORS = 4
-# Pause between two digests, and between two tellings of work to the readers, in
-# seconds: a few passes of a group, in a small part of a host's link.
+# Number of candidates, the hosts that may be the next to read or plan: their failure
+# must be detected soon.
+CANDIDATE_COUNT = 4
+# Interval between digests, and between reports of a host's load to the readers, in
+# seconds: a few passes of a group, at a small share of a host's link.
 DIGEST_SECONDS = 0.2
-# Turns in which a reader that stands by tells a large fleet once: well within the
-# silence after which a host reads for itself.
+# The standby reader of a large fleet sends a digest every this many intervals: well
+# within the silence after which a host reads the store itself.
 STANDBY_TURNS = 2
-# Turns in which a host tells work that has not changed once: within the silence after
-# which it is not asked to tell others on. Most of 195 hosts have no work at most turns.
+# A host sends an unchanged load every this many intervals: within the silence after
+# which it is not chosen as relay. In a fleet of 195, most hosts have no work in most
+# intervals.
 UNCHANGED_WORK_TURNS = 3
-# Targets of a change of the list in one datagram: about 7 KB.
-MOST_PASSED_ON = 60
-# Time for which the ranking of the hosts is kept unless one of them changes, in
-# seconds: it is asked for at each message.
-RANKED_SECONDS = 0.3
+# Targets in one datagram of a list change: about 7 KB.
+MAX_TARGETS_PER_PART = 60
+# Time for which the ranking of the hosts is cached unless the state of one changes, in
+# seconds: it is needed for each message.
+RANKING_SECONDS = 0.3
 
 
 class Readers:
-    """Choose the hosts that read, tell as one of them, or listen to them."""
+    """Election of the readers, and this host's part as a reader or follower.
+
+    All hosts rank the live peers in the same way, so they agree on the readers without
+    messages: the first `READER_COUNT` hosts that reach the store. A reader broadcasts
+    digests and changes of the list; a follower applies them to its configuration and
+    directory, and in a large fleet sends its load to the readers.
+    """
 
     def __init__(
         self,
@@ -76,7 +85,7 @@
         self._ranking: list[str] = []
         self._ranked_at = float("-inf")
         self._ranked_for: tuple[bool, bool] | None = None
-        self._standing: dict[str, tuple[bool, bool]] = {}
+        self._peer_states: dict[str, tuple[bool, bool]] = {}
         self._parts = PartCollector()
         self._is_planning = is_planning
         self._peers = peers
@@ -84,176 +93,181 @@
         self._directory = directory
         self._clock = clock
         self._is_stopping = is_stopping
-        self._reads = False
+        self._acts_as_reader = False
         self._turn = 0
         self._work_turn = 0
-        self._told_work: Figures = {}
-        self._store_was_reached = True
-        # The last place that this host was given, which its work holds.
-        self.granted: Callable[[], int] = lambda: 0
-        self.on_news: list[Callable[[], None]] = []
-        configuration.is_reader = lambda: self.reads
-        configuration.ask_readers = self._ask
-        directory.is_reader = lambda: self.reads
-        configuration.tries_first = lambda: self.tries_first
-        directory.tries_first = lambda: self.tries_first
-        directory.stands_by = lambda: self.stands_by
-        directory.on_read.append(self._pass_on)
-        peers.on_heartbeat.append(self._note_heartbeat)
-        peers.on_digest.append(self._note_digest)
-        peers.on_list_change.append(self._note_change)
-        peers.on_work.append(self._note_work)
-        peers.on_version_question.append(self._answer)
-        peers.on_version_answer.append(self._note_answer)
+        self._last_sent_work: LoadsByGroup = {}
+        self._was_store_reached = True
+        # Returns the number of the last place granted to this host whose stream its
+        # load includes.
+        self.grant_number: Callable[[], int] = lambda: 0
+        self.after_digest: list[Callable[[], None]] = []
+        configuration.is_reader = lambda: self.is_reader
+        configuration.ask_readers = self._ask_reader
+        directory.is_reader = lambda: self.is_reader
+        configuration.should_retry_often = lambda: self.should_retry_often
+        directory.should_retry_often = lambda: self.should_retry_often
+        directory.is_standby = lambda: self.is_standby
+        directory.on_change_read.append(self._broadcast_change)
+        peers.on_heartbeat.append(self._on_heartbeat)
+        peers.on_digest.append(self._on_digest)
+        peers.on_list_change.append(self._on_list_change)
+        peers.on_work.append(self._on_work)
+        peers.on_version_question.append(self._on_version_question)
+        peers.on_version_answer.append(self._on_version_answer)
 
     @property
     def names(self) -> list[str]:
-        """Return the hosts that read now."""
-        return self._ranked()[:READERS]
+        """Return the names of the current readers, the first one first."""
+        return self._ranked()[:READER_COUNT]
 
     def _ranked(self) -> list[str]:
-        """Return the hosts that can read, the first to do so first."""
+        """Return the hosts that reach the store, in the order of preference."""
         now = self._clock.now()
-        own = (self._configuration.store_answers, self._is_stopping())
-        if own != self._ranked_for or now - self._ranked_at > RANKED_SECONDS:
+        own = (self._configuration.is_store_reachable, self._is_stopping())
+        if own != self._ranked_for or now - self._ranked_at > RANKING_SECONDS:
             self._ranking = self._rank(*own)
             self._ranked_at, self._ranked_for = now, own
         return self._ranking
 
-    def _rank(self, store_answers: bool, is_stopping: bool) -> list[str]:
-        able = [p.heartbeat for p in self._peers.live]
-        cores = {h.node: h.cores for h in able if h.store and not h.stopping}
-        if store_answers and not is_stopping:
+    def _rank(self, is_store_reachable: bool, is_stopping: bool) -> list[str]:
+        heartbeats = [p.heartbeat for p in self._peers.live]
+        cores = {h.node: h.cores for h in heartbeats if h.store and not h.stopping}
+        if is_store_reachable and not is_stopping:
             cores[self._name] = self._cores
         return ranked_by_capacity(READERS_KEY, cores)
 
     @property
-    def reads(self) -> bool:
-        """Tell whether this host is to read the store."""
+    def is_reader(self) -> bool:
+        """Return whether this host should read the store."""
         names = self.names
         return not names or self._name in names
 
     @property
-    def stands_by(self) -> bool:
-        """Tell whether this host reads beside another one that does so more often."""
+    def is_standby(self) -> bool:
+        """Return whether this host is a reader, but not the first one."""
         return self._name in self.names[1:]
 
     @property
-    def strongest(self) -> list[str]:
-        """Return the other hosts that would read if all could."""
+    def top_ranked_peers(self) -> list[str]:
+        """Return the other hosts that would be readers if all reached the store."""
         ranked = self._rank_all()
-        return [name for name in ranked if name != self._name][:READERS]
+        return [name for name in ranked if name != self._name][:READER_COUNT]
 
     @property
     def dispatcher(self) -> str:
         """Return the host that counts the places of all groups.
 
-        The first that reads the store, as it hears of all work; while none reaches the
-        store, the one that would.
+        This is the first reader, as it gets the load of all hosts. While no host
+        reaches the store, it is the one that would be the first reader.
         """
         names = self.names or self._rank_all()
         return names[0]
 
     @property
-    def tries_first(self) -> bool:
-        """Tell whether this host is to try the store often.
+    def should_retry_often(self) -> bool:
+        """Return whether this host should retry the store often after a failure.
 
-        While none reaches it, two hosts try for all, as the calls of a whole fleet
-        would all be refused. One that the store turns away while it serves others has
-        to try for itself.
+        While no host reaches it, only two hosts do, as the calls of a whole fleet would
+        all be refused. A host that the store rejects while it serves others must retry
+        for itself.
         """
         if self._ranked():
             return True
-        return self._name in self._rank_all()[:READERS]
+        return self._name in self._rank_all()[:READER_COUNT]
 
     def _rank_all(self) -> list[str]:
-        """Return all hosts, whether they reach the store or not."""
+        """Rank all live hosts, whether they reach the store or not."""
         cores = {p.heartbeat.node: p.heartbeat.cores for p in self._peers.live}
         cores[self._name] = self._cores
         return ranked_by_capacity(READERS_KEY, cores)
 
     async def run(self) -> None:
-        """Tell what is newest, or this host's work, until cancelled."""
+        """Send digests as a reader, or loads as a follower, until cancelled."""
         while True:
             self.step()
             await self._clock.sleep(DIGEST_SECONDS)
 
     def step(self) -> None:
-        """Tell once."""
-        seniors = self._ranked()[:SENIORS]
-        self._peers.is_senior = self._name in seniors or self._is_planning()
-        self._peers.seniors = frozenset(seniors) - {self._name}
-        if self.reads != self._reads:
-            self._reads = not self._reads
-            log.info("readers: changed", reads=self._reads, readers=self.names)
-        if not self._reads:
-            if self._peers.is_large:
-                self._tell_work()
+        """Update this host's role, and send its digest or load once if due."""
+        candidates = self._ranked()[:CANDIDATE_COUNT]
+        self._peers.is_candidate = self._name in candidates or self._is_planning()
+        self._peers.candidates = frozenset(candidates) - {self._name}
+        if self.is_reader != self._acts_as_reader:
+            self._acts_as_reader = not self._acts_as_reader
+            log.info("readers: changed", reads=self._acts_as_reader, readers=self.names)
+        if not self._acts_as_reader:
+            if self._peers.is_large_fleet:
+                self._publish_work()
             return
         known = self._configuration.configuration
-        if known is None or self._directory.is_lost:
+        if known is None or self._directory.is_list_lost:
             return
         self._turn += 1
-        if self.stands_by and self._peers.is_large and self._turn % STANDBY_TURNS:
+        if (
+            self.is_standby
+            and self._peers.is_large_fleet
+            and self._turn % STANDBY_TURNS
+        ):
             return
-        # One sum is enough: that of the second reader took as many bytes again.
+        # Only the first reader sends the loads; both would send twice the bytes.
         is_first = self.names[:1] == [self._name]
         loads = (
             self._directory.loads.all_loads(self._directory.groups)
-            if self._peers.is_large and is_first
+            if self._peers.is_large_fleet and is_first
             else {}
         )
-        self._fanout.tell(
+        self._fanout.broadcast(
             Digest(
                 node=self._name,
                 version=known.version,
-                changed=self._directory.changed,
-                loads=heartbeat_loads(loads),
+                last_change=self._directory.last_change,
+                loads=encode_loads(loads),
             )
         )
 
-    def _tell_work(self) -> None:
+    def _publish_work(self) -> None:
         loads = self._directory.loads.own_loads()
         self._work_turn += 1
-        if loads == self._told_work and self._work_turn % UNCHANGED_WORK_TURNS:
+        if loads == self._last_sent_work and self._work_turn % UNCHANGED_WORK_TURNS:
             return
-        self._told_work = loads
-        self._directory.loads.note_told(loads)
+        self._last_sent_work = loads
+        self._directory.loads.record_published(loads)
         self._send_work(loads, {*self.names, self.dispatcher})
 
-    def tell_dispatcher(self) -> None:
-        """Tell this host's work at once to the one that counts places for all."""
+    def send_work_to_dispatcher(self) -> None:
+        """Send this host's load to the dispatcher at once."""
         host = self.dispatcher
         if host == self._name:
             return
         loads = self._directory.loads.own_loads()
-        if self._peers.is_large and host in self.names[:1]:
-            self._told_work = loads
-            self._directory.loads.note_told(loads)
+        if self._peers.is_large_fleet and host in self.names[:1]:
+            self._last_sent_work = loads
+            self._directory.loads.record_published(loads)
         self._send_work(loads, {host})
 
-    def _send_work(self, loads: Figures, hosts: set[str]) -> None:
+    def _send_work(self, loads: LoadsByGroup, hosts: set[str]) -> None:
         work = Work(
-            node=self._name, loads=heartbeat_loads(loads), granted=self.granted()
+            node=self._name, loads=encode_loads(loads), grant_number=self.grant_number()
         )
-        self._peers.tell_nodes(work, hosts - {self._name})
+        self._peers.send_to(work, hosts - {self._name})
 
     # -- the list of targets -------------------------------------------------
 
-    def _pass_on(self, read: TargetsRead, previous: int) -> None:
-        if not self._reads:
+    def _broadcast_change(self, read: TargetsRead, previous: int) -> None:
+        if not self._acts_as_reader:
             return
-        for change in self._in_parts(read, previous):
-            self._fanout.tell(change)
+        for change in self._split(read, previous):
+            self._fanout.broadcast(change)
 
-    def _in_parts(self, read: TargetsRead, previous: int) -> list[ListChange]:
-        """Return a change in datagrams, none if it is too large for them."""
+    def _split(self, read: TargetsRead, previous: int) -> list[ListChange]:
+        """Return a list change in parts; none if it needs too many of them."""
         size = max(map(len, (read.targets, read.removed, read.unreadable)))
-        parts = max(1, ceil(size / MOST_PASSED_ON))
-        if parts > MOST_PARTS:
+        parts = max(1, ceil(size / MAX_TARGETS_PER_PART))
+        if parts > MAX_PARTS:
             return []
         slices = [
-            slice(number * MOST_PASSED_ON, (number + 1) * MOST_PASSED_ON)
+            slice(number * MAX_TARGETS_PER_PART, (number + 1) * MAX_TARGETS_PER_PART)
             for number in range(parts)
         ]
         return [
@@ -261,20 +275,20 @@
                 node=self._name,
                 previous=previous,
                 revision=read.revision,
-                targets=read.targets[some],
-                removed=read.removed[some],
-                unreadable=read.unreadable[some],
+                targets=read.targets[indices],
+                removed=read.removed[indices],
+                unreadable=read.unreadable[indices],
                 part=number,
                 parts=parts,
             )
-            for number, some in enumerate(slices)
+            for number, indices in enumerate(slices)
         ]
 
-    def _note_change(self, change: ListChange) -> None:
-        self._fanout.pass_on(change)
+    def _on_list_change(self, change: ListChange) -> None:
+        self._fanout.relay(change)
         if change.revision <= self._directory.revision:
             return
-        parts = self._parts.take(change, change.revision)
+        parts = self._parts.add(change, change.revision)
         if parts is None:
             return
         read = TargetsRead(
@@ -283,40 +297,42 @@
             removed=tuple(r for part in parts for r in part.removed),
             unreadable=tuple(u for part in parts for u in part.unreadable),
         )
-        self._directory.hear_change(read, previous=change.previous)
+        self._directory.apply_change(read, previous=change.previous)
 
-    def _note_digest(self, digest: Digest) -> None:
-        self._fanout.pass_on(digest)
-        self._directory.hear_digest(digest.changed, loads_of(digest))
-        self._configuration.hear_version(digest.version)
-        for notify in self.on_news:
+    def _on_digest(self, digest: Digest) -> None:
+        self._fanout.relay(digest)
+        self._directory.apply_digest(digest.last_change, decode_loads(digest))
+        self._configuration.handle_version(digest.version)
+        for notify in self.after_digest:
             notify()
 
-    def _note_work(self, work: Work) -> None:
-        self._directory.loads.note_peer(work.node, loads_of(work), work.granted)
+    def _on_work(self, work: Work) -> None:
+        self._directory.loads.record_peer_loads(
+            work.node, decode_loads(work), work.grant_number
+        )
 
     # -- the configuration ---------------------------------------------------
 
-    def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
-        self._configuration.hear_version(heartbeat.version)
-        standing = (heartbeat.store, heartbeat.stopping)
-        if self._standing.get(heartbeat.node) != standing:
-            self._standing[heartbeat.node] = standing
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self._configuration.handle_version(heartbeat.version)
+        state = (heartbeat.store, heartbeat.stopping)
+        if self._peer_states.get(heartbeat.node) != state:
+            self._peer_states[heartbeat.node] = state
             self._ranked_at = float("-inf")
-        is_reached = bool(self._ranked())
-        if is_reached and not self._store_was_reached:
-            self._configuration.hear_store()
-        self._store_was_reached = is_reached
+        is_store_reached = bool(self._ranked())
+        if is_store_reached and not self._was_store_reached:
+            self._configuration.handle_store_reachable()
+        self._was_store_reached = is_store_reached
 
-    def _ask(self, number: int) -> None:
+    def _ask_reader(self, number: int) -> None:
         question = VersionQuestion(node=self._name, number=number)
-        # In turn: one that does not answer costs every second question, not each host
-        # twice as many datagrams.
+        # Readers are asked in turn. If one does not answer, every second question is
+        # lost; asking both would double the datagrams of each host.
         names = self.names
-        asked = [names[number % len(names)]] if names else []
-        self._peers.tell_nodes(question, asked)
+        receivers = [names[number % len(names)]] if names else []
+        self._peers.send_to(question, receivers)
 
-    def _answer(self, question: VersionQuestion) -> None:
+    def _on_version_question(self, question: VersionQuestion) -> None:
         confirmation = self._configuration.confirmation
         if confirmation is None:
             return
@@ -326,7 +342,7 @@
             version=confirmation.version,
             age=confirmation.age(self._clock.now()),
         )
-        self._peers.tell_nodes(answer, (question.node,))
+        self._peers.send_to(answer, (question.node,))
 
-    def _note_answer(self, answer: VersionAnswer) -> None:
-        self._configuration.hear_answer(answer.number, answer.version, answer.age)
+    def _on_version_answer(self, answer: VersionAnswer) -> None:
+        self._configuration.handle_answer(answer.number, answer.version, answer.age)
--- a/mallowpond/node/serving_parts.py
+++ b/mallowpond/node/serving_parts.py
@@ -1,4 +1,4 @@
-"""What serving streams and calls both need."""
+"""Dependencies that the services for streams and for calls share."""
 
 import random
 from collections.abc import Callable
@@ -6,16 +6,20 @@
 
 from mallowpond.coordination.ports import Clock
 from mallowpond.node.directory import Directory
-from mallowpond.node.intake import Intake
 from mallowpond.node.metrics import NodeMetrics
 from mallowpond.node.ports import CallerProtocol, Targets
 from mallowpond.node.quarantine import Quarantine
+from mallowpond.node.target_availability import TargetAvailability
 from mallowpond.state.retry_window import RetryWindow
 
 
 @dataclass(frozen=True, kw_only=True)
 class ServingParts:
-    """Gather them; `budget` gives the repeats of a service, `hosts` counts hosts."""
+    """Dependencies of a service that serves requests.
+
+    budget: returns the retry budget of a service by its name.
+    hosts: returns the number of entry hosts that share each retry budget.
+    """
 
     directory: Directory
     targets: Targets
@@ -26,4 +30,4 @@
     hosts: Callable[[], int]
     rng: random.Random
     quarantine: Quarantine
-    intake: Intake
+    availability: TargetAvailability
--- a/mallowpond/platform/rows.py
+++ b/mallowpond/platform/rows.py
@@ -1,17 +1,22 @@
-"""Decode the answers of the platform's table service, each row by itself."""
+"""Decode answers of the platform's table service.
+
+Each row is decoded on its own, so that an unreadable one does not affect the others.
+"""
 
 import base64
 from dataclasses import dataclass
 from typing import Any
 
-from mallowpond.state.decoding import Fault, Unreadable, decode, parse_json
+from mallowpond.state.decoding import DecodeFault, Unreadable, decode, parse_json
 
 
 @dataclass(frozen=True, kw_only=True)
 class StoredRow:
-    """Hold one row; `document` is what its value says, or why it cannot be read.
+    """One row of a table, or the removal of one.
 
-    `version` 0 stands for one that cannot be read.
+    document: the decoded value, or an `Unreadable` with the reason.
+    value: the raw value, empty if it cannot be decoded.
+    version: table version of the row's last change, 0 if unreadable.
     """
 
     key: str
@@ -23,21 +28,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StoreAnswer:
-    """Hold the rows of one answer; one without a key names no row, only a fault."""
+    """The rows of one answer.
+
+    version: table version up to which the answer is complete.
+    answered_at: when the store answered, in seconds of its own monotonic clock.
+    keyless_faults: one fault for each row without a readable key.
+    has_more: whether further pages follow.
+    """
 
     version: int
     rows: tuple[StoredRow, ...]
-    # By the store's steady clock, in seconds.
     answered_at: float | None = None
-    nameless: tuple[Unreadable, ...] = ()
+    keyless_faults: tuple[Unreadable, ...] = ()
     has_more: bool = False
 
     @property
-    def latest(self) -> list[StoredRow]:
-        """Return the last state of each row: a feed may hold several of one row.
+    def latest_rows(self) -> list[StoredRow]:
+        """Return the last state of each row; an answer may contain several of one row.
 
-        Taking the first, a node went on with an older configuration although it had
-        read past the newer one, and refused keys that were in force.
+        When the first state was used, a node kept an older configuration although it
+        had read past the newer one, and refused keys that were in force.
         """
         return list({row.key: row for row in self.rows}.values())
 
@@ -47,7 +57,7 @@
     ver: int
     rows: tuple[Any, ...]
     more_pages: bool = False
-    # The store's steady clock, in milliseconds.
+    # The store's monotonic clock, in milliseconds.
     now_ms: float | None = None
 
 
@@ -77,37 +87,37 @@
     key: str
 
 
-def store_answer(data: bytes) -> StoreAnswer | Unreadable:
-    """Decode an answer that holds rows."""
-    found = _decode_json(data, _Answer)
-    if isinstance(found, Unreadable):
-        return found
-    rows = [_row(row) for row in found.rows]
+def decode_answer(data: bytes) -> StoreAnswer | Unreadable:
+    """Decode an answer that contains rows."""
+    decoded = _decode_json(data, _Answer)
+    if isinstance(decoded, Unreadable):
+        return decoded
+    rows = [_decode_row(row) for row in decoded.rows]
     return StoreAnswer(
-        version=found.ver,
-        answered_at=None if found.now_ms is None else found.now_ms / 1000.0,
+        version=decoded.ver,
+        answered_at=None if decoded.now_ms is None else decoded.now_ms / 1000.0,
         rows=tuple(row for row in rows if isinstance(row, StoredRow)),
-        nameless=tuple(row for row in rows if isinstance(row, Unreadable)),
-        has_more=found.more_pages,
+        keyless_faults=tuple(row for row in rows if isinstance(row, Unreadable)),
+        has_more=decoded.more_pages,
     )
 
 
-def committed_version(data: bytes) -> int | Unreadable:
-    """Decode the answer to a change that took effect."""
-    found = _decode_json(data, _Version)
-    return found if isinstance(found, Unreadable) else found.ver
+def decode_committed_version(data: bytes) -> int | Unreadable:
+    """Decode the table version from the answer to a committed transaction."""
+    decoded = _decode_json(data, _Version)
+    return decoded if isinstance(decoded, Unreadable) else decoded.ver
 
 
-def conflicting_keys(data: bytes) -> tuple[str, ...]:
-    """Decode which rows spoke against a change, as far as the answer can be read."""
-    found = _decode_json(data, _Conflicts)
-    if isinstance(found, Unreadable):
+def decode_conflicting_keys(data: bytes) -> tuple[str, ...]:
+    """Decode the keys (TABLE/KEY) of conflicting rows; unreadable ones are skipped."""
+    decoded = _decode_json(data, _Conflicts)
+    if isinstance(decoded, Unreadable):
         return ()
-    places = [decode(row, _Place) for row in found.rows]
+    places = [decode(row, _Place) for row in decoded.rows]
     return tuple(f"{p.table}/{p.key}" for p in places if isinstance(p, _Place))
 
 
-def _row(row: Any) -> StoredRow | Unreadable:
+def _decode_row(row: Any) -> StoredRow | Unreadable:
     keyed = decode(row, _Key)
     if isinstance(keyed, Unreadable):
         return keyed
@@ -115,23 +125,23 @@
     removal = decode(row, _Removed)
     return StoredRow(
         key=keyed.key,
-        document=removal if isinstance(removal, Unreadable) else _document(row),
-        value=_value(row) or b"",
+        document=removal if isinstance(removal, Unreadable) else _decode_document(row),
+        value=_decode_value(row) or b"",
         version=0 if isinstance(version, Unreadable) else version.ver,
         removed=isinstance(removal, _Removed) and removal.removed,
     )
 
 
-def _document(row: dict[str, Any]) -> Any | Unreadable:
+def _decode_document(row: dict[str, Any]) -> Any | Unreadable:
     if "value" not in row:
-        return Unreadable(fault=Fault.MISSING, field="value")
-    value = _value(row)
+        return Unreadable(fault=DecodeFault.MISSING, field="value")
+    value = _decode_value(row)
     if value is None:
-        return Unreadable(fault=Fault.BYTES, field="value")
+        return Unreadable(fault=DecodeFault.BYTES, field="value")
     return parse_json(value)
 
 
-def _value(row: dict[str, Any]) -> bytes | None:
+def _decode_value(row: dict[str, Any]) -> bytes | None:
     try:
         return base64.b64decode(row.get("value"), validate=True)
     except (TypeError, ValueError):
