--- a/mallowpond/emulator/tests/test_placing.py
+++ b/mallowpond/emulator/tests/test_placing.py
@@ -21,25 +21,25 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_stream_stands_beyond_the_slots_of_a_group_beside_free_ones(seed):
     """Guard against streams that wait on a full group beside one with free slots."""
-    by_news, dispatched = both_ways(TIGHT, seed)
-    assert by_news.beside > 0.5
-    assert dispatched.beside < by_news.beside / 3
-    assert dispatched.late <= by_news.late
+    by_reports, by_dispatcher = both_ways(TIGHT, seed)
+    assert by_reports.beside > 0.5
+    assert by_dispatcher.beside < by_reports.beside / 3
+    assert by_dispatcher.late <= by_reports.late
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_when_all_hosts_start_anew_no_group_is_sent_all_their_streams(seed):
     """Guard against hosts that know nothing of each other and fill the same group."""
-    by_news, dispatched = both_ways(RESTART, seed)
-    assert dispatched.beyond < by_news.beyond / 2
+    by_reports, by_dispatcher = both_ways(RESTART, seed)
+    assert by_dispatcher.beyond < by_reports.beyond / 2
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_in_an_overload_some_are_on_time_and_few_are_lost(seed):
     """Guard against an overload in which each stream waits until it is late."""
-    by_news, dispatched = both_ways(OVERLOAD, seed)
-    assert dispatched.in_time > by_news.in_time
-    assert dispatched.unserved <= by_news.unserved + 0.02 * by_news.streams
+    by_reports, by_dispatcher = both_ways(OVERLOAD, seed)
+    assert by_dispatcher.in_time > by_reports.in_time
+    assert by_dispatcher.unserved <= by_reports.unserved + 0.02 * by_reports.streams
 
 
 def test_a_play_repeats():
