--- a/mallowpond/platform/tests/test_any_document.py
+++ b/mallowpond/platform/tests/test_any_document.py
@@ -1,4 +1,4 @@
-"""Whatever others write: nothing raises, good entries hold, none is half used."""
+"""Decoding of arbitrary input: it never raises, and never yields partial results."""
 
 import base64
 import json
@@ -13,13 +13,13 @@
 from mallowpond.platform.tests.test_documents import DOCUMENT
 from mallowpond.platform.tests.test_engines import REPORT
 from mallowpond.platform.tests.test_entries import ENTRY
-from mallowpond.platform.tests.test_store import GOOD, parsed_targets
+from mallowpond.platform.tests.test_store import VALID_ROW, parsed_targets
 from mallowpond.state.decoding import DecodeFault, Unreadable, decode, parse_json
 from mallowpond.state.fleet import GroupPhase, Target
 from mallowpond.state.rows import LeaseRow
 from mallowpond.state.site_configuration import SiteConfiguration
 
-ASKED = documents.decode_target("i-1", ENTRY)
+LISTED = documents.decode_target("i-1", ENTRY)
 TEXTS = st.text(max_size=6) | st.sampled_from(
     [
         "",
@@ -38,7 +38,7 @@
 
 
 def nested(scalars):
-    """Return a strategy of lists and maps of these scalars."""
+    """Return a strategy for nested lists and dictionaries of these scalars."""
     return st.recursive(
         scalars,
         lambda inner: (
@@ -56,24 +56,24 @@
 
 
 @st.composite
-def changed(draw, document, depth=0):
-    """Draw the document with one field, at any depth, replaced or left out."""
+def with_one_change(draw, document, depth=0):
+    """Draw the document with one field at any depth replaced or removed."""
     if not document or not isinstance(document, dict | list):
         return draw(SCALARS | VALUES)
     if depth and draw(st.integers(0, 3)) == 0:
         return draw(VALUES)
     if isinstance(document, list):
         place = draw(st.integers(0, len(document) - 1))
-        item = draw(changed(document[place], depth + 1))
+        item = draw(with_one_change(document[place], depth + 1))
         return [*document[:place], item, *document[place + 1 :]]
     name = draw(st.sampled_from(sorted(document)))
     if draw(st.integers(0, 5)) == 0:
         return {k: v for k, v in document.items() if k != name}
-    return {**document, name: draw(changed(document[name], depth + 1))}
+    return {**document, name: draw(with_one_change(document[name], depth + 1))}
 
 
-def assert_whole(target):
-    """Check that every field of a target is one that can be used."""
+def assert_valid(target):
+    """Check that every field of a target has a valid value."""
     assert isinstance(target, Target)
     for name in ("id", "service", "address", "data_centre"):
         value = getattr(target, name)
@@ -96,7 +96,7 @@
 
 
 @CASES
-@given(TEXTS | VALUES, VALUES, changed(ENTRY))
+@given(TEXTS | VALUES, VALUES, with_one_change(ENTRY))
 def test_an_entry_is_a_whole_target_or_none(key, value, entry):
     for found in (
         documents.decode_target(key, ENTRY),
@@ -104,23 +104,23 @@
         documents.decode_target("i-1", entry),
     ):
         if not isinstance(found, Unreadable):
-            assert_whole(found)
+            assert_valid(found)
 
 
 @CASES
-@given(VALUES | changed(REPORT))
+@given(VALUES | with_one_change(REPORT))
 def test_a_report_is_whole_or_none(value):
-    found = documents.decode_report(ASKED, value)
+    found = documents.decode_report(LISTED, value)
     if not isinstance(found, Unreadable):
         assert isinstance(found, EngineReport)
         assert type(found.orders) is int
         assert found.orders >= 0
-        assert_whole(found.target)
+        assert_valid(found.target)
     assert isinstance(documents.decode_born(value), int | None | Unreadable)
 
 
 @CASES
-@given(VALUES | changed(DOCUMENT))
+@given(VALUES | with_one_change(DOCUMENT))
 def test_a_configuration_is_whole_or_none(value):
     found = documents.decode_configuration(value)
     if isinstance(found, Unreadable):
@@ -137,16 +137,16 @@
 
 
 @CASES
-@given(st.lists(VALUES | changed(GOOD), max_size=3), st.integers(0, 3))
+@given(st.lists(VALUES | with_one_change(VALID_ROW), max_size=3), st.integers(0, 3))
 def test_good_entries_hold_beside_any_others(others, place):
-    answer = {"rows": [*others[:place], GOOD, *others[place:]], "ver": 40}
+    answer = {"rows": [*others[:place], VALID_ROW, *others[place:]], "ver": 40}
     found = parsed_targets(json.dumps(answer).encode())
     if any(isinstance(row, dict) and row.get("key") == "i-2" for row in others):
         return
     assert found.revision == 40
     assert documents.decode_target("i-2", ENTRY) in found.targets
     for target in found.targets:
-        assert_whole(target)
+        assert_valid(target)
         assert target.id not in found.unreadable
 
 
@@ -163,13 +163,15 @@
     assert not isinstance(documents.decode_target("i-1", document), Target)
     assert not isinstance(decode(document, LeaseRow), LeaseRow)
     value = base64.b64encode(data).decode()
-    answer = {"rows": [{**GOOD, "key": "i-1", "value": value}], "ver": 4}
+    answer = {"rows": [{**VALID_ROW, "key": "i-1", "value": value}], "ver": 4}
     found = parsed_targets(json.dumps(answer).encode())
     assert (found.targets, found.unreadable) == ((), ("i-1",))
 
 
 @CASES
-@given(VALUES | changed(json.loads(json.dumps({"rows": [GOOD], "ver": 4}))))
+@given(
+    VALUES | with_one_change(json.loads(json.dumps({"rows": [VALID_ROW], "ver": 4})))
+)
 def test_any_answer_is_read_or_none(value):
     found = rows.decode_answer(json.dumps(value).encode())
     if not isinstance(found, Unreadable):
@@ -178,7 +180,7 @@
 
 
 @CASES
-@given(VALUES | changed({"holder": "b", "incarnation": "b/1", "fence": 3}))
+@given(VALUES | with_one_change({"holder": "b", "incarnation": "b/1", "fence": 3}))
 def test_a_lease_is_whole_or_none(value):
     found = decode(value, LeaseRow)
     if not isinstance(found, Unreadable):
--- a/mallowpond/platform/tests/test_call_counts.py
+++ b/mallowpond/platform/tests/test_call_counts.py
@@ -1,4 +1,4 @@
-"""Calls to the store are told by what they are for."""
+"""Calls to the store are counted by table and purpose."""
 
 import structlog
 
--- a/mallowpond/platform/tests/test_callers.py
+++ b/mallowpond/platform/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of callers' requests."""
+"""Decoding of callers' requests."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from mallowpond.platform.callers import MAX_TOKENS, PlatformCallerProtocol
 from mallowpond.transport.http_server import HttpRequest
 
-WHOLE = (
+ALL_HEADERS = (
     ("host", "A.example:80"),
     ("x-mallowpond-attempt-id", "q1"),
     ("last-event-id", "12"),
@@ -25,7 +25,7 @@
 
 
 def read(*headers, method="POST", target="/p/x?y=1"):
-    """Read a request with these headers."""
+    """Decode a request with these headers."""
     request = HttpRequest(
         method=method,
         target=target,
@@ -37,7 +37,7 @@
 
 
 def test_each_header_is_decoded_once():
-    found = read(*WHOLE)
+    found = read(*ALL_HEADERS)
     assert (found.id, found.host, found.path) == ("q1", "a.example", "/p/x")
     assert (found.key, found.seconds_left, found.model) == ("secret", 8.0, "m")
     assert (found.prompt_tokens, found.answer_tokens) == (1460, 80)
@@ -45,12 +45,12 @@
 
 
 def test_only_headers_that_concern_the_engine_are_passed_on():
-    """Symptom: an engine sees a caller's key, or a workspace that the caller chose.
+    """An engine must not get a caller's key, or a workspace that the caller chose.
 
-    Sequence: a caller sends the headers that only the system may set.
-    Cause: headers were passed on without telling those apart.
+    It did when a caller sent headers that only the system may set, because all headers
+    were passed on.
     """
-    passed = dict(read(*WHOLE).forwarded_headers)
+    passed = dict(read(*ALL_HEADERS).forwarded_headers)
     for name in (
         "authorization",
         "x-mallowpond-tenant",
@@ -63,8 +63,8 @@
         assert name not in passed
     assert passed["x-mallowpond-attempt-id"] == "q1"
     assert passed["x-mallowpond-prompt-prefix"] == "5c:800"
-    assert read(*WHOLE).forwarded_headers.count(("x-other", "1")) == 1
-    assert read(*WHOLE).forwarded_headers.count(("x-other", "2")) == 1
+    assert read(*ALL_HEADERS).forwarded_headers.count(("x-other", "1")) == 1
+    assert read(*ALL_HEADERS).forwarded_headers.count(("x-other", "2")) == 1
 
 
 def test_a_request_without_an_id_is_invalid():
@@ -76,11 +76,11 @@
     ["", "x", "1,y", ",", "9" * 400, "9" * 5000, "-1,5", "5,-1", "nan", "inf", "1e999"],
 )
 def test_bad_numbers_count_as_missing_or_as_numbers(text):
-    """Symptom: one request makes all peers take its node for dead.
+    """One request must not make all peers consider its node dead.
 
-    Sequence: it tells a prompt of 10 to the 400 tokens; the node's heartbeat carries
-    the sum of its prompts, which no peer can read.
-    Cause: counts in callers' headers had no bounds.
+    It claimed a prompt of 10**400 tokens. The node's heartbeat carries the sum of its
+    prompts, which no peer could decode, since token counts in callers' headers had no
+    bounds.
     """
     found = read(
         ("host", "a"),
--- a/mallowpond/platform/tests/test_documents.py
+++ b/mallowpond/platform/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of the platform's documents."""
+"""Decoding of the platform's documents."""
 
 from copy import deepcopy
 
@@ -80,10 +80,10 @@
 
 
 def test_a_kind_that_is_not_known_is_never_repeated():
-    """Symptom: a request that may run once at most runs twice.
+    """A request that may run at most once must not run twice.
 
-    Sequence: a new kind of route comes into force before this program knows it.
-    Cause: an unknown kind was taken for one that may be repeated.
+    It did when a configuration with a new kind of route came into force before this
+    program knew that kind: an unknown kind counted as one that may be repeated.
     """
     assert (
         documents.decode_configuration(DOCUMENT).routes[1].repeat is RepeatPolicy.ONCE
@@ -126,8 +126,8 @@
     )
 
 
-# What is no value of any field of the configuration, by the type of a good one.
-WRONG = {
+# Values that are invalid for every field of the configuration with this type.
+WRONG_VALUES = {
     str: (7, True, [], {}, "a\nb", "x" * 2000),
     bool: (7, "x", [], {}),
     int: ("4", True, -1, 2**60, [], {}),
@@ -135,40 +135,39 @@
     list: (7, True, "x", {"a": 1}, [7], [None], ["x"], [[]]),
     dict: (7, True, "x", [], [1]),
 }
-UNUSED = {"later_field"}
+IGNORED_FIELDS = {"later_field"}
 
 
-def spoilt(document, path=()):
-    """Yield each document with one field that is no value of its type."""
+def invalid_variants(document, path=()):
+    """Yield each variant of the document with one invalid value, and its path."""
     for name, value in document.items() if isinstance(document, dict) else ():
-        if name in UNUSED:
+        if name in IGNORED_FIELDS:
             continue
-        for wrong in WRONG[type(value)]:
+        for wrong in WRONG_VALUES[type(value)]:
             if name != "api_keys" or wrong != ["x"]:
                 yield (*path, name), {**document, name: wrong}
         if isinstance(value, dict):
-            for inner, changed in spoilt(value, (*path, name)):
+            for inner, changed in invalid_variants(value, (*path, name)):
                 yield inner, {**document, name: changed}
         if isinstance(value, list):
             for place, item in enumerate(value):
-                for inner, changed in spoilt(item, (*path, name, place)):
+                for inner, changed in invalid_variants(item, (*path, name, place)):
                     items = [*value[:place], changed, *value[place + 1 :]]
                     yield inner, {**document, name: items}
 
 
-SPOILT = [
+INVALID_DOCUMENTS = [
     pytest.param(document, id=".".join(map(str, path)) + f"-{number}")
-    for number, (path, document) in enumerate(spoilt(DOCUMENT))
+    for number, (path, document) in enumerate(invalid_variants(DOCUMENT))
 ]
 
 
-@pytest.mark.parametrize("document", SPOILT)
+@pytest.mark.parametrize("document", INVALID_DOCUMENTS)
 def test_a_configuration_with_one_wrong_field_is_unreadable_as_a_whole(document):
-    """Symptom: requests get 404 on a route that is in force, or keys never expire.
+    """One invalid field must make the configuration unreadable, and must not raise.
 
-    Sequence: a configuration has a field of another type than this program knows.
-    Cause: its decoding raised in the task that follows the configuration; taken in
-    part, what is missing of it would be refused for a reason that is not true.
+    An exception ended the task that follows the configuration, so that revoked keys
+    never expired. If the rest were used, requests to a route in force would get 404.
     """
     assert isinstance(documents.decode_configuration(document), Unreadable)
 
--- a/mallowpond/platform/tests/test_early_listener.py
+++ b/mallowpond/platform/tests/test_early_listener.py
@@ -1,4 +1,4 @@
-"""Callers that come while a host still loads its program."""
+"""Callers that connect while a host is still loading its program."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def settings(tmp_path, monkeypatch):
-    """Point the program at a settings file that a test writes."""
+    """Return the path of the settings file, which the test writes."""
     path = tmp_path / "settings.toml"
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
     return path
@@ -23,25 +23,23 @@
 
 
 async def test_a_caller_that_comes_before_the_program_is_answered_by_it(settings):
-    """Symptom: callers of a host that was killed get no answer, though the host is back
-    half a second later.
+    """Callers of a killed host must be answered if it is back half a second later.
 
-    Sequence: a host's process is killed and started again; callers connect while it
-    loads its modules, are turned away, ask another host that starts as well, and give
-    up.
-    Cause: nothing listened before everything was loaded.
+    Nothing listened before all modules of the restarted process were loaded. Callers
+    that connected meanwhile were refused, tried another host that was starting as well,
+    and gave up.
     """
     settings.write_text('callers = "127.0.0.1:0"\n')
     listener = listen_for_callers()
     address = "127.0.0.1:%d" % listener.getsockname()[1]
     http = HttpClient()
-    asked = asyncio.create_task(http.fetch(address, "GET", "/", timeout=5.0))
+    fetch = asyncio.create_task(http.fetch(address, "GET", "/", timeout=5.0))
     await asyncio.sleep(0.05)
-    assert not asked.done()
+    assert not fetch.done()
     server = HttpServer(handler=answer, on_bad_input=answer)
     await server.start("127.0.0.1", 0, listener)
     try:
-        assert await asked == (200, b"whole")
+        assert await fetch == (200, b"whole")
     finally:
         await http.close()
         await server.close()
--- a/mallowpond/platform/tests/test_engines.py
+++ b/mallowpond/platform/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""What is known after each answer, or none, of an engine."""
+"""What the client concludes from each answer of an engine, or from none."""
 
 import json
 from dataclasses import replace
@@ -39,22 +39,22 @@
 
 
 @pytest.fixture(autouse=True)
-def patient(monkeypatch):
-    """Wait for answers as long as a busy machine takes.
+def long_query_timeout(monkeypatch):
+    """Raise the timeout of reports and health checks for busy machines.
 
-    Which field was wrong cannot be seen where the machine stood still for the 0.15 s
-    that a report may take: one of these tests failed so beside other work.
+    If the machine stalls for the usual 0.15 s, the result is a timeout instead of the
+    invalid field; one of these tests failed that way next to other load.
     """
     monkeypatch.setattr(engines_module, "QUERY_TIMEOUT_SECONDS", 10.0)
 
 
 def target_at(address):
-    """Write a target at an address."""
+    """Return a target at an address."""
     return Target(id="i-1", service="s", address=address, data_centre="a", slots=1)
 
 
 async def with_engine(script, call):
-    """Run `call` against an engine that plays `script`."""
+    """Run `call` against an engine that runs `script`."""
     http = HttpClient(connect_seconds=0.5)
     async with scripted.scripted_server(script) as address:
         try:
@@ -64,7 +64,7 @@
 
 
 def answering(data, requests=None):
-    """Write a script that answers every request with `data`."""
+    """Return a script that answers every request with `data`."""
 
     async def script(reader, writer):
         while True:
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "end"),
+    ("status", "result"),
     [
         (202, OrderTaken(began=True)),
         (200, OrderTaken(began=False)),
@@ -89,14 +89,14 @@
         (421, OrderMisdirected()),
     ],
 )
-async def test_each_answer_to_an_order_is_told_apart(status, end):
+async def test_each_answer_to_an_order_is_told_apart(status, result):
     data = f"HTTP/1.1 {status} X\r\ncontent-length: 0\r\n\r\n".encode()
 
     async def call(engines, target):
         step = Open(target=target, group="g", epoch=3)
         return await engines.order(step, fence=5, expected=2)
 
-    assert await with_engine(answering(data), call) == end
+    assert await with_engine(answering(data), call) == result
 
 
 async def test_an_order_without_an_answer_may_have_been_taken():
@@ -132,11 +132,10 @@
 
 
 async def test_an_answer_to_an_earlier_request_is_skipped():
-    """Symptom: a caller gets the answer to another caller's request.
+    """A caller must not get the answer to another caller's request.
 
-    Sequence: an engine answers a request twice on a kept connection; the second
-    answer arrives where the next request's answer is due.
-    Cause: answers were matched by their order alone.
+    An engine answered a request twice on a reused connection, and the second answer was
+    taken for that of the next request: answers were matched by order alone.
     """
     other = (
         b"HTTP/1.1 200 X\r\nx-mallowpond-attempt-id: q0\r\ncontent-length: 3\r\n\r\nOLD"
@@ -222,9 +221,9 @@
         )
         return engines.notice(response).is_leaving
 
-    for head, says in ((b"Server-Leaving: 1\r\n", True), (b"", False)):
+    for head, is_leaving in ((b"Server-Leaving: 1\r\n", True), (b"", False)):
         data = b"HTTP/1.1 200 X\r\n" + head + b"content-length: 0\r\n\r\n"
-        assert await with_engine(answering(data), call) is says
+        assert await with_engine(answering(data), call) is is_leaving
 
 
 @pytest.mark.parametrize(
@@ -250,10 +249,10 @@
 
 
 async def test_a_connection_with_bytes_left_is_not_used_again():
-    """Symptom: a caller gets bytes that belong to no request.
+    """A caller must not get bytes that belong to no request.
 
-    Sequence: a target sends more than its answer; the connection is kept.
-    Cause: nobody looked whether anything was left before the next request.
+    A target sent more than its answer, and the connection was reused without a check
+    for unread bytes.
     """
     connections = []
     data = b"HTTP/1.1 200 X\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 X\r\n"
@@ -293,13 +292,13 @@
 
 
 def answer_of(body, status=200, headers=""):
-    """Write an answer of these bytes."""
+    """Return an answer with this body."""
     head = f"HTTP/1.1 {status} X\r\n{headers}content-length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 async def report_of(body, born=5):
-    """Ask an engine that answers with these bytes for its report."""
+    """Query the report of an engine that answers with this body."""
 
     async def call(engines, target):
         return await engines.report(replace(target, born=born))
@@ -320,16 +319,16 @@
     body = json.dumps({k: v for k, v in REPORT.items() if k != "born"}).encode()
     found = await report_of(body, born=None)
     assert found.target.process == Process(id="i-1", born=None)
-    told = await report_of(json.dumps(REPORT).encode(), born=None)
-    assert told.target.process == Process(id="i-1", born=None)
+    with_start = await report_of(json.dumps(REPORT).encode(), born=None)
+    assert with_start.target.process == Process(id="i-1", born=None)
     assert isinstance(
         await report_of(body.replace(b"{", b'{"born":null,', 1)), Unavailable
     )
 
 
-GONE = object()
+ABSENT = object()
 BAD_REPORTS = [
-    *((name, GONE) for name in ("sequence", "born", "models", "staged")),
+    *((name, ABSENT) for name in ("sequence", "born", "models", "staged")),
     *((n, v) for n in ("sequence", "born") for v in ("4", None, True, 1.5, -1, 2**60)),
     *(("models", value) for value in (5, None, "m", {}, [5], [{}], [{"name": 7}])),
     *(("staged", value) for value in (5, None, "m", {}, [5], [None], [{}])),
@@ -343,13 +342,12 @@
 
 @pytest.mark.parametrize(("name", "value"), BAD_REPORTS)
 async def test_a_report_with_a_wrong_field_is_no_answer(name, value):
-    """Symptom: the planner stops, or goes by a count of orders that nobody counted.
+    """An invalid report must neither stop the planner nor give it a wrong order count.
 
-    Sequence: an engine of another version answers a question about what it holds.
-    Cause: the decoding of its report raised in the task that plans, or took a value
-    of another type for a count.
+    An engine of another version answered a query for its report. Decoding it raised in
+    the planner's task, or took a value of another type for the count of orders.
     """
-    document = {k: v for k, v in {**REPORT, name: value}.items() if v is not GONE}
+    document = {k: v for k, v in {**REPORT, name: value}.items() if v is not ABSENT}
     found = await report_of(json.dumps(document).encode())
     assert isinstance(found, Unavailable)
     assert name in found.reason
@@ -384,11 +382,10 @@
     ],
 )
 async def test_only_the_process_that_was_asked_for_can_be_healthy(data, healthy):
-    """Symptom: an engine that fell silent gets streams that another one refuses.
+    """A health check must not count if another engine or process answers it.
 
-    Sequence: its address belongs to another engine, or it started again; that one
-    answers a health check.
-    Cause: nobody looked who answered.
+    A silent engine's address had passed to another engine, or it had restarted. The
+    sender of the answer was not checked, so streams were sent there and rejected.
     """
 
     async def call(engines, target):
--- a/mallowpond/platform/tests/test_entries.py
+++ b/mallowpond/platform/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the list that other writers wrote: none raises, none is half used."""
+"""Decoding of list entries by other writers: never raises, never partial."""
 
 import json
 
@@ -23,19 +23,19 @@
     "group": {"name": "g", "epoch": 3, "rank": 0, "state": "open"},
 }
 GROUP = ENTRY["group"]
-GONE = object()
+ABSENT = object()
 
 
 def with_field(name, value):
-    """Return the entry with one field changed, or without it."""
-    if value is GONE:
+    """Return the entry with one field changed, or removed if it is ABSENT."""
+    if value is ABSENT:
         return {k: v for k, v in ENTRY.items() if k != name}
     return {**ENTRY, name: value}
 
 
 def with_group_field(name, value):
-    """Return the entry with one field of its group changed, or without it."""
-    if value is GONE:
+    """Return the entry with one field of its group changed, or removed if ABSENT."""
+    if value is ABSENT:
         return with_field("group", {k: v for k, v in GROUP.items() if k != name})
     return with_field("group", {**GROUP, name: value})
 
@@ -50,33 +50,33 @@
     "cold_left_ms",
     "sequence",
 )
-PLACED = ("domain", "models", "staged")
-NO_TEXTS = (7, None, True, [], {}, "", "a\nb", "x" * 2000)
-NO_COUNTS = ("x", "4", None, True, 1.5, [], {}, -1, 2**60, float("nan"), float("inf"))
-
-BAD = [
-    *((name, GONE) for name in REQUIRED + PLACED),
-    *((name, value) for name in ("service", "zone") for value in NO_TEXTS),
-    *(("address", value) for value in (*NO_TEXTS, "10.0.0.1", "a:b", ":80")),
+PLACEMENT_FIELDS = ("domain", "models", "staged")
+BAD_TEXTS = (7, None, True, [], {}, "", "a\nb", "x" * 2000)
+BAD_COUNTS = ("x", "4", None, True, 1.5, [], {}, -1, 2**60, float("nan"), float("inf"))
+
+BAD_FIELDS = [
+    *((name, ABSENT) for name in REQUIRED + PLACEMENT_FIELDS),
+    *((name, value) for name in ("service", "zone") for value in BAD_TEXTS),
+    *(("address", value) for value in (*BAD_TEXTS, "10.0.0.1", "a:b", ":80")),
     *(
         ("address", value)
         for value in ("h:0", "h:65536", "h:-1", "h h:80", "é:80", "a..b:80")
     ),
     *(("version", value) for value in (None, True, [], {}, "a\nb", float("inf"))),
-    *((name, v) for name in ("slots", "sequence", "born") for v in NO_COUNTS),
+    *((name, v) for name in ("slots", "sequence", "born") for v in BAD_COUNTS),
     ("slots", 0),
     *(("state", value) for value in ("gone", "Ready", "", 7, None, True, ["ready"])),
     *(("cold_left_ms", v) for v in ("x", None, True, -1, 1e300, float("inf"))),
     *(("domain", value) for value in (None, True, 1.5, [], {}, "a\nb")),
     *(("models", value) for value in (5, "m", None, {}, ["m"], [5], [{}], [None])),
-    *(("models", [{"name": value}]) for value in NO_TEXTS),
+    *(("models", [{"name": value}]) for value in BAD_TEXTS),
     *(("staged", value) for value in (5, "m", None, {}, [5], [None], [""], [{}])),
     *(("group", value) for value in (5, "g", True, [], [1])),
 ]
-BAD_GROUPS = [
-    *((name, GONE) for name in ("name", "epoch", "rank", "state")),
+BAD_GROUP_FIELDS = [
+    *((name, ABSENT) for name in ("name", "epoch", "rank", "state")),
     *(("name", value) for value in (7, None, True, [], {}, "a\nb")),
-    *((name, value) for name in ("epoch", "rank") for value in NO_COUNTS),
+    *((name, value) for name in ("epoch", "rank") for value in BAD_COUNTS),
     *(("state", value) for value in ("gone", "", 7, None, True, ["open"])),
 ]
 
@@ -87,21 +87,20 @@
     assert (target.born, target.slots, target.domain) == (1_733_184_000_000, 13, "d1")
 
 
-@pytest.mark.parametrize(("name", "value"), BAD)
+@pytest.mark.parametrize(("name", "value"), BAD_FIELDS)
 def test_an_entry_with_a_bad_field_is_no_target(name, value):
-    """Symptom: no node learns of any change of the list any more.
+    """One invalid entry must not hide changes of the list, or attract requests.
 
-    Sequence: another writer puts an entry into the list in which a field is missing,
-    of another type, out of range, or names something that is not known.
-    Cause: its decoding raised, and with it that of the whole answer; or the value was
-    taken as it was, and work was sent by it.
+    Another writer put an entry into the list in which a field was missing, of another
+    type, out of range, or had an unknown value. Decoding it raised and so failed the
+    whole answer, or the value was used unchecked and requests were sent by it.
     """
     assert not isinstance(
         documents.decode_target("i-1", with_field(name, value)), Target
     )
 
 
-@pytest.mark.parametrize(("name", "value"), BAD_GROUPS)
+@pytest.mark.parametrize(("name", "value"), BAD_GROUP_FIELDS)
 def test_an_entry_with_a_bad_group_is_no_target(name, value):
     found = documents.decode_target("i-1", with_group_field(name, value))
     assert not isinstance(found, Target)
@@ -124,7 +123,7 @@
     [
         {"group": None},
         {"group": {}},
-        {"group": GONE},
+        {"group": ABSENT},
         {"group": {"name": "", "epoch": 0, "rank": 0, "state": ""}},
         {"models": []},
         {"staged": []},
@@ -133,14 +132,14 @@
         {"cold_left_ms": 12.5},
         {"domain": 3},
         {"state": "draining"},
-        {"born": GONE},
+        {"born": ABSENT},
         {"address": "engine-1.example:80"},
         {"later": {"x": 1}},
-        {name: GONE for name in (*PLACED, "group")},
+        {name: ABSENT for name in (*PLACEMENT_FIELDS, "group")},
     ],
 )
 def test_what_may_differ_between_whole_entries_makes_none_unreadable(changes):
-    entry = {k: v for k, v in {**ENTRY, **changes}.items() if v is not GONE}
+    entry = {k: v for k, v in {**ENTRY, **changes}.items() if v is not ABSENT}
     assert isinstance(
         documents.decode_target("i-1", json.loads(json.dumps(entry))), Target
     )
--- a/mallowpond/platform/tests/test_ingress.py
+++ b/mallowpond/platform/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""Bad input on the ingress: a status for every case, and never anything but HTTP."""
+"""Invalid input to the ingress: each case has its status, every answer is HTTP."""
 
 import asyncio
 import random
@@ -49,22 +49,22 @@
 
 
 class FakeService:
-    """Answer every request that is admitted."""
+    """Answers every admitted request."""
 
     def __init__(self):
         self.served = []
 
     @property
     def placement(self):
-        """Return what tells how long a stream may take."""
+        """Return the estimator of stream durations, which is this object."""
         return self
 
     def longest_seconds(self, work):
-        """Tell that a stream takes a second at most."""
+        """Return the maximum duration of a stream, one second."""
         return 1.0
 
     async def serve(self, work):
-        """Answer."""
+        """Record the request and answer it."""
         self.served.append(work)
         await work.exchange.respond(200, b"ok", content_type=None)
         return Answered(status=200, target="t")
@@ -72,7 +72,7 @@
 
 @asynccontextmanager
 async def ingress_of(*configurations, sure=True):
-    """Serve an ingress that knows these configurations."""
+    """Run an ingress with these configurations, too old to rely on unless `sure`."""
     clock, source = FakeClock(), FakeSource()
     source.configurations.extend(configurations)
     follower = ConfigurationFollower(source=source, clock=clock, revoke_seconds=5.0)
@@ -98,8 +98,8 @@
         await ingress.server.close()
 
 
-async def talk(ingress, data):
-    """Send bytes, end sending, and return all that comes back."""
+async def send_bytes(ingress, data):
+    """Send bytes and return the answer, empty if the connection breaks."""
     reader, writer = await asyncio.open_connection("127.0.0.1", ingress.server.port)
     try:
         writer.write(data)
@@ -111,7 +111,7 @@
 
 
 def request(*lines, target="/p/x", host="h.example", key="good", body=b""):
-    """Write a request with an id, a key and further header lines."""
+    """Return a request with an id, a key and further header lines."""
     head = [f"POST {target} HTTP/1.1", f"Host: {host}", "X-Mallowpond-Attempt-Id: q"]
     if key:
         head.append(f"Authorization: Bearer {key}")
@@ -138,21 +138,20 @@
 @pytest.mark.parametrize(("data", "status"), CASES)
 async def test_every_case_gets_its_status(data, status):
     async with ingress_of(SITE) as (ingress, _):
-        # The first request brings the limits of the configuration into force.
-        await talk(ingress, request())
-        answer = await talk(ingress, data)
+        # The limits of the configuration apply from the second request on.
+        await send_bytes(ingress, request())
+        answer = await send_bytes(ingress, data)
         assert answer.startswith(b"HTTP/1.1 %d " % status)
 
 
 async def test_without_a_configuration_callers_are_told_to_come_back():
-    """Symptom: callers of a node that has just started are told that there is no
-    such route, and never come back.
+    """A node without a configuration must answer 503, so that callers retry.
 
-    Sequence: the node serves before it has read a configuration.
-    Cause: knowing nothing was taken for knowing that there is nothing.
+    A node that had just started, and had not read a configuration, answered that there
+    is no such route. Callers do not retry after that.
     """
     async with ingress_of() as (ingress, _):
-        answer = await talk(ingress, request())
+        answer = await send_bytes(ingress, request())
     assert answer.startswith(b"HTTP/1.1 503 ")
     assert b"retry-after: " in answer.lower()
 
@@ -160,7 +159,7 @@
 async def test_a_node_that_cannot_be_sure_admits_no_key():
     async with ingress_of(SITE, sure=False) as (ingress, calls):
         for data in (request(), request(target="/other/")):
-            answer = await talk(ingress, data)
+            answer = await send_bytes(ingress, data)
             assert answer.startswith(b"HTTP/1.1 503 ")
         assert calls.served == []
 
@@ -169,7 +168,7 @@
     async with ingress_of(SITE) as (ingress, calls):
         ingress.is_stopping = True
         data = request().replace(b"Connection: close\r\n", b"")
-        answer = await talk(ingress, data)
+        answer = await send_bytes(ingress, data)
     assert answer.startswith(b"HTTP/1.1 200 ")
     assert b"connection: close" in answer.lower()
     assert len(calls.served) == 1
@@ -187,32 +186,31 @@
 async def test_a_stopping_node_takes_calls_to_their_deadline_and_short_streams(
     target, left, status
 ):
-    """Symptom: an answer is cut off when its node ends.
+    """An answer must not be cut off when its node shuts down.
 
-    Sequence: a node that stops takes a call with a deadline of 1 s when 0.9 s are left,
-    or a stream of a second at most when 2.2 s are.
-    Cause: the call was judged by its objective, which it may miss; the stream by its
-    own time, in which it neither waits nor moves.
+    A stopping node accepted a call with a timeout of 1 s when 0.9 s were left, because
+    it compared the time left to the call's objective, which a call may miss. It
+    accepted a stream of at most 1 s when 2.2 s were left, because it ignored the time
+    to wait for a target and to move to another one.
     """
     async with ingress_of(SITE) as (ingress, _):
         ingress.is_stopping = True
         ingress.shutdown_at = ingress._clock.now() + left
         data = request("X-Mallowpond-Model: m", target=target)
-        answer = await talk(ingress, data)
+        answer = await send_bytes(ingress, data)
     assert answer.startswith(b"HTTP/1.1 %d " % status)
 
 
 async def test_a_node_that_is_about_to_end_refuses_what_it_cannot_finish():
-    """Symptom: an answer is cut off when its node ends, seconds after its stop began.
+    """An answer must not be cut off by a shutdown that began seconds before.
 
-    Sequence: all nodes of a data centre are stopping, so the balancer still sends
-    callers to them; a node takes a request just before it ends.
-    Cause: a stopping node took every request until its last moment.
+    When all nodes of a data centre are stopping, the balancer still sends callers to
+    them. A stopping node accepted every request up to the end, also just before it.
     """
     async with ingress_of(SITE) as (ingress, calls):
         ingress.is_stopping = True
         ingress.shutdown_at = ingress._clock.now() + 0.1
-        answer = await talk(ingress, request())
+        answer = await send_bytes(ingress, request())
     assert answer.startswith(b"HTTP/1.1 503 ")
     assert b"retry-after: " in answer.lower()
     assert calls.served == []
@@ -246,10 +244,10 @@
 def test_no_bytes_make_the_ingress_answer_anything_but_http(data):
     async def exchange():
         async with ingress_of(SITE) as (ingress, _):
-            await talk(ingress, request())
-            answer = await talk(ingress, data + b"\r\n\r\n")
+            await send_bytes(ingress, request())
+            answer = await send_bytes(ingress, data + b"\r\n\r\n")
             assert answer == b"" or answer.startswith(b"HTTP/1.1 ")
-            again = await talk(ingress, request())
+            again = await send_bytes(ingress, request())
             assert again.startswith(b"HTTP/1.1 200 ")
 
     asyncio.run(exchange())
--- a/mallowpond/platform/tests/test_program.py
+++ b/mallowpond/platform/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The settings that the platform fills in, and their reload."""
+"""Settings from the platform's template, and their reload."""
 
 import json
 import re
@@ -13,7 +13,7 @@
 from mallowpond.settings import load_settings, parse_settings
 
 TEMPLATE = Path(__file__).parents[3] / "deploy" / "node.toml.template"
-FILLED = {
+TEMPLATE_VALUES = {
     "node_name": "front-1",
     "zone": "hall-a",
     "ip": "10.1.0.40",
@@ -33,8 +33,10 @@
 
 
 def filled(**more):
-    """Fill the template in as the platform's page says."""
-    given = FILLED | {name.replace("__", "."): value for name, value in more.items()}
+    """Fill in the template by the platform's rules."""
+    given = TEMPLATE_VALUES | {
+        name.replace("__", "."): value for name, value in more.items()
+    }
 
     def value(match):
         name, as_json = match.groups()
@@ -80,17 +82,17 @@
     assert isinstance(parse_settings(filled() + "\nodd = 1\n", NodeSettings), Faults)
 
 
-@pytest.mark.parametrize("spoilt", ["", "name =", "name = 1\n"])
-def test_a_bad_file_changes_nothing_and_is_told_of(tmp_path, monkeypatch, spoilt):
-    """Symptom: a node stops, or runs on with half of its settings.
+@pytest.mark.parametrize("invalid_text", ["", "name =", "name = 1\n"])
+def test_a_bad_file_changes_nothing_and_is_told_of(tmp_path, monkeypatch, invalid_text):
+    """A reload of an invalid settings file must change nothing, and must be logged.
 
-    Sequence: its settings file is replaced by a broken one, and it is told to reload.
-    Cause: the file was taken before it was checked whole.
+    A node stopped, or ran with half of its settings, because it applied the file before
+    all of it was validated.
     """
     path = tmp_path / "settings.toml"
     path.write_text(filled(), encoding="utf-8")
     running = load_settings(path, NodeSettings)
-    path.write_text(spoilt, encoding="utf-8")
+    path.write_text(invalid_text, encoding="utf-8")
     applied = []
     monkeypatch.setattr(program, "set_up_node_logs", lambda *_: applied.append(1))
     with structlog.testing.capture_logs() as logs:
--- a/mallowpond/platform/tests/test_requirements.py
+++ b/mallowpond/platform/tests/test_requirements.py
@@ -1,28 +1,27 @@
-"""A node starts with the packages of its own list, and no others."""
+"""A node needs only the packages of its own requirements list."""
 
 import subprocess
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).parents[3]
-# What a package is imported as, where that is not its own name.
+# Import names of packages where they differ from the package name.
 MODULES = {"markdown_it_py": "markdown_it", "Pygments": "pygments"}
 
 
-def pins_of(name):
-    """Return the pinned packages of a list."""
+def pinned_packages(name):
+    """Return the pinned packages of a requirements list by name."""
     lines = (ROOT / "requirements" / name).read_text().split()
     return {line.partition("==")[0]: line for line in lines}
 
 
 def test_a_node_needs_no_package_of_the_command_line():
-    """Symptom: a killed host's callers find nobody for longer than its start takes.
+    """A node must not import the command line's packages, which slow its start down.
 
-    Sequence: the start of a node imports the command line's packages.
-    Cause: they were installed beside it, and a library that it needs imports some of
-    them where they are there.
+    Callers of a killed host wait for that long. The packages were installed with the
+    node's, and a library that it needs imports some of them if they are present.
     """
-    node, runtime = pins_of("node.txt"), pins_of("runtime.txt")
+    node, runtime = pinned_packages("node.txt"), pinned_packages("runtime.txt")
     assert node.items() <= runtime.items()
     absent = [MODULES.get(name, name) for name in runtime.keys() - node.keys()]
     code = (
--- a/mallowpond/platform/tests/test_store.py
+++ b/mallowpond/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What is known after each answer, or none, of the platform's table service."""
+"""What the client concludes from each answer of the table service, or from none."""
 
 import asyncio
 import base64
@@ -32,13 +32,13 @@
 
 
 def response(status, document=None):
-    """Write an answer."""
+    """Return an HTTP answer with this document."""
     body = json.dumps(document or {}).encode()
     return f"HTTP/1.1 {status} X\r\ncontent-length: {len(body)}\r\n\r\n".encode() + body
 
 
-async def ask(data, call):
-    """Let a store that answers `data` be asked; return the outcome and the request."""
+async def call_store(data, call):
+    """Call a store that answers `data`; return the outcome and the request."""
     requests = []
 
     async def script(reader, writer):
@@ -54,24 +54,24 @@
 
 
 class FixedHttp:
-    """Answer every call with the same bytes."""
+    """Answers every call with the same bytes."""
 
     def __init__(self, data):
         self._data = data
 
     async def fetch(self, address, method, target, **more):
-        """Answer."""
+        """Return status 200 and the bytes."""
         return 200, self._data
 
 
 def parsed_targets(data):
-    """Return what a list of these bytes is read as."""
+    """Return the decoded list of targets from an answer of these bytes."""
     store = PlatformStore(http=FixedHttp(data), address="")
     return asyncio.run(store.targets(5))
 
 
 def commit(store):
-    """Commit the change."""
+    """Commit CHANGE."""
     return store.commit(CHANGE)
 
 
@@ -87,12 +87,12 @@
     ],
 )
 async def test_the_four_outcomes_of_a_commit_are_kept_apart(data, kind):
-    outcome, _ = await ask(data, commit)
+    outcome, _ = await call_store(data, commit)
     assert isinstance(outcome, kind)
 
 
 async def test_a_commit_names_its_rows_and_itself():
-    _, request = await ask(response(200, {"ver": 9}), commit)
+    _, request = await call_store(response(200, {"ver": 9}), commit)
     body = json.loads(request.partition(b"\r\n\r\n")[2])
     place = {"table": "leases", "part": "", "key": "planner"}
     assert body["expected"] == [{**place, "ver": 3}]
@@ -101,59 +101,58 @@
 
 
 def row(key, document, **more):
-    """Write a row."""
+    """Return a row as the store sends it."""
     value = base64.b64encode(json.dumps(document).encode()).decode()
     return {"table": "op", "part": "", "key": key, "value": value, "ver": 1, **more}
 
 
 async def test_the_last_of_several_versions_in_one_answer_counts():
-    """Symptom: a node refuses keys that have been in force for seconds.
+    """A node must not refuse keys that have been in force for seconds.
 
-    Sequence: two versions are accepted while the node's question is under way; one
-    answer holds both.
-    Cause: the first was taken, and the next question began after the second.
+    Two versions were accepted during one read, and its answer contained both. The node
+    used the first, and its next read began after the second.
     """
     rows = [row("config", {"version": 17}), row("config", {"version": 37})]
     data = response(200, {"rows": rows, "ver": 40})
-    found, _ = await ask(data, lambda store: store.configuration(5, 0.0))
+    found, _ = await call_store(data, lambda store: store.configuration(5, 0.0))
     assert found.configuration.version == 37
     assert found.revision == 40
 
 
 async def test_an_entry_that_was_removed_and_came_back_is_there():
-    gone = {"table": "servers", "part": "", "key": "i-1", "removed": True}
-    back = row("i-1", ENTRY)
-    data = response(200, {"rows": [gone, back], "ver": 40})
-    found, _ = await ask(data, lambda store: store.targets(5))
+    removed = {"table": "servers", "part": "", "key": "i-1", "removed": True}
+    restored = row("i-1", ENTRY)
+    data = response(200, {"rows": [removed, restored], "ver": 40})
+    found, _ = await call_store(data, lambda store: store.targets(5))
     assert [t.id for t in found.targets] == ["i-1"]
     assert found.removed == ()
 
 
 async def test_a_lost_history_is_no_empty_answer():
-    found, _ = await ask(response(410), lambda store: store.targets(5))
+    found, _ = await call_store(response(410), lambda store: store.targets(5))
     assert found == HistoryLost()
 
 
 async def test_no_row_and_no_answer_are_told_apart():
-    found, _ = await ask(
+    found, _ = await call_store(
         response(200, {"rows": [], "ver": 4}), lambda store: store.read("leases/x")
     )
     assert found is None
-    lost, _ = await ask(b"", lambda store: store.read("leases/x"))
+    lost, _ = await call_store(b"", lambda store: store.read("leases/x"))
     assert isinstance(lost, Unavailable)
 
 
-GOOD = row("i-2", ENTRY)
+VALID_ROW = row("i-2", ENTRY)
 BAD_ROWS = [
-    {**GOOD, "key": "i-1", "value": "%%%"},
-    {**GOOD, "key": "i-1", "value": base64.b64encode(b"\xff\xfe\x01").decode()},
-    {**GOOD, "key": "i-1", "value": base64.b64encode(b"{").decode()},
-    {**GOOD, "key": "i-1", "value": base64.b64encode(b"[" * 50_000).decode()},
-    {**GOOD, "key": "i-1", "value": base64.b64encode(b'{"a": NaN}').decode()},
-    *({**GOOD, "key": "i-1", "value": value} for value in (None, 7, [], {}, "é")),
-    {**GOOD, "key": "i-1", "value": "%" + GOOD["value"]},
+    {**VALID_ROW, "key": "i-1", "value": "%%%"},
+    {**VALID_ROW, "key": "i-1", "value": base64.b64encode(b"\xff\xfe\x01").decode()},
+    {**VALID_ROW, "key": "i-1", "value": base64.b64encode(b"{").decode()},
+    {**VALID_ROW, "key": "i-1", "value": base64.b64encode(b"[" * 50_000).decode()},
+    {**VALID_ROW, "key": "i-1", "value": base64.b64encode(b'{"a": NaN}').decode()},
+    *({**VALID_ROW, "key": "i-1", "value": value} for value in (None, 7, [], {}, "é")),
+    {**VALID_ROW, "key": "i-1", "value": "%" + VALID_ROW["value"]},
     {"key": "i-1", "ver": 1},
-    {**GOOD, "key": "i-1", "removed": "yes"},
+    {**VALID_ROW, "key": "i-1", "removed": "yes"},
     row("i-1", [ENTRY]),
     row("i-1", {**ENTRY, "slots": "x"}),
 ]
@@ -162,13 +161,13 @@
 @pytest.mark.parametrize("since", [0, 5])
 @pytest.mark.parametrize("bad", BAD_ROWS)
 async def test_an_unreadable_entry_leaves_the_others_and_the_version(bad, since):
-    """Symptom: all nodes serve by an old list, and log that the list is lost.
+    """One unreadable entry must not make nodes keep an old list and log it as lost.
 
-    Sequence: another writer's entry stands in the list, or replaces an engine's.
-    Cause: the answer was decoded as a whole, and one entry made all of it fail.
+    Another writer had added an entry to the list, or replaced an engine's. The answer
+    was decoded as a whole, so that one entry made all of it fail.
     """
-    data = response(200, {"rows": [bad, GOOD], "ver": 40})
-    found, _ = await ask(data, lambda store: store.targets(since))
+    data = response(200, {"rows": [bad, VALID_ROW], "ver": 40})
+    found, _ = await call_store(data, lambda store: store.targets(since))
     assert [t.id for t in found.targets] == ["i-2"]
     assert (found.unreadable, found.removed) == (("i-1",), ())
     assert found.revision == 40
@@ -176,16 +175,16 @@
 
 @pytest.mark.parametrize("key", ["", "a b", "a/b", "é", "x" * 200, "i-"])
 async def test_an_entry_under_a_key_that_is_no_id_is_left_out(key):
-    data = response(200, {"rows": [{**GOOD, "key": key}, GOOD], "ver": 40})
-    found, _ = await ask(data, lambda store: store.targets(5))
+    data = response(200, {"rows": [{**VALID_ROW, "key": key}, VALID_ROW], "ver": 40})
+    found, _ = await call_store(data, lambda store: store.targets(5))
     assert [t.id for t in found.targets] == ["i-2"]
     assert (found.unreadable, found.removed) == ((), ())
 
 
 @pytest.mark.parametrize("bad", [None, 7, "x", [], {}, {"key": 7}, {"key": None}])
 async def test_a_row_without_a_key_is_left_out(bad):
-    data = response(200, {"rows": [bad, GOOD], "ver": 40})
-    found, _ = await ask(data, lambda store: store.targets(5))
+    data = response(200, {"rows": [bad, VALID_ROW], "ver": 40})
+    found, _ = await call_store(data, lambda store: store.targets(5))
     assert [t.id for t in found.targets] == ["i-2"]
 
 
@@ -200,8 +199,8 @@
 BAD_BODIES = [b"", b"{", b"[]", b"7", b"null", b'"x"', b"\xff\xfe\xfd", b"[" * 50_000]
 
 
-def raw(status, body):
-    """Write an answer of these bytes."""
+def answer_of(status, body):
+    """Return an HTTP answer with this body."""
     return f"HTTP/1.1 {status} X\r\ncontent-length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -216,8 +215,8 @@
     ],
 )
 async def test_an_answer_that_cannot_be_read_is_none(body, call):
-    data = raw(200, body if isinstance(body, bytes) else body.encode())
-    found, _ = await ask(data, call)
+    data = answer_of(200, body if isinstance(body, bytes) else body.encode())
+    found, _ = await call_store(data, call)
     if body == json.dumps(BAD_ANSWERS[-1]) and found is None:
         # A read of one row asks for no second page.
         return
@@ -228,51 +227,51 @@
     "body", [*BAD_BODIES, b"{}", b'{"ver": "4"}', b'{"ver": true}']
 )
 async def test_a_change_that_took_effect_at_no_readable_version_is_unknown(body):
-    found, _ = await ask(raw(200, body), commit)
+    found, _ = await call_store(answer_of(200, body), commit)
     assert isinstance(found, Unknown)
 
 
 @pytest.mark.parametrize("body", [*BAD_BODIES, b"{}", b'{"rows": [7, {"key": 1}]}'])
 async def test_a_refused_change_is_a_conflict_whatever_its_answer_says(body):
-    found, _ = await ask(raw(412, body), commit)
+    found, _ = await call_store(answer_of(412, body), commit)
     assert found == Conflict(keys=())
 
 
-def own(key, document, **more):
-    """Write a row of ours."""
+def own_row(key, document, **more):
+    """Return a row of a table that this system writes."""
     return {**row(key, document), "table": "nodes", "ver": 7, **more}
 
 
-OURS = {"value": {"a": 1}, "transaction": "t"}
-NOT_OURS = [
-    own("x", None),
-    own("x", 7),
-    own("x", []),
-    own("x", {}),
-    own("x", {"value": {"a": 1}}),
-    own("x", {"transaction": "t"}),
-    own("x", {"value": 7, "transaction": "t"}),
-    own("x", {"value": [], "transaction": "t"}),
-    own("x", {"value": {"a": 1}, "transaction": 7}),
-    own("x", OURS, value="%%%"),
-    own("x", OURS, value=None),
-    own("x", OURS, removed="yes"),
+OWN_VALUE = {"value": {"a": 1}, "transaction": "t"}
+UNREADABLE_OWN_ROWS = [
+    own_row("x", None),
+    own_row("x", 7),
+    own_row("x", []),
+    own_row("x", {}),
+    own_row("x", {"value": {"a": 1}}),
+    own_row("x", {"transaction": "t"}),
+    own_row("x", {"value": 7, "transaction": "t"}),
+    own_row("x", {"value": [], "transaction": "t"}),
+    own_row("x", {"value": {"a": 1}, "transaction": 7}),
+    own_row("x", OWN_VALUE, value="%%%"),
+    own_row("x", OWN_VALUE, value=None),
+    own_row("x", OWN_VALUE, removed="yes"),
 ]
 
 
-@pytest.mark.parametrize("bad", NOT_OURS)
+@pytest.mark.parametrize("bad", UNREADABLE_OWN_ROWS)
 async def test_a_row_that_is_not_ours_stands_where_it_stands(bad):
-    """Symptom: a lease is taken although another node holds it.
+    """A lease must not be taken while another node holds it.
 
-    Sequence: another writer replaces its row by one that this program cannot read.
-    Cause: a row that cannot be read counted as absent, or failed the whole read.
+    Another writer replaced its row by one that this program cannot decode, and an
+    unreadable row counted as absent, or failed the whole read.
     """
     data = response(200, {"rows": [bad], "ver": 9})
-    found, _ = await ask(data, lambda store: store.read("nodes/x"))
+    found, _ = await call_store(data, lambda store: store.read("nodes/x"))
     assert isinstance(found, UnreadableRow)
     assert (found.key, found.version) == ("nodes/x", 7)
-    data = response(200, {"rows": [bad, own("y", OURS)], "ver": 9})
-    scanned, _ = await ask(data, lambda store: store.scan("nodes/"))
+    data = response(200, {"rows": [bad, own_row("y", OWN_VALUE)], "ver": 9})
+    scanned, _ = await call_store(data, lambda store: store.scan("nodes/"))
     assert [r.key for r in scanned.rows] == ["nodes/y"]
     assert [(r.key, r.version) for r in scanned.unreadable] == [("nodes/x", 7)]
     assert scanned.version == 9
@@ -280,11 +279,11 @@
 
 @pytest.mark.parametrize("version", [None, "7", True, -1, 1.5, 0])
 async def test_a_row_whose_version_cannot_be_read_cannot_be_replaced(version):
-    bad = own("x", OURS, ver=version)
+    bad = own_row("x", OWN_VALUE, ver=version)
     data = response(200, {"rows": [bad], "ver": 9})
-    found, _ = await ask(data, lambda store: store.read("nodes/x"))
+    found, _ = await call_store(data, lambda store: store.read("nodes/x"))
     assert isinstance(found, Unavailable)
-    scanned, _ = await ask(data, lambda store: store.scan("nodes/"))
+    scanned, _ = await call_store(data, lambda store: store.scan("nodes/"))
     assert scanned.rows == ()
     assert [r.key for r in scanned.unreadable] == ["nodes/x"]
 
@@ -292,9 +291,9 @@
 @pytest.mark.parametrize("bad", [None, 7, [], {}, {"key": 7, "ver": 1}])
 async def test_a_row_without_a_key_may_be_the_one_that_is_asked_for(bad):
     data = response(200, {"rows": [bad], "ver": 9})
-    found, _ = await ask(data, lambda store: store.read("nodes/x"))
+    found, _ = await call_store(data, lambda store: store.read("nodes/x"))
     assert isinstance(found, Unavailable)
-    found, _ = await ask(data, lambda store: store.configuration(5, 0.0))
+    found, _ = await call_store(data, lambda store: store.configuration(5, 0.0))
     assert isinstance(found, Unavailable)
 
 
@@ -313,7 +312,7 @@
 @pytest.mark.parametrize("bad", BAD_CONFIGURATIONS)
 async def test_a_configuration_that_cannot_be_read_is_told_as_such(bad, since):
     data = response(200, {"rows": [bad], "ver": 40})
-    found, _ = await ask(data, lambda store: store.configuration(since, 0.0))
+    found, _ = await call_store(data, lambda store: store.configuration(since, 0.0))
     assert (found.configuration, found.unreadable) == (None, True)
     assert found.revision == 40
 
@@ -321,13 +320,16 @@
 async def test_only_the_newest_state_of_the_configuration_counts():
     rows = [BAD_CONFIGURATIONS[0], row("config", {"version": 8})]
     data = response(200, {"rows": rows, "ver": 40})
-    found, _ = await ask(data, lambda store: store.configuration(5, 0.0))
+    found, _ = await call_store(data, lambda store: store.configuration(5, 0.0))
     assert (found.configuration.version, found.unreadable) == (8, False)
 
 
 async def test_what_is_left_out_is_counted_by_kind_and_fault():
     counter = NodeMetrics().unreadable
-    rows = [{**GOOD, "key": "i-1", "value": "%%%"}, row("i-3", {**ENTRY, "slots": -1})]
+    rows = [
+        {**VALID_ROW, "key": "i-1", "value": "%%%"},
+        row("i-3", {**ENTRY, "slots": -1}),
+    ]
     body = json.dumps({"rows": rows, "ver": 4}).encode()
     unreadable_log = UnreadableLog(counter=counter)
     store = PlatformStore(
@@ -339,12 +341,12 @@
 
 
 async def test_a_whole_read_tells_when_the_store_answered():
-    """Symptom: keyed requests are refused now and then although the store answers.
+    """Requests with a key must not be refused now and then while the store answers.
 
-    Sequence: a host reads the configuration whole, then asks for changes with a wait.
-    Cause: the store's time was dropped from whole reads, the only fast ones; by the
-    slow ones each answer seemed to be as old as the wait.
+    A host reads the whole configuration, then waits for changes. The store's time was
+    dropped from reads of the whole, the only fast ones; judged by the slow ones, each
+    answer seemed to be as old as the wait.
     """
     data = response(200, {"rows": [], "ver": 4, "now_ms": 51_230})
-    found, _ = await ask(data, lambda store: store.configuration(0, 0.0))
+    found, _ = await call_store(data, lambda store: store.configuration(0, 0.0))
     assert found.answered_at == 51.23
