--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -63,7 +63,7 @@
     ) -> HttpResponse | CallFailed:
         """Send a request and return once the header of its answer has arrived.
 
-        Answers that do not repeat the request's id are skipped.
+        Answers with the id of another request are skipped.
         """
         left = max(1, int(seconds_left * 1000))
         headers = request.forwarded_headers + (
