--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -164,7 +164,7 @@
             dispatching_host=fleet.dispatching_host,
         )
         self.dispatcher_client = dispatcher_client
-        if fleet.scenario.dispatched:
+        if fleet.scenario.uses_dispatcher:
             self.streams.placement.dispatcher_client = dispatcher_client
             self.streams.on_end.append(self.tell_work)
             dispatcher_client.on_unused_grant.append(self.tell_work)
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -33,7 +33,7 @@
     restart_at: float | None = None
     away: float = 1.2
     replaced_every: float | None = None
-    dispatched: bool = True
+    uses_dispatcher: bool = True
 
 
 PROFILE = EngineProfile(
--- a/mallowpond/emulator/tests/test_placing.py
+++ b/mallowpond/emulator/tests/test_placing.py
@@ -15,7 +15,7 @@
 
 def both_ways(scenario, seed):
     """Play a scenario with and without the host that counts places."""
-    return play(replace(scenario, dispatched=False), seed), play(scenario, seed)
+    return play(replace(scenario, uses_dispatcher=False), seed), play(scenario, seed)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
