--- a/bench/placing.py
+++ b/bench/placing.py
@@ -8,7 +8,7 @@
 
 from bench.report import Report
 from mallowpond.emulator.placing import play
-from mallowpond.emulator.scenario import Figures, Scenario
+from mallowpond.emulator.scenario import Scenario, SimulationResult
 
 PROCESSES = 4
 SEEDS = 4
@@ -28,7 +28,7 @@
 )
 
 
-def _play(scenario: Scenario, seed: int) -> Figures:
+def _play(scenario: Scenario, seed: int) -> SimulationResult:
     silent = structlog.make_filtering_bound_logger(logging.CRITICAL)
     structlog.configure(wrapper_class=silent)
     return play(scenario, seed)
@@ -73,7 +73,7 @@
 
 
 def _row(
-    name: str, uses_dispatcher: bool, plays: list[Figures]
+    name: str, uses_dispatcher: bool, plays: list[SimulationResult]
 ) -> tuple[str | int | float, ...]:
     streams = sum(figures.streams for figures in plays)
     return (
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -21,8 +21,8 @@
     ROUTE,
     SERVICE,
     WAY_SECONDS,
-    Figures,
     Scenario,
+    SimulationResult,
 )
 from mallowpond.emulator.virtual_time import run_virtually
 from mallowpond.node.outcomes import Answered, Refusal
@@ -59,7 +59,7 @@
         self.groups: dict[str, EmulatedGroup] = {}
         self.targets = EmulatedTargets(groups=self.groups, way_seconds=WAY_SECONDS)
         self.hosts: list[Host] = []
-        self.figures = Figures()
+        self.figures = SimulationResult()
         self.serving: set[asyncio.Task[None]] = set()
         self.waiting_callers: deque[tuple[CallerRequest, float]] = deque()
         self._opened = 0
@@ -277,7 +277,7 @@
             self.figures.beyond += beyond * LOOK_SECONDS
             self.figures.beside += min(beyond, free) * LOOK_SECONDS
 
-    async def play(self) -> Figures:
+    async def play(self) -> SimulationResult:
         """Play the scenario to its end."""
         scenario = self.scenario
         for _ in range(scenario.groups):
@@ -297,6 +297,6 @@
         return self.figures
 
 
-def play(scenario: Scenario, seed: int) -> Figures:
+def play(scenario: Scenario, seed: int) -> SimulationResult:
     """Play a scenario with a seed."""
     return run_virtually(Fleet(scenario, seed).play())
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(kw_only=True)
-class Figures:
+class SimulationResult:
     """Count what became of the streams of one play."""
 
     streams: int = 0
