--- a/bench/placing.py
+++ b/bench/placing.py
@@ -7,7 +7,7 @@
 import structlog
 
 from bench.report import Report
-from mallowpond.emulator.placing import play
+from mallowpond.emulator.placing import simulate
 from mallowpond.emulator.scenario import Scenario, SimulationResult
 
 PROCESSES = 4
@@ -31,7 +31,7 @@
 def _play(scenario: Scenario, seed: int) -> SimulationResult:
     silent = structlog.make_filtering_bound_logger(logging.CRITICAL)
     structlog.configure(wrapper_class=silent)
-    return play(scenario, seed)
+    return simulate(scenario, seed)
 
 
 def run(smallest: bool = False) -> list[Report]:
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -277,7 +277,7 @@
             self.figures.beyond += beyond * LOOK_SECONDS
             self.figures.beside += min(beyond, free) * LOOK_SECONDS
 
-    async def play(self) -> SimulationResult:
+    async def simulate(self) -> SimulationResult:
         """Play the scenario to its end."""
         scenario = self.scenario
         for _ in range(scenario.groups):
@@ -297,6 +297,6 @@
         return self.figures
 
 
-def play(scenario: Scenario, seed: int) -> SimulationResult:
+def simulate(scenario: Scenario, seed: int) -> SimulationResult:
     """Play a scenario with a seed."""
-    return run_virtually(Fleet(scenario, seed).play())
+    return run_virtually(Fleet(scenario, seed).simulate())
--- a/mallowpond/emulator/tests/test_placing.py
+++ b/mallowpond/emulator/tests/test_placing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mallowpond.emulator.placing import play
+from mallowpond.emulator.placing import simulate
 from mallowpond.emulator.scenario import Scenario
 
 TIGHT = Scenario(name="tight", hosts=18, groups=6, rate=44.0, seconds=8.0)
@@ -15,7 +15,9 @@
 
 def both_ways(scenario, seed):
     """Play a scenario with and without the host that counts places."""
-    return play(replace(scenario, uses_dispatcher=False), seed), play(scenario, seed)
+    return simulate(replace(scenario, uses_dispatcher=False), seed), simulate(
+        scenario, seed
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -43,4 +45,4 @@
 
 
 def test_a_play_repeats():
-    assert play(TIGHT, 5) == play(TIGHT, 5)
+    assert simulate(TIGHT, 5) == simulate(TIGHT, 5)
