--- a/mallowpond/standins/observatory_engine.py
+++ b/mallowpond/standins/observatory_engine.py
@@ -133,7 +133,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
         await self._write_entry(remove=True)
 
-    def toggle_need(self) -> None:
+    def toggle_rate_limit(self) -> None:
         """Name a rate limit in all answers from now on, or no more."""
         self._is_in_need = not self._is_in_need
         limit = self._options.rate_limit if self._is_in_need else None
