--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""Describe loads on the placing of streams, and count what came of them."""
+"""Scenarios of the placement simulation, and the result of a run."""
 
 from dataclasses import dataclass
 
@@ -13,11 +13,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """Describe a load; rates are a second, times in seconds.
+    """Load and faults of one simulation run, with all times in seconds.
 
-    With `restart_at` all hosts are gone from then on for `away`; who came meanwhile
-    comes back while they start. With `replaced_every` a group closes and another one
-    opens empty, after each such time.
+    rate: arrivals of streams in the whole fleet, per second.
+    prompt_tokens, events: mean prompt length and mean number of events of a stream.
+    prompt_spread, events_spread: coefficients of variation of these.
+    most_events: upper bound of the events of a stream.
+    restart_at: time at which all hosts stop, None for never.
+    away: time from that stop until the hosts start again; callers that arrive
+        meanwhile wait and are served as the hosts start.
+    replaced_every: interval at which the oldest group closes and an empty one opens.
+    uses_dispatcher: whether a dispatcher grants slots; otherwise each host chooses
+        groups by the loads that the hosts report to each other.
     """
 
     name: str
