--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -118,7 +118,7 @@
         self.hosts = []
         for task in list(self.serving):
             task.cancel()
-        await asyncio.sleep(self.scenario.away)
+        await asyncio.sleep(self.scenario.outage_seconds)
         back = asyncio.create_task(self.start_hosts(START_SECONDS))
         await asyncio.sleep(FOUND_SECONDS)
         while self.waiting_callers:
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -38,7 +38,7 @@
     events_spread: float = 0.7
     most_events: int = 70
     restart_at: float | None = None
-    away: float = 1.2
+    outage_seconds: float = 1.2
     replaced_every: float | None = None
     uses_dispatcher: bool = True
 
