--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -208,7 +208,7 @@
                 self._draw(scenario.prompt_tokens, scenario.prompt_spread)
             ),
             answer_tokens=min(
-                scenario.most_events,
+                scenario.max_events,
                 max(1, round(self._draw(scenario.events, scenario.events_spread))),
             ),
         )
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -18,7 +18,7 @@
     rate: arrivals of streams in the whole fleet, per second.
     prompt_tokens, events: mean prompt length and mean number of events of a stream.
     prompt_spread, events_spread: coefficients of variation of these.
-    most_events: upper bound of the events of a stream.
+    max_events: upper bound of the events of a stream.
     restart_at: time at which all hosts stop, None for never.
     away: time from that stop until the hosts start again; callers that arrive
         meanwhile wait and are served as the hosts start.
@@ -36,7 +36,7 @@
     prompt_spread: float = 0.89
     events: float = 28.0
     events_spread: float = 0.7
-    most_events: int = 70
+    max_events: int = 70
     restart_at: float | None = None
     outage_seconds: float = 1.2
     replaced_every: float | None = None
