--- a/bench/placing.py
+++ b/bench/placing.py
@@ -82,6 +82,6 @@
         streams,
         round(100 * sum(figures.late for figures in plays) / streams, 2),
         round(100 * sum(figures.unserved for figures in plays) / streams, 2),
-        round(sum(figures.beyond for figures in plays) / len(plays), 1),
+        round(sum(figures.excess_seconds for figures in plays) / len(plays), 1),
         round(sum(figures.beside for figures in plays) / len(plays), 1),
     )
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -79,5 +79,5 @@
     gaps: int = 0
     # Stream-seconds beyond the slots of groups, and those of them beside which a slot
     # was free on another group.
-    beyond: float = 0.0
+    excess_seconds: float = 0.0
     beside: float = 0.0
