--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -274,7 +274,7 @@
             open_groups = [self.groups[name] for name in self.listing.targets_now]
             beyond = sum(group.beyond for group in open_groups)
             free = sum(group.free for group in open_groups)
-            self.figures.beyond += beyond * LOOK_SECONDS
+            self.figures.excess_seconds += beyond * LOOK_SECONDS
             self.figures.beside += min(beyond, free) * LOOK_SECONDS
 
     async def simulate(self) -> SimulationResult:
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -22,7 +22,7 @@
     restart_at: time at which all hosts stop, None for never.
     away: time from that stop until the hosts start again; callers that arrive
         meanwhile wait and are served as the hosts start.
-    replaced_every: interval at which the oldest group closes and an empty one opens.
+    replaced_every: interval after which a group is closed and an empty one opened.
     uses_dispatcher: whether a dispatcher grants slots; otherwise each host chooses
         groups by the loads that the hosts report to each other.
     """
@@ -70,14 +70,20 @@
 
 @dataclass(kw_only=True)
 class SimulationResult:
-    """Count what became of the streams of one play."""
+    """Counts of the streams of one simulation run, by their outcome.
+
+    in_time: streams that met both latency objectives of the route.
+    late: streams whose first event missed its objective.
+    unserved: streams that were refused for good.
+    gaps: streams with a gap between events above its objective.
+    excess_seconds: stream-seconds of streams in excess of the slots of their group.
+    beside: the part of them during which another group had a free slot.
+    """
 
     streams: int = 0
     in_time: int = 0
     late: int = 0
     unserved: int = 0
     gaps: int = 0
-    # Stream-seconds beyond the slots of groups, and those of them beside which a slot
-    # was free on another group.
     excess_seconds: float = 0.0
     beside: float = 0.0
--- a/mallowpond/emulator/tests/test_placing.py
+++ b/mallowpond/emulator/tests/test_placing.py
@@ -33,7 +33,7 @@
 def test_when_all_hosts_start_anew_no_group_is_sent_all_their_streams(seed):
     """Guard against hosts that know nothing of each other and fill the same group."""
     by_reports, by_dispatcher = both_ways(RESTART, seed)
-    assert by_dispatcher.beyond < by_reports.beyond / 2
+    assert by_dispatcher.excess_seconds < by_reports.excess_seconds / 2
 
 
 @pytest.mark.parametrize("seed", [1, 2])
