--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -22,7 +22,7 @@
     restart_at: time at which all hosts stop, None for never.
     away: time from that stop until the hosts start again; callers that arrive
         meanwhile wait and are served as the hosts start.
-    replaced_every: interval after which a group is closed and an empty one opened.
+    replaced_every: seconds after which one group closes and an empty one opens.
     uses_dispatcher: whether a dispatcher grants slots; otherwise each host chooses
         groups by the loads that the hosts report to each other.
     """
@@ -39,7 +39,7 @@
     max_events: int = 70
     restart_at: float | None = None
     outage_seconds: float = 1.2
-    replaced_every: float | None = None
+    replaced_every: seconds after which one group closes and an empty one opens.
     uses_dispatcher: bool = True
 
 
@@ -75,9 +75,9 @@
     in_time: streams that met both latency objectives of the route.
     late: streams whose first event missed its objective.
     unserved: streams that were refused for good.
-    gaps: streams with a gap between events above its objective.
+    gaps: streams with a punctual first event but a gap above its objective.
     excess_seconds: stream-seconds of streams in excess of the slots of their group.
-    beside: the part of them during which another group had a free slot.
+    avoidable_excess_seconds: those while another group had a free slot.
     """
 
     streams: int = 0
