--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -39,7 +39,7 @@
     max_events: int = 70
     restart_at: float | None = None
     outage_seconds: float = 1.2
-    replaced_every: seconds after which one group closes and an empty one opens.
+    replaced_every: float | None = None
     uses_dispatcher: bool = True
 
 
