--- a/bench/formation.py
+++ b/bench/formation.py
@@ -56,7 +56,11 @@
         ),
     )
     return EngineProfile(
-        slots=13, models=models, loads_per_second=4.5, loads_at_once=6, far_factor=2.5
+        slots=13,
+        models=models,
+        loads_per_second=4.5,
+        loads_at_once=6,
+        cross_domain_factor=2.5,
     )
 
 
@@ -323,9 +327,9 @@
         found = {"large": 0.0, "small": 0.0, "far": 0.0, "open": defaultdict(int)}
         for group in self._groups().values():
             if group.phase is GroupPhase.OPEN and self._is_whole(group):
-                far = self.shape.profile.far_factor
-                found[group.model] += 1.0 / far if group.is_far else 1.0
-                found["far"] += group.is_far
+                far = self.shape.profile.cross_domain_factor
+                found[group.model] += 1.0 / far if group.spans_domains else 1.0
+                found["far"] += group.spans_domains
                 found["open"][group.model] += 1
         return found
 
@@ -339,11 +343,11 @@
             for key, known in self.formations.items()
             if key in groups or self.now - known.ordered_at < STALL_SECONDS
         }
-        pressure, running = {}, {}
+        utilization, running = {}, {}
         profile, needed = self.shape.profile, self.shape.needed
         for model in profile.models:
             full = min(1.08, 0.9 * needed[model.name] / max(0.1, capacity[model.name]))
-            pressure[model.name] = full
+            utilization[model.name] = full
             running[model.name] = model.size * full * 13 * capacity["open"][model.name]
         total = sum(running.values())
         demand = {
@@ -357,7 +361,7 @@
             now=self.now,
             next_epoch=self.epoch,
             demand=demand,
-            pressure=pressure if self.now > 0 else {},
+            utilization=utilization if self.now > 0 else {},
             lost=frozenset(
                 e.name
                 for e in self.engines.values()
@@ -374,7 +378,7 @@
             },
             loads_begun=tuple(self.loads_begun),
             loading={e.name: e.staging for e in self.engines.values() if e.staging},
-            before_traffic=self.now < 0,
+            is_before_traffic=self.now < 0,
             newest_target_at=-LEAD_SECONDS,
         )
         for step in plan_steps(view):
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -6,9 +6,10 @@
 from dataclasses import dataclass, field, replace
 from itertools import count
 
+from mallowpond.state.admission import FairQueue, ServiceTime, refuse_if_late
+
 from bench.report import Report
-from mallowpond.state.limits import FairQueue, ServiceTime, judge_wait
-from mallowpond.state.quota import Chunk, chunk_size, grant
+from mallowpond.state.quota import Chunk, chunk_size, grantable_units
 from mallowpond.state.retry import RetryBudget
 
 PLACES = 64
@@ -62,7 +63,7 @@
 
     policy: str
     rng: random.Random
-    places: int = PLACES
+    slots: int = PLACES
     free: int = PLACES
     out: Outcome = field(default_factory=Outcome)
     _queue: FairQueue = field(default_factory=FairQueue)
@@ -86,7 +87,7 @@
             now, _, event = heapq.heappop(self._events)
             match event:
                 case LoseGroups():
-                    self.places -= PLACES // 3
+                    self.slots -= PLACES // 3
                     self.free -= PLACES // 3
                 case Ask():
                     self._take_in(event, now)
@@ -113,7 +114,7 @@
         if ask.tries == 1:
             self.out.fresh += 1
             self._asked[ask.workspace] += 1
-            self._budget.note_fresh()
+            self._budget.record_request()
         if self.free > 0:
             self._send(ask, now)
         elif self._is_refused(ask, now):
@@ -124,10 +125,10 @@
     def _is_refused(self, ask: Ask, now: float) -> bool:
         match self.policy:
             case "ours":
-                refused = judge_wait(
+                refused = refuse_if_late(
                     ahead=self._queue.ahead_of(str(ask.workspace), 1.0),
-                    places=self.places,
-                    service_seconds=self._service.cautious,
+                    slots=self.slots,
+                    service_seconds=self._service.upper_bound,
                     remaining=ask.deadline - now,
                 )
                 return refused is not None
@@ -161,7 +162,7 @@
 
     def _end(self, served: Served, now: float) -> None:
         self.free += 1
-        self._service.note(served.took)
+        self._service.record(served.took)
         if now <= served.ask.deadline:
             self.out.useful += 1
             self._served[served.ask.workspace] += 1
@@ -171,7 +172,7 @@
             ask = self._next()
             if ask is None:
                 return
-            if self.policy == "ours" and now + self._service.cautious > ask.deadline:
+            if self.policy == "ours" and now + self._service.upper_bound > ask.deadline:
                 self.out.refused += 1
             else:
                 self._send(ask, now)
@@ -233,7 +234,9 @@
             if rest is None:
                 rate = 32 * 1000 / size
                 wanted = chunk_size(budget=budget, recent_per_second=rate, needed=units)
-                got = grant(budget=budget, leased=leased, wanted=wanted, needed=units)
+                got = grantable_units(
+                    budget=budget, leased=leased, wanted=wanted, needed=units
+                )
                 if got is None:
                     break
                 leased, leases = leased + got, leases + 1
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -14,7 +14,11 @@
     Unavailable,
 )
 from mallowpond.coordination.store import TableView
-from mallowpond.coordination.tests.fakes import FakeClock, document, make_node
+from mallowpond.coordination.tests.fakes import (
+    FakeClock,
+    configuration_text,
+    make_controller,
+)
 from mallowpond.protocol.peer import Routes, encode
 from mallowpond.standins.platform import MemoryTable
 from mallowpond.state.codec import to_json, to_plain
@@ -63,7 +67,7 @@
 async def cell_of(count: int) -> tuple[CountingTable, list, FakeClock]:
     """Return a settled cell of this many controllers."""
     table, clock = CountingTable(), FakeClock()
-    nodes = [make_node(f"n{i:03}", table, clock) for i in range(count)]
+    nodes = [make_controller(f"n{i:03}", table, clock) for i in range(count)]
     for _ in range(count + 20):
         for node in nodes:
             await node.step()
@@ -93,7 +97,7 @@
     """Count heartbeats from the proposal until every node applied it."""
     node = nodes[0].configuration
     await node.propose(
-        text=document(), expect_version=node.applied.version, author="bench"
+        text=configuration_text(), expect_version=node.applied.version, author="bench"
     )
     for step in range(1, 100):
         for one in nodes:
@@ -160,8 +164,8 @@
     rows = []
     for hosts in sizes:
         view = _view_of(hosts)
-        view.below(HOSTS, HostRow)
-        look = best_seconds(lambda v=view: v.below(HOSTS, HostRow))
+        view.with_prefix(HOSTS, HostRow)
+        look = best_seconds(lambda v=view: v.with_prefix(HOSTS, HostRow))
         answer = len(encode(_answer_at_rest()))
         changed = len(encode(_answer_at_rest(_groups_of(hosts // 8))))
         rows.append((hosts, look * 1e3, answer, changed))
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -205,7 +205,7 @@
         if record.kind is Kind.STREAM:
             headers += [
                 (names.MODEL, "m"),
-                (names.TOKENS, f"100,{STRIDE * record.events}"),
+                (names.TOKEN_COUNTS, f"100,{STRIDE * record.events}"),
             ]
         head = h11.Request(method="POST", target=PATHS[record.kind], headers=headers)
         data = self._state.send(head)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -14,7 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from mallowpond.platform.early import SETTINGS_VARIABLE
+from mallowpond.platform.early_listener import SETTINGS_VARIABLE
+
 from mallowpond.standins.observatory_engine import new_engine_id
 from mallowpond.standins.observatory_operator import (
     ObservatoryOperator,
