--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -1,4 +1,4 @@
-"""Follow the configuration, and know how old its last confirmation is."""
+"""Follow the configuration, and track how old its last confirmation is."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,42 +6,48 @@
 import structlog
 
 from mallowpond.coordination.ports import Clock, Unavailable
-from mallowpond.coordination.tasks import sleep_until_news
+from mallowpond.coordination.tasks import sleep_until_event
 from mallowpond.node.ports import ConfigurationRead, HistoryLost, SiteSource
-from mallowpond.state.confirmation import Confirmation, may_admit, merge
+from mallowpond.state.confirmation import Confirmation, may_admit, merge_confirmation
 from mallowpond.state.site_configuration import SiteConfiguration
 from mallowpond.state.store_clock import StoreClock
 
 log = structlog.get_logger()
 
-# Longest time that one question waits at the store for a change, in seconds, and the
-# part of the bound for keys that it may take. An answer confirms the version as of its
-# leaving the store, so a reader's age stays about below the wait; it is time that is
-# missing when the store is lost. Shorter waits make more calls; with ones that the
-# bound does not bear, hosts that ask a reader refuse keys while the store answers.
-WAIT_SECONDS = 1.5
-WAIT_SHARE = 0.3
-# Pause after a question that failed, in seconds: a store that is down gets few calls,
-# and a node is back well within the bound for a change.
+# Longest time that a call waits at the store for a change, in seconds, and the largest
+# share of the bound for revoked keys that it may take. An answer confirms the version
+# as of the time when it left the store, so the age of a reader's confirmation stays
+# roughly below the wait; when the store is lost, the bound is shorter by that age.
+# Shorter waits make more calls. If the wait is too long for the bound, hosts that ask a
+# reader reject keys although the store answers.
+LONG_POLL_SECONDS = 1.5
+LONG_POLL_SHARE = 0.3
+# Pause after a failed call to the store, in seconds: a store that is down gets few
+# calls, and a node recovers well within the bound for a change.
 RETRY_SECONDS = 0.2
-# The same for a host that is not among the first to try, in seconds: while the store is
-# away for all, a whole fleet that asks often only adds calls to it, and the first that
-# is answered tells the others.
-LATER_RETRY_SECONDS = 1.5
-# Pause between two questions to the hosts that read the store, in seconds, and the
-# questions in a row without an answer after which this host reads for itself.
-ASK_SECONDS = 0.5
-UNANSWERED_QUESTIONS = 3
-# Time for which a host that hears of a newer version waits for the hosts that read the
-# store to pass it on, in seconds: a few datagrams, in a small part of the bound for a
-# change. Without it each host reads each version from the store.
-PASSED_ON_SECONDS = 0.3
-# Revision from which everything is read.
+# The same for a host that need not retry often, in seconds. If no host reaches the
+# store, frequent retries of a whole fleet only add load, and the first host that gets
+# an answer informs the others.
+SLOW_RETRY_SECONDS = 1.5
+# Interval between version questions to the readers, in seconds, and the number of
+# consecutive unanswered ones after which this host asks the store itself.
+QUESTION_INTERVAL_SECONDS = 0.5
+MAX_UNANSWERED_QUESTIONS = 3
+# Time for which a host that learns of a newer version waits for the readers to send it,
+# in seconds: long enough for a few datagrams, and a small part of the bound for a
+# change. Without it, each host would read each version from the store.
+DOCUMENT_WAIT_SECONDS = 0.3
+# Revision that reads the newest configuration at once.
 FROM_START = 0
 
 
 class ConfigurationFollower:
-    """Hold the newest configuration that this process has seen; it never goes back."""
+    """Newest configuration that this process has seen; its version never decreases.
+
+    A reader polls the store. A follower asks a reader at intervals whether its version
+    is still the newest, takes newer ones from the readers, and polls the store itself
+    when they do not answer.
+    """
 
     def __init__(
         self, *, source: SiteSource, clock: Clock, revoke_seconds: float
@@ -54,21 +60,21 @@
         self._configuration: SiteConfiguration | None = None
         self._confirmation: Confirmation | None = None
         self.store_clock = StoreClock()
-        self._is_replaced = False
-        self._question = 0
+        self._is_superseded = False
+        self._question_number = 0
         self._asked_at = float("-inf")
         self._unanswered = 0
         self._is_behind = asyncio.Event()
-        self._store_is_back = asyncio.Event()
-        self._was_told = asyncio.Event()
+        self._is_store_back = asyncio.Event()
+        self._document_received = asyncio.Event()
         # Set once a version was confirmed, or the store did not answer.
-        self._is_first_known = asyncio.Event()
+        self._is_first_settled = asyncio.Event()
         self._document = b""
-        self.on_newer: list[Callable[[], None]] = []
+        self.on_new_version: list[Callable[[], None]] = []
         self.is_reader: Callable[[], bool] = lambda: True
-        self.tries_first: Callable[[], bool] = lambda: True
+        self.should_retry_often: Callable[[], bool] = lambda: True
         self.ask_readers: Callable[[int], None] = lambda number: None
-        self.ask_peers: Callable[[], None] = lambda: None
+        self.request_document: Callable[[], None] = lambda: None
 
     @property
     def configuration(self) -> SiteConfiguration | None:
@@ -77,35 +83,38 @@
 
     @property
     def document(self) -> bytes:
-        """Return the configuration as it stands in the store, empty if not known."""
+        """Return the configuration as stored, empty if not known."""
         return self._document
 
     @property
     def confirmation(self) -> Confirmation | None:
-        """Return how sure this process is of its version."""
+        """Return when the version in force was last confirmed; None if never."""
         return self._confirmation
 
     @property
-    def store_answers(self) -> bool:
-        """Tell whether the last question was answered."""
+    def is_store_reachable(self) -> bool:
+        """Return whether the last call to the store was answered."""
         return self._failures == 0
 
     @property
-    def is_sure(self) -> bool:
-        """Tell whether requests that depend on a key may be admitted."""
+    def is_confirmed(self) -> bool:
+        """Return whether the last confirmation is recent enough to admit keys."""
         return may_admit(
             self._confirmation,
             now=self._clock.now(),
             bound_seconds=self._revoke_seconds,
         )
 
-    async def wait_for_first(self, seconds: float) -> None:
-        """Wait until the first version is confirmed, or is known not to come soon."""
-        if self._is_first_known.is_set():
+    async def wait_for_first_version(self, seconds: float) -> None:
+        """Wait until a first version is confirmed or the store fails to answer.
+
+        Returns after `seconds` in any case.
+        """
+        if self._is_first_settled.is_set():
             return
         try:
             async with asyncio.timeout(seconds):
-                await self._is_first_known.wait()
+                await self._is_first_settled.wait()
         except TimeoutError:
             log.info("configuration: first version awaited in vain", seconds=seconds)
 
@@ -114,83 +123,85 @@
         while True:
             if self._may_ask_readers():
                 self._ask()
-                await self._pause(ASK_SECONDS, self._is_behind)
+                await self._pause(QUESTION_INTERVAL_SECONDS, self._is_behind)
                 continue
-            if self._may_be_told():
-                self._was_told.clear()
-                await self._pause(PASSED_ON_SECONDS, self._was_told)
+            if self._expects_document():
+                self._document_received.clear()
+                await self._pause(DOCUMENT_WAIT_SECONDS, self._document_received)
                 if not self._is_behind.is_set():
                     continue
             if not await self.step():
-                seconds = RETRY_SECONDS if self.tries_first() else LATER_RETRY_SECONDS
-                await self._pause(seconds, self._store_is_back)
+                seconds = (
+                    RETRY_SECONDS if self.should_retry_often() else SLOW_RETRY_SECONDS
+                )
+                await self._pause(seconds, self._is_store_back)
 
     def _may_ask_readers(self) -> bool:
-        """Tell whether the hosts that read the store can be relied on now."""
+        """Return whether to ask the readers instead of the store now."""
         if self._configuration is None or self._is_behind.is_set():
             return False
-        if self._store_is_back.is_set():
+        if self._is_store_back.is_set():
             return False
-        return not self.is_reader() and self._unanswered < UNANSWERED_QUESTIONS
+        return not self.is_reader() and self._unanswered < MAX_UNANSWERED_QUESTIONS
 
-    def _may_be_told(self) -> bool:
-        """Tell whether the hosts that read the store are about to pass a version on."""
+    def _expects_document(self) -> bool:
+        """Return whether the readers are about to send a newer version."""
         has_one = self._configuration is not None
         return has_one and self._is_behind.is_set() and not self.is_reader()
 
     def _ask(self) -> None:
-        self._question += 1
+        self._question_number += 1
         self._unanswered += 1
-        if self._unanswered == UNANSWERED_QUESTIONS:
+        if self._unanswered == MAX_UNANSWERED_QUESTIONS:
             log.warning("configuration: readers silent", questions=self._unanswered)
         self._asked_at = self._clock.now()
-        self.ask_readers(self._question)
+        self.ask_readers(self._question_number)
 
-    async def _pause(self, seconds: float, news: asyncio.Event) -> None:
-        """Wait for the next question, or until there is news to ask about."""
-        await sleep_until_news(self._clock, seconds, news)
+    async def _pause(self, seconds: float, event: asyncio.Event) -> None:
+        """Sleep until the next question is due or the event is set."""
+        await sleep_until_event(self._clock, seconds, event)
 
-    def hear_store(self) -> None:
-        """Note that another host reaches the store, which was away for all."""
+    def handle_store_reachable(self) -> None:
+        """End the pause before a retry: another host reaches the store again."""
         if self._failures:
-            self._store_is_back.set()
+            self._is_store_back.set()
 
-    def hear_version(self, version: int) -> None:
-        """Note that a peer has this version; a newer one is read at once."""
+    def handle_version(self, version: int) -> None:
+        """Start to fetch a version that a peer has, if it is newer."""
         known = self._configuration
         if known is not None and version > known.version and not self.is_reader():
             self._is_behind.set()
 
-    def hear_answer(self, number: int, version: int, age: float) -> None:
-        """Take a reader's answer to a question.
+    def handle_answer(self, number: int, version: int, age: float) -> None:
+        """Apply a reader's answer to the version question `number`.
 
-        The age counts from before the question was sent: an answer that waited unread
-        while this host stood still confirms nothing after that.
+        The age counts from the time when the question was sent: this host may have
+        been paused before it read the answer, which confirms nothing for that time.
         """
-        if number != self._question:
+        if number != self._question_number:
             return
-        if self._unanswered >= UNANSWERED_QUESTIONS:
+        if self._unanswered >= MAX_UNANSWERED_QUESTIONS:
             log.info("configuration: readers answer")
         self._unanswered = 0
         self.confirm(version, self._asked_at - age)
-        self.hear_version(version)
+        self.handle_version(version)
 
     async def step(self) -> bool:
-        """Ask the store once; return False when it did not answer."""
+        """Poll the store once; return whether it answered and a version is known."""
         asked_at = self._clock.now()
-        self._store_is_back.clear()
+        self._is_store_back.clear()
         if self._is_behind.is_set():
-            # A follower's revision is mostly older than the store's history.
+            # A follower's revision is usually older than the store's history.
             self._is_behind.clear()
             self._revision = FROM_START
-        wait = min(WAIT_SECONDS, WAIT_SHARE * self._revoke_seconds)
+        wait = min(LONG_POLL_SECONDS, LONG_POLL_SHARE * self._revoke_seconds)
         if self._failures:
-            # What matters then is that the version still holds, not news.
+            # After a failure, confirming the version comes before waiting for changes.
             wait = 0.0
         answer = await self._source.configuration(self._revision, wait)
         match answer:
             case Unavailable(reason=reason):
-                self._note_failure(reason)
+                self._record_failure(reason)
                 return False
             case HistoryLost():
                 log.warning("configuration: history lost", revision=self._revision)
@@ -201,14 +212,15 @@
         self._failures = 0
         self._unanswered = 0
         self._revision = answer.revision
-        self._adopt(answer, self._answered_at(answer, asked_at))
+        self._apply_answer(answer, self._answered_at(answer, asked_at))
         return answer.configuration is not None or self._configuration is not None
 
-    def hear_document(self, version: int, document: bytes) -> None:
-        """Take a newer configuration that a peer read from the store.
+    def handle_document(self, version: int, document: bytes) -> None:
+        """Adopt a newer configuration that a peer read from the store.
 
-        It was accepted after the one that is known here, so it was not replaced either
-        when that one was last confirmed; with none before it, a question confirms it.
+        It was accepted after the known version, so it had not been replaced either when
+        that one was last confirmed, and takes over its confirmation time. If no version
+        was known, a question to a reader confirms the new one.
         """
         configuration = self._source.parse_configuration(document)
         known = self._configuration
@@ -218,65 +230,67 @@
             return
         self._is_behind.clear()
         self._document = document
-        before = self._confirmation
-        self._take(configuration, before.confirmed_at if before else float("-inf"))
-        self._was_told.set()
-        if before is None:
+        previous = self._confirmation
+        self._install(
+            configuration, previous.confirmed_at if previous else float("-inf")
+        )
+        self._document_received.set()
+        if previous is None:
             self._ask()
 
     def confirm(self, version: int, confirmed_at: float) -> None:
-        """Take a peer's confirmation of the version that is held here."""
+        """Record that `version` was the newest at a time, if it is the one in force."""
         if self._configuration and self._configuration.version == version:
-            self._confirmation = merge(
+            self._confirmation = merge_confirmation(
                 self._confirmation, version=version, confirmed_at=confirmed_at
             )
-            self._note_confirmed()
+            self._check_confirmed()
 
-    def _note_confirmed(self) -> None:
-        if self.is_sure:
-            self._is_first_known.set()
+    def _check_confirmed(self) -> None:
+        if self.is_confirmed:
+            self._is_first_settled.set()
 
     def _answered_at(self, answer: ConfigurationRead, asked_at: float) -> float:
-        """Return when the answer left the store, or a little before."""
-        told = answer.answered_at
-        self.store_clock.note(asked_at=asked_at, answered_at=told)
+        """Return the time when the answer left the store, or slightly earlier."""
+        store_time = answer.answered_at
+        self.store_clock.record(asked_at=asked_at, answered_at=store_time)
         return self.store_clock.answered_at(
-            asked_at=asked_at, answered_at=told, received_at=self._clock.now()
+            asked_at=asked_at, answered_at=store_time, received_at=self._clock.now()
         )
 
-    def _note_failure(self, reason: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         self._failures += 1
-        self._is_first_known.set()
-        self.store_clock.forget()
+        self._is_first_settled.set()
+        self.store_clock.reset()
         if self._configuration is None:
-            self.ask_peers()
+            self.request_document()
         if self._failures == 1:
             log.warning("configuration: store lost", reason=reason)
 
-    def _adopt(self, answer: ConfigurationRead, answered_at: float) -> None:
-        """Take what an answer says; nothing confirms a version that was replaced.
+    def _apply_answer(self, answer: ConfigurationRead, answered_at: float) -> None:
+        """Apply a store's answer, without confirming a version that was replaced.
 
-        A configuration that cannot be read may have taken keys away: as long as it is
-        the newest one, an answer that nothing changed since confirms that one.
+        A configuration that cannot be decoded may have revoked keys. As long as it is
+        the newest, an answer without changes confirms that one, not the one in force.
         """
         if answer.configuration is not None:
-            self._is_replaced = False
+            self._is_superseded = False
             known = self._configuration
             if known is None or answer.configuration.version >= known.version:
                 self._document = answer.document
-            self._take(answer.configuration, answered_at)
+            self._install(answer.configuration, answered_at)
         elif answer.unreadable:
-            self._is_replaced = True
+            self._is_superseded = True
             known = self._configuration
             log.error(
                 "configuration: unreadable",
                 revision=answer.revision,
                 in_force=known.version if known else None,
             )
-        elif self._configuration is not None and not self._is_replaced:
+        elif self._configuration is not None and not self._is_superseded:
             self.confirm(self._configuration.version, answered_at)
 
-    def _take(self, configuration: SiteConfiguration, confirmed_at: float) -> None:
+    def _install(self, configuration: SiteConfiguration, confirmed_at: float) -> None:
         known = self._configuration
         if known is not None and configuration.version < known.version:
             log.warning(
@@ -288,12 +302,12 @@
         if known is None or configuration.version > known.version:
             log.info("configuration: in force", version=configuration.version)
             self._configuration = configuration
-        self._confirmation = merge(
+        self._confirmation = merge_confirmation(
             self._confirmation,
             version=configuration.version,
             confirmed_at=confirmed_at,
         )
-        self._note_confirmed()
+        self._check_confirmed()
         if known is None or configuration.version > known.version:
-            for notify in self.on_newer:
+            for notify in self.on_new_version:
                 notify()
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -1,4 +1,4 @@
-"""Serve streams: place, pass events on, move to another group, end once."""
+"""Serve streams: place each, forward its events, resume on another group if needed."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,25 +7,25 @@
 
 from mallowpond.node.outcomes import Answered, CutOff, Reason, Refusal, ServeOutcome
 from mallowpond.node.serving_parts import ServingParts
-from mallowpond.node.stream_placing import (
-    LEAST_SECONDS,
+from mallowpond.node.stream_placement import (
+    MIN_SEND_SECONDS,
     NO_GROUP_RETRY_SECONDS,
-    StreamPlacing,
+    StreamPlacement,
 )
 from mallowpond.node.stream_work import (
     ActiveStream,
     AttemptEnd,
+    CompleteAnswer,
     FailedAnswer,
     Interrupted,
     NotRun,
     StreamWork,
-    WholeAnswer,
 )
 from mallowpond.state.fleet import BreakCause, Group
 from mallowpond.state.placement import (
-    delay_of,
     first_event_seconds,
     pass_seconds,
+    scaled_delay,
 )
 from mallowpond.state.target_notice import TargetNotice
 from mallowpond.transport.http_client import (
@@ -37,19 +37,19 @@
 
 log = structlog.get_logger()
 
-# Sends that were proved not to have run, at most, for one request.
-MAX_NOT_RUN = 6
-# Longest pause of a group that turns every stream away, in seconds: as long as one that
-# only this host cannot reach is left, and shorter than any caller waits.
-MOST_PAUSE_SECONDS = 1.0
-# How a send ends when the target ends while it runs the stream: the connection closes,
-# or the list shows another process there first.
-ENDED_REASONS = (Reason.BROKEN_STREAM, Reason.RESTARTED)
+# Sends of one request, at most, that a group proved not to have run.
+MAX_NOT_RUN_SENDS = 6
+# Longest backoff from a group that rejects every stream, in seconds: as long as a group
+# that only this host cannot reach is excluded, and shorter than any caller waits.
+MAX_BACKOFF_SECONDS = 1.0
+# Reasons for the end of a send when the target's process ends: the connection closes,
+# or the target list shows another process first.
+PROCESS_ENDED_REASONS = (Reason.BROKEN_STREAM, Reason.RESTARTED)
 EVENT_ID = b"id:"
 
 
 class StreamService:
-    """Serve streams on the groups of a directory."""
+    """Serves streams on the groups of a directory, resuming them when a group fails."""
 
     def __init__(self, *, parts: ServingParts) -> None:
         self._directory = parts.directory
@@ -60,20 +60,20 @@
         self._budget = parts.budget
         self._hosts = parts.hosts
         self._quarantine = parts.quarantine
-        self._intake = parts.intake
-        self.placing = StreamPlacing(parts=parts)
+        self._availability = parts.availability
+        self.placement = StreamPlacement(parts=parts)
         self.active: set[ActiveStream] = set()
         self._serving = 0
-        # Called when a send has ended, whatever came of it.
+        # Called when a send has ended, with whatever outcome.
         self.on_end: list[Callable[[], None]] = []
-        # Set while streams are served or wait here.
+        # Set while any stream is served or waits on this host.
         self.has_streams = asyncio.Event()
-        parts.directory.on_change.append(self.placing.wake_all)
+        parts.directory.on_change.append(self.placement.wake_all)
 
     # -- one stream ----------------------------------------------------------
 
     async def serve(self, work: StreamWork) -> ServeOutcome:
-        """Serve one stream to its end."""
+        """Serve one stream to its end, and return its outcome."""
         self._serving += 1
         self.has_streams.set()
         try:
@@ -85,18 +85,18 @@
 
     async def _serve(self, work: StreamWork) -> ServeOutcome:
         work.started_at = self._clock.now()
-        work.last_event = work.request.last_event
-        self.placing.note_shape(work)
-        self._budget(work.service).note_first(work.started_at)
+        work.last_event_id = work.request.last_event
+        self.placement.record_model(work)
+        self._budget(work.service).record_first_send(work.started_at)
         failed: FailedAnswer | None = None
         while True:
-            group = await self.placing.place(work)
+            group = await self.placement.place(work)
             if isinstance(group, Refusal):
                 return await self._end_unserved(work, group, failed)
             end = await self._send(work, group)
             match end:
-                case WholeAnswer(status=status):
-                    self._quarantine.note_answer(work.fingerprint)
+                case CompleteAnswer(status=status):
+                    self._quarantine.record_answer(work.fingerprint)
                     self._log_served(work)
                     return Answered(status=status, target=work.sent_to[-1].id)
                 case FailedAnswer():
@@ -104,10 +104,10 @@
                     reason = Reason.TARGET_FAILED
                 case NotRun(reason=reason) | Interrupted(reason=reason):
                     if reason is Reason.MISDIRECTED:
-                        self._directory.break_group(group, BreakCause.REFUSED)
-            if reason in ENDED_REASONS:
-                self._note_broken(work, group, reason)
-            refusal = self._may_send_again(work, end, reason)
+                        self._directory.mark_broken(group, BreakCause.REFUSED)
+            if reason in PROCESS_ENDED_REASONS:
+                self._record_broken(work, group, reason)
+            refusal = self._refuse_retry(work, end, reason)
             if refusal is not None:
                 return await self._end_unserved(work, refusal, failed)
             self._metrics.retries.labels(reason.value).inc()
@@ -119,30 +119,31 @@
                 group=group.name,
             )
 
-    def _may_send_again(
+    def _refuse_retry(
         self, work: StreamWork, end: AttemptEnd, reason: Reason
     ) -> Refusal | None:
+        """Return why a stream must not be sent again, None if it may be."""
         now = self._clock.now()
-        held = self._quarantine.refusal(work.fingerprint)
-        if held is not None:
-            return held
+        quarantined = self._quarantine.refusal(work.fingerprint)
+        if quarantined is not None:
+            return quarantined
         if isinstance(end, NotRun):
-            work.not_run += 1
+            work.not_run_sends += 1
             work.sent_to.pop()
-            if work.not_run > MAX_NOT_RUN:
-                return self.placing.refuse(Reason.NO_GROUP, NO_GROUP_RETRY_SECONDS)
+            if work.not_run_sends > MAX_NOT_RUN_SENDS:
+                return self.placement.refuse(Reason.NO_GROUP, NO_GROUP_RETRY_SECONDS)
         elif not work.route.resumable:
             return Refusal(status=502, reason=Reason.MAYBE_RUN)
         elif self._attempts(work) >= work.route.max_attempts:
             return Refusal(status=502, reason=Reason.ATTEMPTS_USED)
-        if now + LEAST_SECONDS > work.deadline:
+        if now + MIN_SEND_SECONDS > work.deadline:
             return Refusal(status=504, reason=Reason.TIMEOUT)
         if not self._budget(work.service).try_repeat(now, self._hosts()):
             return Refusal(status=502, reason=Reason.BUDGET_USED)
         return None
 
     def _log_served(self, work: StreamWork) -> None:
-        """Log what decides whether the answer was on time."""
+        """Log the delays that decide whether the answer was on time."""
         first = (work.first_event_at or self._clock.now()) - work.started_at
         log.info(
             "stream: served",
@@ -151,24 +152,26 @@
             first_event=round(first, 3),
             objective=work.route.objective_seconds,
             longest_gap=round(work.longest_gap, 3),
-            allowed_gap=work.route.gap_seconds,
+            allowed_gap=work.route.gap_objective_seconds,
             waited=round(work.waited, 3),
             sends=work.sends,
         )
 
-    def may_go_on(self, stream: ActiveStream) -> bool:
-        """Tell whether a stream may be sent to another group, when one has a place."""
+    def can_resume(self, stream: ActiveStream) -> bool:
+        """Return whether a stream may be sent to another group once one has a slot."""
         work = stream.work
-        if not work.route.resumable or stream.moved is not None:
+        if not work.route.resumable or stream.move_reason is not None:
             return False
         return self._attempts(work) < work.route.max_attempts
 
-    def may_move(self, stream: ActiveStream) -> bool:
-        """Tell whether a stream could go on at another group now."""
-        return self.may_go_on(stream) and self.placing.choose(stream.work) is not None
+    def can_move(self, stream: ActiveStream) -> bool:
+        """Return whether a stream could be resumed on another group now."""
+        return (
+            self.can_resume(stream) and self.placement.choose(stream.work) is not None
+        )
 
     def _attempts(self, work: StreamWork) -> int:
-        """Count the engines that may have run the request and have not ended."""
+        """Count the engine processes that may have run the request and still exist."""
         return self._directory.count_present(work.sent_to)
 
     async def _end_unserved(
@@ -182,11 +185,11 @@
             )
             return Answered(status=failed.status, target=work.sent_to[-1].id)
         if work.sent_to and refusal.status == 503:
-            # Some engine may have run it, so "not run" would be a lie.
+            # Some engine may have run it, and 503 means that none did.
             return Refusal(status=502, reason=refusal.reason)
         if not work.sent_to and refusal.status != 503:
-            # Every engine turned it away: the caller may come back, whatever it asked.
-            return self.placing.refuse(refusal.reason, NO_GROUP_RETRY_SECONDS)
+            # Every engine rejected it, so the caller may retry any request.
+            return self.placement.refuse(refusal.reason, NO_GROUP_RETRY_SECONDS)
         return refusal
 
     # -- one send ------------------------------------------------------------
@@ -196,7 +199,7 @@
         now = self._clock.now()
         own = self._directory.loads.work(group.key)
         load = self._directory.loads.load_of(group, work.profile)
-        usual_delay = self.placing.delay(work.service, work.model.name).usual
+        typical_delay = self.placement.delay(work.service, work.model.name).typical
         stream = ActiveStream(
             work=work,
             group=group,
@@ -205,11 +208,11 @@
                 work.profile, work.model, load, work.prompt_tokens
             ),
             slowness=max(1.0, load.slowness),
-            reading=work.prompt_tokens,
+            prefill_tokens=work.prompt_tokens,
         )
         own.running += 1
-        own.reading_tokens += stream.reading
-        self._intake.note_sent(group.head)
+        own.prefill_tokens += stream.prefill_tokens
+        self._availability.record_sent(group.head)
         work.sent_to.append(group.head.process)
         work.sent_at = now
         work.sends += 1
@@ -220,23 +223,23 @@
             group=group.name,
             target=group.head.id,
             running=load.running,
-            reading=round(load.reading_tokens),
+            reading=round(load.prefill_tokens),
             slowness=round(load.slowness, 2),
             predicted=round(stream.predicted, 3),
-            delay=round(delay_of(load, usual_delay), 3),
+            delay=round(scaled_delay(load, typical_delay), 3),
             left=round(work.deadline - now, 3),
-            resume=work.last_event,
+            resume=work.last_event_id,
         )
         stream.task = asyncio.create_task(self._attempt(stream))
         self.active.add(stream)
-        self.placing.wake(work.model.name)
+        self.placement.wake(work.model.name)
         try:
             async with asyncio.timeout(max(0.001, work.deadline - now)):
                 return await stream.task
         except asyncio.CancelledError:
-            if stream.moved is None or _is_cancelling():
+            if stream.move_reason is None or _is_cancelling():
                 raise
-            return Interrupted(reason=stream.moved)
+            return Interrupted(reason=stream.move_reason)
         except TimeoutError:
             return Interrupted(reason=Reason.TIMEOUT)
         finally:
@@ -244,9 +247,9 @@
             stream.task.cancel()
             await asyncio.gather(stream.task, return_exceptions=True)
             own.running -= 1
-            own.reading_tokens -= stream.reading
-            work.progress.drop_rest()
-            self.placing.wake(work.model.name)
+            own.prefill_tokens -= stream.prefill_tokens
+            work.progress.discard_partial_event()
+            self.placement.wake(work.model.name)
             for notify in self.on_end:
                 notify()
 
@@ -258,13 +261,13 @@
             work.request,
             workspace=work.workspace,
             seconds_left=work.deadline - self._clock.now(),
-            last_event=work.last_event,
+            last_event=work.last_event_id,
         )
         if isinstance(response, CallFailed):
-            if response.bytes_left:
+            if response.may_have_sent:
                 return Interrupted(reason=Reason.BROKEN_STREAM)
-            self._withhold(work, stream.group)
-            self._log_turned_away(work, stream.group, Reason.CONNECT)
+            self._back_off(work, stream.group)
+            self._log_rejected(work, stream.group, Reason.CONNECT)
             return NotRun(reason=Reason.CONNECT)
         try:
             return await self._read(stream, response)
@@ -277,12 +280,12 @@
             await response.read()
             if self._targets.is_misdirected(response):
                 return NotRun(reason=Reason.MISDIRECTED)
-            notice = self._note_notice(stream, response)
+            notice = self._record_notice(stream, response)
             if notice.backoff_seconds is None:
-                self._withhold(work, stream.group)
-            self._log_turned_away(work, stream.group, Reason.NOT_RUN)
+                self._back_off(work, stream.group)
+            self._log_rejected(work, stream.group, Reason.NOT_RUN)
             return NotRun(reason=Reason.NOT_RUN)
-        self._note_notice(stream, response)
+        self._record_notice(stream, response)
         headers = self._callers.answer_headers(response)
         if response.status != 200:
             body = await response.read()
@@ -292,41 +295,41 @@
         async for event in response.events():
             match event:
                 case Chunk(data=data):
-                    await self._pass_on(stream, headers, data)
-                case End() if work.progress.has_rest:
+                    await self._forward(stream, headers, data)
+                case End() if work.progress.has_partial_event:
                     return Interrupted(reason=Reason.BROKEN_STREAM)
                 case End():
                     if not work.exchange.started:
                         await work.exchange.start(200, headers)
                     await work.exchange.end()
-                    return WholeAnswer(status=200)
+                    return CompleteAnswer(status=200)
                 case CallFailed():
                     return Interrupted(reason=Reason.BROKEN_STREAM)
         return Interrupted(reason=Reason.BROKEN_STREAM)
 
-    def _note_notice(
+    def _record_notice(
         self, stream: ActiveStream, response: HttpResponse
     ) -> TargetNotice:
-        """Note what the answer of a group's head says of the head."""
+        """Record what a head's answer says of its availability."""
         notice = self._targets.notice(response)
         if stream.group.head is not None:
-            self._intake.hear(stream.group.head, notice, stream.sent_at)
+            self._availability.record_notice(stream.group.head, notice, stream.sent_at)
         return notice
 
-    async def _pass_on(
+    async def _forward(
         self, stream: ActiveStream, headers: tuple[tuple[str, str], ...], data: bytes
     ) -> None:
         work = stream.work
-        whole = work.progress.take(data)
-        if not whole:
+        complete = work.progress.complete_events(data)
+        if not complete:
             return
-        self._note_event(stream)
-        work.last_event = _last_id(whole) or work.last_event
+        self._record_event(stream)
+        work.last_event_id = _last_event_id(complete) or work.last_event_id
         if not work.exchange.started:
             await work.exchange.start(200, headers)
-        await work.exchange.send(whole)
+        await work.exchange.send(complete)
 
-    def _note_event(self, stream: ActiveStream) -> None:
+    def _record_event(self, stream: ActiveStream) -> None:
         now = self._clock.now()
         work, own = stream.work, self._directory.loads.work(stream.key)
         if work.first_event_at is None:
@@ -336,56 +339,56 @@
             work.longest_gap = max(work.longest_gap, now - work.last_event_at)
         work.last_event_at = now
         if stream.last_event_at is None:
-            self.placing.delay(work.service, work.model.name).note(
+            self.placement.delay(work.service, work.model.name).record(
                 observed=now - stream.sent_at,
                 predicted=stream.predicted,
                 slowness=stream.slowness,
             )
-            own.reading_tokens -= stream.reading
-            stream.reading = 0.0
-            self.placing.wake(work.model.name)
+            own.prefill_tokens -= stream.prefill_tokens
+            stream.prefill_tokens = 0.0
+            self.placement.wake(work.model.name)
         else:
             gap = now - stream.last_event_at
-            self._metrics.gap.observe(gap)
+            self._metrics.event_gap.observe(gap)
             load = self._directory.loads.load_of(stream.group, stream.work.profile)
             predicted = pass_seconds(work.profile, work.model, load)
-            self._directory.loads.note_gap(stream.key, gap, predicted)
+            self._directory.loads.record_gap(stream.key, gap, predicted)
         if stream.group.head is not None:
-            self._quarantine.note_life(stream.group.head.process)
+            self._quarantine.record_alive(stream.group.head.process)
         stream.last_event_at = now
         stream.events += 1
         own.last_event_at = now
-        own.pause_seconds = 0.0
+        own.backoff_seconds = 0.0
 
-    def _note_broken(self, work: StreamWork, group: Group, reason: Reason) -> None:
-        """Note that a group's head ended, and leave it alone if it had ended before."""
+    def _record_broken(self, work: StreamWork, group: Group, reason: Reason) -> None:
+        """Record that a group's head ended; back off if that preceded the send."""
         assert group.head is not None
         process = group.head.process
-        if not self._quarantine.note_ending(work.fingerprint, process, work.sent_at):
-            self._withhold(work, group)
-            self._log_turned_away(work, group, reason)
+        if not self._quarantine.record_ending(work.fingerprint, process, work.sent_at):
+            self._back_off(work, group)
+            self._log_rejected(work, group, reason)
 
-    def _withhold(self, work: StreamWork, group: Group) -> None:
-        """Send no more streams to a group for a moment after it turned one away.
+    def _back_off(self, work: StreamWork, group: Group) -> None:
+        """Suspend a group after it rejected a stream, with exponential backoff.
 
-        Twice as long each time, until it shows an event: heads that have crashed would
-        be sent a stream after each short pause, each one of the shared repeats.
+        The backoff doubles until the group sends an event: with a short fixed one, a
+        crashed head would get a stream after each backoff and use up the retry budget.
         """
         own = self._directory.loads.work(group.key)
         now = self._clock.now()
-        pause = first_event_seconds(
+        backoff = first_event_seconds(
             work.profile,
             work.model,
             self._directory.loads.load_of(group, work.profile),
             work.prompt_tokens,
         )
-        if own.suspected_until <= now:
-            # Streams that were under way together are turned away once, not in a row.
-            pause = max(pause, min(2 * own.pause_seconds, MOST_PAUSE_SECONDS))
-            own.pause_seconds = pause
-        self._directory.withhold(group.key, now + pause)
+        if own.excluded_until <= now:
+            # Streams that were in flight together count as one rejection.
+            backoff = max(backoff, min(2 * own.backoff_seconds, MAX_BACKOFF_SECONDS))
+            own.backoff_seconds = backoff
+        self._directory.exclude_group(group.key, now + backoff)
 
-    def _log_turned_away(self, work: StreamWork, group: Group, reason: Reason) -> None:
+    def _log_rejected(self, work: StreamWork, group: Group, reason: Reason) -> None:
         log.info(
             "stream: turned away",
             request=work.request.id,
@@ -399,8 +402,8 @@
     return task is not None and task.cancelling() > 0
 
 
-def _last_id(events: bytes) -> str | None:
-    """Return the id of the last event that has one."""
+def _last_event_id(events: bytes) -> str | None:
+    """Return the id of the last event that has one, None if there is none."""
     at = events.rfind(b"\n" + EVENT_ID)
     start = 0 if at < 0 and events.startswith(EVENT_ID) else at + 1
     if at < 0 and not events.startswith(EVENT_ID):
--- a/mallowpond/node/tests/test_configuration.py
+++ b/mallowpond/node/tests/test_configuration.py
@@ -1,41 +1,44 @@
-"""What a node knows of the configuration when the store fails it."""
+"""Tests of the configuration follower, mainly while the store is unavailable."""
 
 import asyncio
 from collections import deque
 
-from mallowpond.node.configuration import ASK_SECONDS, ConfigurationFollower
+from mallowpond.node.configuration import (
+    QUESTION_INTERVAL_SECONDS,
+    ConfigurationFollower,
+)
 from mallowpond.node.ports import ConfigurationRead
 from mallowpond.node.tests.fakes import FakeClock, FakeSource
 from mallowpond.state.confirmation import ADMISSION_MARGIN_SECONDS
 from mallowpond.state.site_configuration import SiteConfiguration
 
 
-def version(number):
-    """Write a configuration."""
-    return SiteConfiguration(version=number, routes=(), services={})
+def configuration_of(version):
+    """Build a configuration with this version."""
+    return SiteConfiguration(version=version, routes=(), services={})
 
 
-def follower_of(*numbers):
-    """Build a follower of a source that holds these versions."""
+def follower_of(*versions):
+    """Build a follower of a source that returns these versions in turn."""
     clock = FakeClock()
     source = FakeSource()
-    source.configurations.extend(map(version, numbers))
+    source.configurations.extend(map(configuration_of, versions))
     follower = ConfigurationFollower(source=source, clock=clock, revoke_seconds=5.0)
     return follower, source, clock
 
 
 async def test_a_node_is_sure_only_while_its_version_is_confirmed():
     follower, source, clock = follower_of(3)
-    assert not follower.is_sure
+    assert not follower.is_confirmed
     await follower.step()
-    assert follower.is_sure
-    source.cut = True
+    assert follower.is_confirmed
+    source.is_cut_off = True
     clock.time += 5.0
     await follower.step()
-    assert not follower.is_sure
-    source.cut = False
+    assert not follower.is_confirmed
+    source.is_cut_off = False
     await follower.step()
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 async def test_versions_only_rise():
@@ -50,9 +53,9 @@
     await follower.step()
     clock.time += 6.0
     follower.confirm(4, clock.time)
-    assert not follower.is_sure
+    assert not follower.is_confirmed
     follower.confirm(3, clock.time - 1.0)
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 UNREADABLE = ConfigurationRead(
@@ -61,11 +64,11 @@
 
 
 async def test_a_configuration_that_cannot_be_read_ends_the_certainty_of_the_old_one():
-    """Symptom: a key that was taken away is admitted for as long as a node runs.
+    """Guard against admitting a revoked key for as long as a node runs.
 
-    Sequence: a configuration of a shape that this program does not know replaces the
-    one in force; the store answers each later question that nothing changed since.
-    Cause: an answer without a configuration confirmed the one that was held.
+    A configuration that this program cannot decode replaces the one in force, and the
+    store answers each later question that nothing has changed since. Such an answer
+    without a configuration used to confirm the one in force.
     """
     follower, source, clock = follower_of(3)
     await follower.step()
@@ -75,14 +78,14 @@
         clock.time += 1.0
         assert await follower.step()
     assert follower.configuration.version == 3
-    assert not follower.is_sure
-    source.configurations.append(version(4))
+    assert not follower.is_confirmed
+    source.configurations.append(configuration_of(4))
     await follower.step()
     assert follower.configuration.version == 4
-    assert follower.is_sure
+    assert follower.is_confirmed
     clock.time += 4.0
     await follower.step()
-    assert follower.is_sure
+    assert follower.is_confirmed
     assert follower.confirmation.age(clock.time) == 0.0
 
 
@@ -91,57 +94,57 @@
     source.reads.append(UNREADABLE)
     assert not await follower.step()
     assert follower.configuration is None
-    assert not follower.is_sure
-    source.configurations.append(version(4))
+    assert not follower.is_confirmed
+    source.configurations.append(configuration_of(4))
     assert await follower.step()
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 async def test_no_question_waits_longer_than_the_bound_for_keys_bears():
-    """Symptom: where keys must go within two seconds, nearly all requests are refused.
+    """Guard against refusing nearly all requests if keys must expire within 2 s.
 
-    Sequence: a reader's question waits at the store; another host asks the reader.
-    Cause: the wait was the same whatever the bound, and longer than what it left.
+    A reader's call waits at the store while another host asks the reader. The wait was
+    the same for every bound, and longer than a short bound permits.
     """
     for bound in (1.0, 2.0, 5.0, 60.0):
-        source = FakeSource(configurations=deque([version(3)]))
+        source = FakeSource(configurations=deque([configuration_of(3)]))
         follower = ConfigurationFollower(
             source=source, clock=FakeClock(), revoke_seconds=bound
         )
         for _ in range(2):
             await follower.step()
-        ages = source.waits[-1] + min(ASK_SECONDS, source.waits[-1])
+        ages = source.waits[-1] + min(QUESTION_INTERVAL_SECONDS, source.waits[-1])
         assert ages < bound - ADMISSION_MARGIN_SECONDS
 
 
 async def test_the_first_confirmed_version_ends_the_wait_for_it():
-    """Guard against refusing callers while the first read is on its way."""
+    """Guard against refusing callers while the first read is in flight."""
     follower, _, _ = follower_of(3)
-    waiting = asyncio.create_task(follower.wait_for_first(60.0))
+    waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
     await asyncio.sleep(0)
     assert not waiting.done()
     await follower.step()
     async with asyncio.timeout(1.0):
         await waiting
-    assert follower.is_sure
+    assert follower.is_confirmed
 
 
 async def test_a_store_that_does_not_answer_ends_the_wait_for_the_first_version():
-    """Guard against holding callers who cannot be served soon."""
+    """Guard against keeping callers waiting who cannot be served soon."""
     follower, source, _ = follower_of(3)
-    source.cut = True
-    waiting = asyncio.create_task(follower.wait_for_first(60.0))
+    source.is_cut_off = True
+    waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
     await follower.step()
     async with asyncio.timeout(1.0):
         await waiting
-        await follower.wait_for_first(60.0)
+        await follower.wait_for_first_version(60.0)
 
 
 async def test_a_version_of_a_peer_ends_the_wait_only_once_it_is_confirmed():
     """Guard against refusing callers with keys before a version is confirmed."""
     follower, _, clock = follower_of()
-    waiting = asyncio.create_task(follower.wait_for_first(60.0))
-    follower.hear_document(3, b"3")
+    waiting = asyncio.create_task(follower.wait_for_first_version(60.0))
+    follower.handle_document(3, b"3")
     for _ in range(5):
         await asyncio.sleep(0)
     assert not waiting.done()
@@ -151,8 +154,8 @@
 
 
 async def test_the_wait_for_the_first_version_is_bounded():
-    """Guard against holding callers for as long as a read hangs."""
+    """Guard against keeping callers waiting for as long as a read hangs."""
     follower, _, _ = follower_of(3)
     async with asyncio.timeout(1.0):
-        await follower.wait_for_first(0.01)
+        await follower.wait_for_first_version(0.01)
     assert follower.configuration is None
--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -1,4 +1,4 @@
-"""Send requests and orders to the platform's engines."""
+"""Send requests, orders and queries to the platform's engines over HTTP."""
 
 import json
 from math import isfinite
@@ -8,14 +8,14 @@
 from mallowpond.node.ports import (
     CallerRequest,
     EngineReport,
-    OrderEnd,
     OrderFenced,
     OrderLost,
     OrderMisdirected,
+    OrderResult,
     OrderTaken,
     OrderUnfit,
 )
-from mallowpond.node.unreadable import UnreadableNotes
+from mallowpond.node.unreadable import UnreadableLog
 from mallowpond.platform import documents
 from mallowpond.platform import headers as names
 from mallowpond.state.decoding import Unreadable, parse_json
@@ -30,27 +30,27 @@
 )
 from mallowpond.state.target_notice import TargetNotice
 from mallowpond.transport.http_client import (
+    BufferedResponse,
     CallFailed,
-    HttpAnswer,
     HttpClient,
     HttpResponse,
 )
 
-# Time until an order or a question to an engine counts as unanswered, in seconds:
-# some hundred round trips; a question is asked again, so it waits less.
-ORDER_SECONDS = 0.5
-REPORT_SECONDS = 0.15
+# Timeouts of orders, and of reports and health checks, in seconds: some hundred round
+# trips. Reports and health checks are repeated, so they wait less.
+ORDER_TIMEOUT_SECONDS = 0.5
+QUERY_TIMEOUT_SECONDS = 0.15
 JSON_HEADERS = (("content-type", "application/json"),)
 
 
 class PlatformEngines:
-    """Speak to engines and plain services."""
+    """Sends requests, orders and queries to engines and plain services."""
 
     def __init__(
-        self, *, http: HttpClient, notes: UnreadableNotes | None = None
+        self, *, http: HttpClient, unreadable_log: UnreadableLog | None = None
     ) -> None:
         self._http = http
-        self._notes = notes or UnreadableNotes()
+        self._unreadable_log = unreadable_log or UnreadableLog()
 
     async def send(
         self,
@@ -61,9 +61,12 @@
         seconds_left: float,
         last_event: str | None,
     ) -> HttpResponse | CallFailed:
-        """Send a request and return once the head of its answer is here."""
+        """Send a request and return once the header of its answer has arrived.
+
+        Answers that do not repeat the request's id are skipped.
+        """
         left = max(1, int(seconds_left * 1000))
-        headers = request.passed_headers + (
+        headers = request.forwarded_headers + (
             (names.DEADLINE, str(left)),
             (names.EXPECT_INSTANCE, target.id),
         )
@@ -81,15 +84,15 @@
         )
 
     def is_not_run(self, response: HttpResponse) -> bool:
-        """Tell whether an answer proves that the request did not run."""
+        """Return whether an answer proves that the request did not run."""
         return self.is_misdirected(response) or names.NOT_RUN in response.headers
 
     def is_misdirected(self, response: HttpResponse) -> bool:
-        """Tell whether another engine answered, or one that holds no open group."""
+        """Return whether another engine answered, or one without an open group."""
         return response.status == 421
 
     def notice(self, response: HttpResponse) -> TargetNotice:
-        """Return what an engine's answer says of the engine itself."""
+        """Return what an answer announces about the engine itself."""
         found = response.headers
         is_backoff = response.status == 503
         return TargetNotice(
@@ -98,16 +101,20 @@
             is_leaving=found.get(names.LEAVING) == "1",
         )
 
-    async def order(self, step: Step, *, fence: int, expected: int) -> OrderEnd:
-        """Give an engine an order that only this count of earlier ones may precede."""
-        body = {**_operation(step), "fence": fence, "expected": expected}
+    async def order(self, step: Step, *, fence: int, expected: int) -> OrderResult:
+        """Send an engine an order, and return the result.
+
+        fence: fencing number of the planner that gives the order.
+        expected: number of orders that the engine must have begun before this one.
+        """
+        body = {**_order_body(step), "fence": fence, "expected": expected}
         answer = await self._http.fetch(
             step.target.address,
             "POST",
             "/-/order",
             headers=(*JSON_HEADERS, (names.EXPECT_INSTANCE, step.target.id)),
             body=json.dumps(body).encode(),
-            timeout=ORDER_SECONDS,
+            timeout=ORDER_TIMEOUT_SECONDS,
         )
         match answer:
             case CallFailed(reason=reason):
@@ -126,13 +133,13 @@
                 return OrderLost(reason=f"status {status}")
 
     async def report(self, target: Target) -> EngineReport | Unavailable:
-        """Ask an engine what it holds."""
+        """Query an engine's state and the number of orders that it has begun."""
         answer = await self._http.fetch(
             target.address,
             "GET",
             "/-/report",
             headers=((names.EXPECT_INSTANCE, target.id),),
-            timeout=REPORT_SECONDS,
+            timeout=QUERY_TIMEOUT_SECONDS,
         )
         match answer:
             case CallFailed(reason=reason):
@@ -145,38 +152,40 @@
     def _report(self, target: Target, data: bytes) -> EngineReport | Unavailable:
         found = parse_json(data)
         if not isinstance(found, Unreadable):
-            found = documents.report(target, found)
+            found = documents.decode_report(target, found)
         if isinstance(found, Unreadable):
-            self._notes.note("report", target.id, found)
+            self._unreadable_log.record("report", target.id, found)
             return Unavailable(reason=str(found))
         return found
 
     async def is_healthy(self, target: Target, path: str) -> bool | Unavailable:
-        """Ask whether a target is healthy and not leaving; a full one says no."""
-        answer = await self._http.ask(
+        """Query whether a target is healthy and not stopping; False also if full."""
+        answer = await self._http.fetch_response(
             target.address,
             "GET",
             path,
             headers=((names.EXPECT_INSTANCE, target.id),),
-            timeout=REPORT_SECONDS,
+            timeout=QUERY_TIMEOUT_SECONDS,
         )
         match answer:
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
-            case HttpAnswer(status=421):
+            case BufferedResponse(status=421):
                 return Unavailable(reason="another engine has this address")
-            case HttpAnswer(status=200):
-                return self._health(target, answer)
+            case BufferedResponse(status=200):
+                return self._check_process(target, answer)
             case _:
                 return False
 
-    def _health(self, target: Target, answer: HttpAnswer) -> bool | Unavailable:
-        """Tell whether it is the process asked for that called itself healthy."""
+    def _check_process(
+        self, target: Target, answer: BufferedResponse
+    ) -> bool | Unavailable:
+        """Return True if the queried process itself sent this healthy answer."""
         if answer.headers.get(names.INSTANCE) != target.id:
             return Unavailable(reason="another engine answered")
-        born = documents.born_of(parse_json(answer.body))
+        born = documents.decode_born(parse_json(answer.body))
         if isinstance(born, Unreadable):
-            self._notes.note("health", target.id, born)
+            self._unreadable_log.record("health", target.id, born)
             return Unavailable(reason=str(born))
         if None not in (born, target.born) and born != target.born:
             return Unavailable(reason="another process of the engine answered")
@@ -184,7 +193,7 @@
 
 
 def _number(headers: dict[str, str], name: str) -> float | None:
-    """Return a header's number, None if there is none that makes sense."""
+    """Return a header's value, None unless it is a finite number of at least 0."""
     try:
         number = float(headers[name])
     except (KeyError, ValueError):
@@ -192,7 +201,8 @@
     return number if isfinite(number) and number >= 0.0 else None
 
 
-def _operation(step: Step) -> dict[str, Any]:
+def _order_body(step: Step) -> dict[str, Any]:
+    """Return the order as engines decode it, without fence and count."""
     match step:
         case Join():
             return {
--- a/mallowpond/platform/tests/test_callers.py
+++ b/mallowpond/platform/tests/test_callers.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mallowpond.node.ports import InvalidRequest
-from mallowpond.platform.callers import MOST_TOKENS, PlatformCallers
+from mallowpond.platform.callers import MAX_TOKENS, PlatformCallerProtocol
 from mallowpond.transport.http_server import HttpRequest
 
 WHOLE = (
@@ -33,7 +33,7 @@
         body=b"b",
         header_list=tuple(headers),
     )
-    return PlatformCallers().read(request)
+    return PlatformCallerProtocol().read(request)
 
 
 def test_each_header_is_decoded_once():
@@ -50,7 +50,7 @@
     Sequence: a caller sends the headers that only the system may set.
     Cause: headers were passed on without telling those apart.
     """
-    passed = dict(read(*WHOLE).passed_headers)
+    passed = dict(read(*WHOLE).forwarded_headers)
     for name in (
         "authorization",
         "x-mallowpond-tenant",
@@ -63,8 +63,8 @@
         assert name not in passed
     assert passed["x-mallowpond-attempt-id"] == "q1"
     assert passed["x-mallowpond-prompt-prefix"] == "5c:800"
-    assert read(*WHOLE).passed_headers.count(("x-other", "1")) == 1
-    assert read(*WHOLE).passed_headers.count(("x-other", "2")) == 1
+    assert read(*WHOLE).forwarded_headers.count(("x-other", "1")) == 1
+    assert read(*WHOLE).forwarded_headers.count(("x-other", "2")) == 1
 
 
 def test_a_request_without_an_id_is_invalid():
@@ -88,8 +88,8 @@
         ("x-mallowpond-token-counts", text),
         ("x-mallowpond-deadline-ms", text),
     )
-    assert 0 <= found.prompt_tokens <= MOST_TOKENS
-    assert 0 <= found.answer_tokens <= MOST_TOKENS
+    assert 0 <= found.prompt_tokens <= MAX_TOKENS
+    assert 0 <= found.answer_tokens <= MAX_TOKENS
     assert found.seconds_left is None or 0 <= found.seconds_left < float("inf")
 
 
--- a/mallowpond/state/tests/test_site_configuration.py
+++ b/mallowpond/state/tests/test_site_configuration.py
@@ -1,8 +1,8 @@
-"""Which route a request takes."""
+"""Choice of the route and the backend of a request."""
 
 from mallowpond.state.site_configuration import (
     Backend,
-    Repeat,
+    RepeatPolicy,
     Route,
     SiteConfiguration,
     choose_backend,
@@ -10,12 +10,12 @@
 
 
 def route(prefix, host="h", **more):
-    """Write a route."""
+    """Return a route."""
     return Route(
         name=prefix,
         host=host,
         prefix=prefix,
-        repeat=Repeat.ONCE,
+        repeat=RepeatPolicy.ONCE,
         timeout_seconds=1.0,
         objective_seconds=0.2,
         **{"backends": (Backend(service="s", weight=1),), **more},
--- a/mallowpond/transport/tests/test_http_client.py
+++ b/mallowpond/transport/tests/test_http_client.py
@@ -14,11 +14,13 @@
 from mallowpond.transport.tests import scripted
 
 
-async def call(address, fresh=False):
+async def call(address, new_connection=False):
     http = HttpClient(connect_seconds=0.5)
     try:
         async with asyncio.timeout(1.0):
-            answer = await http.send(address, "POST", "/x", body=b"hello", fresh=fresh)
+            answer = await http.send(
+                address, "POST", "/x", body=b"hello", new_connection=new_connection
+            )
         if isinstance(answer, CallFailed):
             return answer
         body = await answer.read()
@@ -31,7 +33,7 @@
 async def test_refused_connection_left_no_byte():
     answer = await call("127.0.0.1:1")
     assert answer.phase is FailurePhase.CONNECT
-    assert not answer.bytes_left
+    assert not answer.may_have_sent
 
 
 @pytest.mark.parametrize(
@@ -49,7 +51,7 @@
     async with scripted.scripted_server(script) as address:
         answer = await call(address)
     assert isinstance(answer, CallFailed)
-    assert answer.bytes_left
+    assert answer.may_have_sent
 
 
 async def test_whole_chunked_answer_is_whole():
