--- a/bench/limits.py
+++ b/bench/limits.py
@@ -6,9 +6,8 @@
 from dataclasses import dataclass, field, replace
 from itertools import count
 
-from mallowpond.state.admission import FairQueue, ServiceTime, refuse_if_late
-
 from bench.report import Report
+from mallowpond.state.admission import FairQueue, ServiceTime, refuse_if_late
 from mallowpond.state.quota import Chunk, chunk_size, grantable_units
 from mallowpond.state.retry import RetryBudget
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -17,42 +17,44 @@
 from soak.cases import REGRESSIONS, Case
 from soak.faults import NEWEST_DRAW, Injector, draw_faults, draw_kinds
 from soak.fleet import Fleet, FleetShape
-from soak.judge import broken_promises
-from soak.records import Disturbance, Run, read_notes, write_run
+from soak.judge import find_violations
+from soak.records import Disturbance, Run, read_journals, write_run
 
-RATE = 40.0
+REQUESTS_PER_SECOND = 40.0
 # How often a caller comes again, where a request may end the engines of others.
-RETURNS = 8
+MAX_RETRIES = 8
 # Time after the last fault in which callers go on, in seconds.
-CALM_SECONDS = 3.0
+TRAILING_SECONDS = 3.0
 # Time for which no link carries anything, in seconds, after which a node may take its
 # groups for silent: a part of the gap that the configuration allows.
 STALL_SECONDS = 0.1
-STALL_LOOK_SECONDS = 0.02
+STALL_POLL_SECONDS = 0.02
 
 
 @dataclass(kw_only=True)
-class Stalls:
+class StallDetector:
     """Hold when this process stood still: the links of all others are in it."""
 
     longest: float = 0.0
-    found: list[Disturbance] = field(default_factory=list)
+    disturbances: list[Disturbance] = field(default_factory=list)
 
     async def watch(self) -> None:
         """Look at the clock until cancelled."""
         while True:
             began = time.monotonic()
-            await asyncio.sleep(STALL_LOOK_SECONDS)
-            late = time.monotonic() - began - STALL_LOOK_SECONDS
+            await asyncio.sleep(STALL_POLL_SECONDS)
+            late = time.monotonic() - began - STALL_POLL_SECONDS
             self.longest = max(self.longest, late)
             if late > STALL_SECONDS:
                 stall = Disturbance(
                     kind="stall", began_at=began, ended_at=time.monotonic()
                 )
-                self.found.append(stall)
+                self.disturbances.append(stall)
 
 
-async def play(case: Case, folder: Path, *, rate: float = RATE) -> Run:
+async def run_case(
+    case: Case, folder: Path, *, rate: float = REQUESTS_PER_SECOND
+) -> Run:
     """Play one case and return what it left behind."""
     rng = random.Random(case.seed)
     fleet = Fleet(folder=folder, shape=case.shape)
@@ -61,48 +63,48 @@
     is_fatal = any(fault.kind == "fatal_request" for fault in faults)
     ends_in = max([case.seconds, *(f.at + f.seconds for f in case.faults)])
     callers = Callers(
-        ports=fleet.ports,
+        ports=fleet.node_ports,
         rate=rate,
         rng=random.Random(case.seed),
-        returns=RETURNS if is_fatal else 0,
+        max_retries=MAX_RETRIES if is_fatal else 0,
     )
     injector = Injector(fleet=fleet, callers=callers)
     try:
         await fleet.start()
-        restarts = asyncio.create_task(fleet.run_restarts())
-        stalls = Stalls()
-        watching = asyncio.create_task(stalls.watch())
-        asking = asyncio.create_task(
-            callers.run(time.monotonic() + ends_in + CALM_SECONDS)
+        restart_task = asyncio.create_task(fleet.run_restarts())
+        stalls = StallDetector()
+        watch_task = asyncio.create_task(stalls.watch())
+        callers_task = asyncio.create_task(
+            callers.run(time.monotonic() + ends_in + TRAILING_SECONDS)
         )
         await injector.run(tuple(sorted(faults, key=lambda fault: fault.at)))
-        await asking
-        await cancel_task(restarts)
-        await cancel_task(watching)
+        await callers_task
+        await cancel_task(restart_task)
+        await cancel_task(watch_task)
     finally:
         await fleet.close()
     return Run(
         callers=tuple(callers.records),
-        notes=read_notes(folder),
-        disturbances=(*injector.disturbances, *stalls.found),
+        notes=read_journals(folder),
+        disturbances=(*injector.disturbances, *stalls.disturbances),
         revocations=tuple(injector.revocations),
         foreign=tuple(injector.foreign),
         longest_stall=stalls.longest,
     )
 
 
-def _at_stops(run: Run) -> dict[str, int]:
+def _count_at_stops(run: Run) -> dict[str, int]:
     """Count the requests that ran when their node was told to stop, or came later."""
-    found: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     for record in run.callers:
         for stop in run.disturbances:
             if stop.kind != "node_stop" or stop.node != record.node:
                 continue
             if record.sent_at < stop.began_at < record.ended_at:
-                found["ran"] += 1
+                counts["ran"] += 1
             if stop.began_at < record.sent_at < stop.ended_at and record.is_kept:
-                found["came on kept connections"] += 1
-    return dict(found)
+                counts["came on kept connections"] += 1
+    return dict(counts)
 
 
 def main(
@@ -115,7 +117,9 @@
     ] = None,
     nodes: Annotated[int, typer.Option(help="How many nodes.")] = 3,
     domains: Annotated[int, typer.Option(help="How many domains.")] = 2,
-    rate: Annotated[float, typer.Option(help="Requests a second.")] = RATE,
+    rate: Annotated[
+        float, typer.Option(help="Requests a second.")
+    ] = REQUESTS_PER_SECOND,
     slowness: Annotated[
         float, typer.Option(help="Time of an event, as a multiple of the declared.")
     ] = 1.0,
@@ -143,9 +147,9 @@
     failed = []
     for case in cases:
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{case.seed}-"))
-        run = asyncio.run(play(case, folder, rate=rate))
-        lines = broken_promises(run)
-        _tell(case, run, lines)
+        run = asyncio.run(run_case(case, folder, rate=rate))
+        lines = find_violations(run)
+        _print_summary(case, run, lines)
         if lines:
             failed.append(case.seed)
             write_run(run, folder / "run.json")
@@ -155,11 +159,11 @@
     raise typer.Exit(1 if failed else 0)
 
 
-def _tell(case: Case, run: Run, lines: list[str]) -> None:
+def _print_summary(case: Case, run: Run, lines: list[str]) -> None:
     statuses = Counter(r.status for r in run.callers)
     typer.echo(f"seed {case.seed}: {len(run.callers)} requests {dict(statuses)}")
     kinds = Counter(d.kind for d in run.disturbances)
-    typer.echo(f"  {dict(kinds)}, at planned stops: {_at_stops(run)}")
+    typer.echo(f"  {dict(kinds)}, at planned stops: {_count_at_stops(run)}")
     typer.echo(f"  longest stall of this process {run.longest_stall:.2f} s")
     for line in lines:
         typer.echo(f"  BROKEN {line}")
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,22 +8,26 @@
 import h11
 
 from mallowpond.platform import headers as names
-from soak.records import CallerRecord, Ending, Kind
+from soak.records import CallerRecord, Ending, RequestKind
 
 READ_SIZE = 65536
-STRIDE = 7
+TOKENS_PER_EVENT = 7
 HOST = "h.example"
-PATHS = {Kind.STREAM: "/s/x", Kind.ONCE: "/once/x", Kind.AGAIN: "/again/x"}
-DEADLINES = {Kind.STREAM: 3.0, Kind.ONCE: 1.5, Kind.AGAIN: 1.5}
+PATHS = {
+    RequestKind.STREAM: "/s/x",
+    RequestKind.ONCE: "/once/x",
+    RequestKind.AGAIN: "/again/x",
+}
+DEADLINES = {RequestKind.STREAM: 3.0, RequestKind.ONCE: 1.5, RequestKind.AGAIN: 1.5}
 # Time beyond its deadline for which a caller listens, in seconds.
-LISTEN_SECONDS = 2.5
+READ_GRACE_SECONDS = 2.5
 # Share of callers that go to a node also when it says that it is not ready, as a
 # balancer sends them when most nodes say so.
-STRAY_SHARE = 0.1
-READY_LOOK_SECONDS = 0.3
+NOT_READY_SHARE = 0.1
+READINESS_POLL_SECONDS = 0.3
 # Share of requests that go on a kept connection where there is one, whether or not
 # its node says that it is ready: callers use connections until they close.
-KEPT_SHARE = 0.7
+REUSE_SHARE = 0.7
 # Share of streams that last for seconds, so that many nodes are told to stop while
 # they run; their number of events, and their time.
 LONG_SHARE = 0.04
@@ -31,8 +35,8 @@
 LONG_SECONDS = 6.0
 # Longest pauses before a caller sends a request that was not answered whole again, and
 # before one that never is comes again, in seconds.
-RETURN_SECONDS = 0.8
-INSIST_SECONDS = 0.4
+MAX_RETRY_PAUSE_SECONDS = 0.8
+MAX_RESEND_PAUSE_SECONDS = 0.4
 # Events of a stream that ends its engine: it would last longer than the engine does.
 FATAL_EVENTS = 30
 
@@ -46,66 +50,68 @@
         ports: list[tuple[int, int]],
         rate: float,
         rng: random.Random,
-        returns: int = 0,
+        max_retries: int = 0,
     ) -> None:
         self._ports = ports
         self._rate = rate
         self._rng = rng
         # How often a caller comes again with a request that was not answered whole.
-        self._returns = returns
-        self._ready: set[int] = set()
-        self._kept: list[_Connection] = []
+        self._max_retries = max_retries
+        self._ready_nodes: set[int] = set()
+        self._idle: list[_Connection] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.records: list[CallerRecord] = []
 
     async def run(self, until: float) -> None:
         """Send requests until a time, then let them end."""
-        looking = asyncio.create_task(self._look())
+        poll_task = asyncio.create_task(self._poll_readiness())
         while time.monotonic() < until:
             await asyncio.sleep(self._rng.expovariate(self._rate))
-            self._begin()
+            self._start_request()
         await asyncio.gather(*self._tasks)
-        looking.cancel()
-        await asyncio.gather(looking, return_exceptions=True)
-        for connection in self._kept:
+        poll_task.cancel()
+        await asyncio.gather(poll_task, return_exceptions=True)
+        for connection in self._idle:
             connection.close()
 
-    async def insist(self, *, kind: Kind, body: str, until: float) -> None:
+    async def send_repeatedly(
+        self, *, kind: RequestKind, body: str, until: float
+    ) -> None:
         """Send one request again and again, at any node, whatever comes of it."""
         key = self._rng.choice(("key-a", "key-b"))
         while time.monotonic() < until:
-            first = self._record(kind, FATAL_EVENTS, DEADLINES[kind])
+            first = self._new_record(kind, FATAL_EVENTS, DEADLINES[kind])
             record = replace(first, content=body, key=key)
             self.records.append(record)
-            await self._ask(record, None)
-            await asyncio.sleep(self._rng.uniform(0.0, INSIST_SECONDS))
+            await self._send(record, None)
+            await asyncio.sleep(self._rng.uniform(0.0, MAX_RESEND_PAUSE_SECONDS))
 
-    async def _look(self) -> None:
+    async def _poll_readiness(self) -> None:
         while True:
             for node, (_, port) in enumerate(self._ports):
                 if await _is_ready(port):
-                    self._ready.add(node)
+                    self._ready_nodes.add(node)
                 else:
-                    self._ready.discard(node)
-            await asyncio.sleep(READY_LOOK_SECONDS)
+                    self._ready_nodes.discard(node)
+            await asyncio.sleep(READINESS_POLL_SECONDS)
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         rng = self._rng
-        connection = self._take_kept()
+        connection = self._take_idle_connection()
         node = self._choose_node() if connection is None else connection.node
-        kind = rng.choices(list(Kind), weights=(6, 3, 2))[0]
+        kind = rng.choices(list(RequestKind), weights=(6, 3, 2))[0]
         events, seconds = rng.randint(1, 30), DEADLINES[kind]
-        if kind is Kind.STREAM and rng.random() < LONG_SHARE:
+        if kind is RequestKind.STREAM and rng.random() < LONG_SHARE:
             events, seconds = rng.randint(*LONG_EVENTS), LONG_SECONDS
-        record = self._record(kind, events, seconds, node)
+        record = self._new_record(kind, events, seconds, node)
         record.is_kept = connection is not None
         self.records.append(record)
-        task = asyncio.create_task(self._persist(record, connection))
+        task = asyncio.create_task(self._send_with_retries(record, connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _record(
-        self, kind: Kind, events: int, seconds: float, node: int | None = None
+    def _new_record(
+        self, kind: RequestKind, events: int, seconds: float, node: int | None = None
     ) -> CallerRecord:
         now = time.monotonic()
         attempt = f"{self._rng.getrandbits(64):016x}"
@@ -120,43 +126,43 @@
             content=attempt,
         )
 
-    async def _persist(
+    async def _send_with_retries(
         self, record: CallerRecord, connection: "_Connection | None"
     ) -> None:
         """Ask, and ask again elsewhere while the request may be repeated."""
         seconds = record.deadline - record.sent_at
-        await self._ask(record, connection)
-        for _ in range(self._returns):
+        await self._send(record, connection)
+        for _ in range(self._max_retries):
             is_whole = record.status == 200 and record.ending is Ending.WHOLE
-            may_have_run = record.kind is Kind.ONCE and record.status != 503
+            may_have_run = record.kind is RequestKind.ONCE and record.status != 503
             if is_whole or may_have_run:
                 return
-            await asyncio.sleep(self._rng.uniform(0.0, RETURN_SECONDS))
-            again = self._record(record.kind, record.events, seconds)
+            await asyncio.sleep(self._rng.uniform(0.0, MAX_RETRY_PAUSE_SECONDS))
+            again = self._new_record(record.kind, record.events, seconds)
             record = replace(again, content=record.content, key=record.key)
             self.records.append(record)
-            await self._ask(record, None)
+            await self._send(record, None)
 
-    def _take_kept(self) -> "_Connection | None":
-        self._kept = [c for c in self._kept if c.is_open]
-        if not self._kept or self._rng.random() > KEPT_SHARE:
+    def _take_idle_connection(self) -> "_Connection | None":
+        self._idle = [c for c in self._idle if c.is_open]
+        if not self._idle or self._rng.random() > REUSE_SHARE:
             return None
-        return self._kept.pop(self._rng.randrange(len(self._kept)))
+        return self._idle.pop(self._rng.randrange(len(self._idle)))
 
     def _choose_node(self) -> int:
         nodes = list(range(len(self._ports)))
-        if self._ready and self._rng.random() > STRAY_SHARE:
-            nodes = sorted(self._ready)
+        if self._ready_nodes and self._rng.random() > NOT_READY_SHARE:
+            nodes = sorted(self._ready_nodes)
         return self._rng.choice(nodes)
 
-    async def _ask(
+    async def _send(
         self, record: CallerRecord, connection: "_Connection | None"
     ) -> None:
         try:
-            async with asyncio.timeout_at(record.deadline + LISTEN_SECONDS):
+            async with asyncio.timeout_at(record.deadline + READ_GRACE_SECONDS):
                 if connection is None:
                     connection = await self._connect(record.node)
-                await connection.ask(record)
+                await connection.send(record)
         except TimeoutError:
             record.ending = Ending.HELD if record.status == 0 else Ending.CUT
         except (OSError, h11.RemoteProtocolError):
@@ -164,7 +170,7 @@
         finally:
             record.ended_at = time.monotonic()
             if connection is not None and connection.is_reusable:
-                self._kept.append(connection)
+                self._idle.append(connection)
             elif connection is not None:
                 connection.close()
 
@@ -182,7 +188,7 @@
         self.node = node
         self._reader = reader
         self._writer = writer
-        self._state = h11.Connection(h11.CLIENT)
+        self._h11 = h11.Connection(h11.CLIENT)
         self.is_reusable = False
 
     @property
@@ -192,33 +198,33 @@
     def close(self) -> None:
         self._writer.transport.abort()
 
-    async def ask(self, record: CallerRecord) -> None:
+    async def send(self, record: CallerRecord) -> None:
         self.is_reusable = False
-        left = int((record.deadline - time.monotonic()) * 1000)
+        remaining_ms = int((record.deadline - time.monotonic()) * 1000)
         headers = [
             ("host", HOST),
             (names.AUTHORIZATION, f"Bearer {record.key}"),
             (names.ATTEMPT, record.attempt),
-            (names.DEADLINE, str(max(1, left))),
+            (names.DEADLINE, str(max(1, remaining_ms))),
             ("content-length", str(len(record.content))),
         ]
-        if record.kind is Kind.STREAM:
+        if record.kind is RequestKind.STREAM:
             headers += [
                 (names.MODEL, "m"),
-                (names.TOKEN_COUNTS, f"100,{STRIDE * record.events}"),
+                (names.TOKEN_COUNTS, f"100,{TOKENS_PER_EVENT * record.events}"),
             ]
         head = h11.Request(method="POST", target=PATHS[record.kind], headers=headers)
-        data = self._state.send(head)
-        data += self._state.send(h11.Data(data=record.content.encode()))
-        data += self._state.send(h11.EndOfMessage())
+        data = self._h11.send(head)
+        data += self._h11.send(h11.Data(data=record.content.encode()))
+        data += self._h11.send(h11.EndOfMessage())
         self._writer.write(data)
-        await self._read(record)
+        await self._read_answer(record)
 
-    async def _read(self, record: CallerRecord) -> None:
+    async def _read_answer(self, record: CallerRecord) -> None:
         while True:
-            event = self._state.next_event()
+            event = self._h11.next_event()
             if event is h11.NEED_DATA:
-                self._state.receive_data(await self._reader.read(READ_SIZE))
+                self._h11.receive_data(await self._reader.read(READ_SIZE))
             elif isinstance(event, h11.Response):
                 record.status = event.status_code
                 record.headers = {
@@ -231,15 +237,15 @@
                 break
             else:
                 raise ConnectionResetError
-        states = (self._state.our_state, self._state.their_state)
+        states = (self._h11.our_state, self._h11.their_state)
         if states == (h11.DONE, h11.DONE):
-            self._state.start_next_cycle()
+            self._h11.start_next_cycle()
             self.is_reusable = True
 
 
 async def _is_ready(port: int) -> bool:
     try:
-        async with asyncio.timeout(READY_LOOK_SECONDS):
+        async with asyncio.timeout(READINESS_POLL_SECONDS):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             try:
                 writer.write(b"GET /-/readyz HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/soak/cases.py
+++ b/soak/cases.py
@@ -27,25 +27,27 @@
 LONG_STREAMS = "the soak's own route ended streams that its callers meant to last"
 FOREIGN_ENTRY = "an entry of another writer, under an unknown key, counted as an engine"
 # It needed a busy machine, on which the soak's links stood still for a moment.
-SUSPECTED = "streams of a falsely suspected group were not woken when the doubt ended"
-OLD_PLANNER = (
+FALSE_SUSPICION = (
+    "streams of a falsely suspected group were not woken when the doubt ended"
+)
+STALE_PLANNER = (
     "a planner that woke from a pause joined a member, which knew no newer fence yet, "
     "out of a group that its successor had opened"
 )
 # Open: with two groups and three requests that end their engines at once.
-SENT_TO_THE_ENDED = (
+BYSTANDER_BLAMED = (
     "sends to engines that another host had seen end, broken off after 1 ms, counted "
     "against a bystander, which was held back in the place of the cause"
 )
 # The check was wrong: the requests went to the engine's next process.
-ASKED_BY_ANOTHER = "a backoff was counted on after its engine had started again"
+CHECK_IGNORED_RESTART = "a backoff was counted on after its engine had started again"
 # Open: an engine with ten requests a second names a limit of one.
-SENT_BEFORE = (
+LIMIT_WINDOW_OVERLAP = (
     "what hosts sent just before a limit was named and their first requests after it "
     "fell into one window"
 )
-NEEDS = ("engine_need", "engine_shedding", "engine_restart", "node_kill")
-STOPS = ("node_stop_all", "node_stop_series", "node_stop", "reconfigure")
+LOAD_REDUCTION_KINDS = ("engine_need", "engine_shedding", "engine_restart", "node_kill")
+STOP_KINDS = ("node_stop_all", "node_stop_series", "node_stop", "reconfigure")
 REGRESSIONS = (
     Case(seed=2000, draw=2, seconds=12.0, cause=LONG_STREAMS),
     Case(seed=2001, draw=2, seconds=12.0, cause=LONG_STREAMS),
@@ -55,13 +57,25 @@
         seed=8102,
         draw=2,
         seconds=12.0,
-        cause=OLD_PLANNER,
+        cause=STALE_PLANNER,
         shape=FleetShape(nodes=6, domains=8),
     ),
     Case(seed=2046, draw=2, seconds=12.0, cause=FOREIGN_ENTRY),
     Case(seed=2048, draw=2, seconds=12.0, cause=FOREIGN_ENTRY),
-    Case(seed=4005, draw=2, seconds=12.0, cause=SUSPECTED, only=STOPS),
-    Case(seed=9100, draw=3, seconds=10.0, cause=SENT_TO_THE_ENDED),
-    Case(seed=9303, draw=4, seconds=10.0, cause=ASKED_BY_ANOTHER, only=NEEDS),
-    Case(seed=9307, draw=4, seconds=10.0, cause=SENT_BEFORE, only=NEEDS),
+    Case(seed=4005, draw=2, seconds=12.0, cause=FALSE_SUSPICION, only=STOP_KINDS),
+    Case(seed=9100, draw=3, seconds=10.0, cause=BYSTANDER_BLAMED),
+    Case(
+        seed=9303,
+        draw=4,
+        seconds=10.0,
+        cause=CHECK_IGNORED_RESTART,
+        only=LOAD_REDUCTION_KINDS,
+    ),
+    Case(
+        seed=9307,
+        draw=4,
+        seconds=10.0,
+        cause=LIMIT_WINDOW_OVERLAP,
+        only=LOAD_REDUCTION_KINDS,
+    ),
 )
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -12,14 +12,14 @@
 from mallowpond.standins.observatory_engine import FATAL_BODY, new_engine_id
 from mallowpond.standins.observatory_operator import NO_IDS, foreign_values
 from soak.callers import Callers
-from soak.fleet import Fleet, Member
-from soak.judge import NEED_KIND, SHED_KIND
-from soak.proxy import Link, Proxy
-from soak.records import Disturbance, ForeignEntry, Kind, Revocation
+from soak.fleet import Fleet, ManagedProcess
+from soak.judge import BACKOFF_KIND, RATE_LIMIT_KIND
+from soak.proxy import LinkMode, Proxy
+from soak.records import Disturbance, ForeignEntry, RequestKind, Revocation
 
 log = structlog.get_logger()
 
-KINDS = (
+DRAW_1_KINDS = (
     "node_kill",
     "node_stop",
     "node_stop_all",
@@ -37,7 +37,7 @@
     "reconfigure",
 )
 # Kinds that came later: a seed of the first draw goes on meaning the same faults.
-LATER_KINDS = (
+DRAW_2_KINDS = (
     "node_stop_series",
     "engine_restart",
     "engine_restart_twice",
@@ -47,33 +47,33 @@
     "foreign_entry_of_engine",
 )
 # A request that ends each engine that runs it, sent again and again.
-NEWEST_KINDS = ("fatal_request",)
+DRAW_3_KINDS = ("fatal_request",)
 # An engine that names a rate limit in its answers, and one that turns requests away.
-NEED_KINDS = (NEED_KIND, SHED_KIND)
+DRAW_4_KINDS = (RATE_LIMIT_KIND, BACKOFF_KIND)
 # Parts of all kinds that a seed of the second draw may choose from: with few kinds
 # there are calm times, in which the bounds in time count.
 KIND_SHARES = (0.15, 0.3, 0.6, 1.0)
 NEWEST_DRAW = 4
-LINKS = (Link.SLOW, Link.RESET, Link.SILENT, Link.ONE_WAY)
-SERIES = ("node_stop_all", "node_stop_series")
-LONGEST_SECONDS = 4.0
+LINK_FAULTS = (LinkMode.SLOW, LinkMode.RESET, LinkMode.SILENT, LinkMode.ONE_WAY)
+SERIES_KINDS = ("node_stop_all", "node_stop_series")
+MAX_FAULT_SECONDS = 4.0
 MEAN_PAUSE_SECONDS = 1.2
 # Pause between the stops of a series, in seconds: shorter than a stop takes.
-SERIES_SECONDS = 1.0
+SERIES_PAUSE_SECONDS = 1.0
 # Time after a kill or stop until a node serves and knows its peers, in seconds.
 SETTLE_SECONDS = 2.0
 # Longest wait for an engine that joins a group, and the pause between looks, seconds.
-FORMING_SECONDS = 3.0
-FORMING_LOOK_SECONDS = 0.02
+MAX_FORMING_SECONDS = 3.0
+FORMING_POLL_SECONDS = 0.02
 # Time for which an entry of another writer stands at least, in seconds: longer than
 # the bound after which nothing may be sent to its engine.
-FOREIGN_SECONDS = 3.5
+MIN_FOREIGN_SECONDS = 3.5
 # Time for which a request that ends its engines comes again at least, in seconds:
 # longer than the bound after which it may hardly reach one.
-FATAL_SECONDS = 6.0
+MIN_FATAL_SECONDS = 6.0
 # Time for which an engine asks for less at least, in seconds: longer than the time from
 # which on a rate limit has to be kept, and a window of it, or than two backoffs.
-NEED_SECONDS = 8.0
+MIN_REDUCED_LOAD_SECONDS = 8.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -84,18 +84,18 @@
     kind: str
     seconds: float
     draw: int
-    link: Link = Link.SLOW
+    link: LinkMode = LinkMode.SLOW
 
 
 def draw_kinds(rng: random.Random, draw: int) -> tuple[str, ...]:
     """Return the kinds that faults of one run are of."""
     if draw == 1:
-        return KINDS
+        return DRAW_1_KINDS
     share = rng.choice(KIND_SHARES)
-    kinds = KINDS + LATER_KINDS
-    kinds += NEWEST_KINDS if draw > 2 else ()
-    kinds += NEED_KINDS if draw > 3 else ()
-    return tuple(k for k in kinds if rng.random() < share) or LATER_KINDS
+    kinds = DRAW_1_KINDS + DRAW_2_KINDS
+    kinds += DRAW_3_KINDS if draw > 2 else ()
+    kinds += DRAW_4_KINDS if draw > 3 else ()
+    return tuple(k for k in kinds if rng.random() < share) or DRAW_2_KINDS
 
 
 def draw_faults(
@@ -108,9 +108,9 @@
         fault = Fault(
             at=at,
             kind=rng.choice(kinds),
-            seconds=rng.uniform(0.2, LONGEST_SECONDS),
+            seconds=rng.uniform(0.2, MAX_FAULT_SECONDS),
             draw=rng.randrange(1_000_000),
-            link=rng.choice(LINKS),
+            link=rng.choice(LINK_FAULTS),
         )
         faults.append(fault)
         at += rng.expovariate(1.0 / MEAN_PAUSE_SECONDS)
@@ -134,54 +134,54 @@
         for fault in faults:
             await asyncio.sleep(max(0.0, began + fault.at - time.monotonic()))
             log.info("soak: fault", kind=fault.kind, seconds=round(fault.seconds, 1))
-            tasks.append(asyncio.create_task(self._bring_about(fault)))
+            tasks.append(asyncio.create_task(self._inject(fault)))
         await asyncio.gather(*tasks)
 
-    async def _bring_about(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         began = time.monotonic()
         number = fault.draw % len(self.fleet.nodes)
         match fault.kind.partition("_")[0]:
-            case "node" if fault.kind in SERIES:
+            case "node" if fault.kind in SERIES_KINDS:
                 # Each of its stops is noted by itself.
                 await self._stop_series(fault)
                 return
             case "node":
                 await self._disturb_node(fault, self.fleet.nodes[number])
             case "fatal":
-                await self._send_fatal(fault)
+                await self._send_fatal_request(fault)
             case "engine":
                 number = fault.draw % len(self.fleet.engines)
                 await self._disturb_engine(fault, self.fleet.engines[number])
             case _:
                 await self._disturb_store(fault, number)
         is_of_one = fault.kind.startswith("node") or fault.kind == "store_link"
-        self._note(fault.kind, began, number if is_of_one else None)
+        self._record_disturbance(fault.kind, began, number if is_of_one else None)
 
-    async def _send_fatal(self, fault: Fault) -> None:
-        kinds = list(Kind)
-        await self.callers.insist(
+    async def _send_fatal_request(self, fault: Fault) -> None:
+        kinds = list(RequestKind)
+        await self.callers.send_repeatedly(
             kind=kinds[fault.draw % len(kinds)],
             body=f"{FATAL_BODY.decode()}{fault.draw}",
-            until=time.monotonic() + FATAL_SECONDS + fault.seconds,
+            until=time.monotonic() + MIN_FATAL_SECONDS + fault.seconds,
         )
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _disturb_node(self, fault: Fault, node: Member) -> None:
+    async def _disturb_node(self, fault: Fault, node: ManagedProcess) -> None:
         match fault.kind:
             case "node_kill":
                 node.signal(signal.SIGKILL)
                 await asyncio.sleep(SETTLE_SECONDS)
             case "node_stop":
                 self.fleet.stop(node)
-                await self._until_back(node)
+                await self._wait_until_restarted(node)
             case "node_pause":
                 await self._pause(node, fault.seconds)
             case "node_stop_and_pause":
                 self.fleet.stop(node)
                 await self._pause(node, fault.seconds)
-                await self._until_back(node)
+                await self._wait_until_restarted(node)
 
-    async def _disturb_engine(self, fault: Fault, engine: Member) -> None:
+    async def _disturb_engine(self, fault: Fault, engine: ManagedProcess) -> None:
         engines = self.fleet.engines
         match fault.kind:
             case "engine_kill":
@@ -193,37 +193,37 @@
                 await asyncio.sleep(SETTLE_SECONDS)
             case "engine_stop":
                 self.fleet.stop(engine)
-                await self._until_back(engine)
+                await self._wait_until_restarted(engine)
             case "engine_pause":
                 await self._pause(engine, fault.seconds)
             case "engine_link":
                 link = self.fleet.engine_links[engines.index(engine)]
-                await self._spoil(link, fault)
+                await self._impair_link(link, fault)
             case "engine_restart":
-                await self._restart(self._plain_or_grouped(fault.draw))
+                await self._restart(self._choose_plain_or_grouped(fault.draw))
             case "engine_restart_twice":
-                twice = self._plain_or_grouped(fault.draw)
+                twice = self._choose_plain_or_grouped(fault.draw)
                 await self.fleet.restart(twice)
                 await asyncio.sleep(fault.seconds / 4.0)
                 await self._restart(twice)
             case "engine_restart_forming":
                 await self._restart_forming(fault.draw)
             case "engine_restart_unheard":
-                await self._restart_unheard(fault)
+                await self._restart_while_cut_off(fault)
             case "engine_stop_head_or_plain":
-                engine = await self._head_or_plain(fault.draw)
+                engine = await self._choose_head_or_plain(fault.draw)
                 self.fleet.stop(engine)
-                await self._until_back(engine)
-            case kind if kind == NEED_KIND:
-                await self._put_in_need(fault, signal.SIGUSR1)
-            case kind if kind == SHED_KIND:
-                await self._put_in_need(fault, signal.SIGUSR2)
+                await self._wait_until_restarted(engine)
+            case kind if kind == RATE_LIMIT_KIND:
+                await self._reduce_load(fault, signal.SIGUSR1)
+            case kind if kind == BACKOFF_KIND:
+                await self._reduce_load(fault, signal.SIGUSR2)
 
     async def _disturb_store(self, fault: Fault, number: int) -> None:
         fleet = self.fleet
         match fault.kind:
             case "store_link":
-                await self._spoil(fleet.store_links[number], fault)
+                await self._impair_link(fleet.store_links[number], fault)
             case "store_pause":
                 fleet.signal_store(signal.SIGSTOP)
                 await asyncio.sleep(fault.seconds)
@@ -235,33 +235,33 @@
             case "reconfigure":
                 await fleet.configure()
             case "foreign_entry":
-                await self._write_foreign(fault, None)
+                await self._write_foreign_entry(fault, None)
             case "foreign_entry_of_engine":
                 engine = fleet.engines[fault.draw % len(fleet.engines)]
-                await self._write_foreign(fault, engine)
+                await self._write_foreign_entry(fault, engine)
 
-    async def _spoil(self, link: Proxy, fault: Fault) -> None:
-        link.set(fault.link)
+    async def _impair_link(self, link: Proxy, fault: Fault) -> None:
+        link.set_mode(fault.link)
         await asyncio.sleep(fault.seconds)
-        link.set(Link.SOUND)
+        link.set_mode(LinkMode.SOUND)
 
-    def _plain_or_grouped(self, draw: int) -> Member:
+    def _choose_plain_or_grouped(self, draw: int) -> ManagedProcess:
         # Requests that may not be repeated go to the few plain engines only.
-        engines, plain = self.fleet.engines, self.fleet.grouped_engines
+        engines, plain = self.fleet.engines, self.fleet.grouped_engine_count
         half = engines[plain:] if draw % 2 else engines[:plain]
         return half[draw // 2 % len(half)]
 
-    async def _restart(self, engine: Member) -> None:
+    async def _restart(self, engine: ManagedProcess) -> None:
         await self.fleet.restart(engine)
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def _restart_forming(self, draw: int) -> None:
         """Break a group, and restart one engine while it joins the next."""
         fleet = self.fleet
-        fleet.engines[draw % fleet.grouped_engines].signal(signal.SIGKILL)
-        limit = time.monotonic() + FORMING_SECONDS
+        fleet.engines[draw % fleet.grouped_engine_count].signal(signal.SIGKILL)
+        limit = time.monotonic() + MAX_FORMING_SECONDS
         while time.monotonic() < limit:
-            entries = await fleet.entries()
+            entries = await fleet.engine_entries()
             joining = [
                 engine
                 for engine in fleet.engines
@@ -270,28 +270,28 @@
             if joining:
                 await fleet.restart(joining[draw // 7 % len(joining)])
                 break
-            await asyncio.sleep(FORMING_LOOK_SECONDS)
+            await asyncio.sleep(FORMING_POLL_SECONDS)
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _restart_unheard(self, fault: Fault) -> None:
+    async def _restart_while_cut_off(self, fault: Fault) -> None:
         """Restart an engine while it, or one of the nodes, is cut off the store."""
         fleet = self.fleet
         number = fault.draw // 2
-        place = number % len(fleet.engines)
-        link = fleet.engine_store_links[place]
+        index = number % len(fleet.engines)
+        link = fleet.engine_store_links[index]
         if fault.draw % 2:
             link = fleet.store_links[number % len(fleet.nodes)]
-        link.set(fault.link)
+        link.set_mode(fault.link)
         await asyncio.sleep(fault.seconds / 2.0)
-        await fleet.restart(fleet.engines[place])
+        await fleet.restart(fleet.engines[index])
         await asyncio.sleep(fault.seconds / 2.0)
-        link.set(Link.SOUND)
+        link.set_mode(LinkMode.SOUND)
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _head_or_plain(self, draw: int) -> Member:
+    async def _choose_head_or_plain(self, draw: int) -> ManagedProcess:
         """Choose the head of an open group, or a plain engine."""
-        entries = await self.fleet.entries()
-        plain = self.fleet.engines[self.fleet.grouped_engines :]
+        entries = await self.fleet.engine_entries()
+        plain = self.fleet.engines[self.fleet.grouped_engine_count :]
         heads = [
             engine
             for engine in self.fleet.engines
@@ -300,18 +300,20 @@
         choice = plain if draw % 2 or not heads else heads
         return choice[draw // 2 % len(choice)]
 
-    async def _put_in_need(self, fault: Fault, number: signal.Signals) -> None:
+    async def _reduce_load(self, fault: Fault, number: signal.Signals) -> None:
         """Let a head, or a plain engine, ask for less by a signal, for a time."""
-        engine = await self._head_or_plain(fault.draw)
+        engine = await self._choose_head_or_plain(fault.draw)
         process = engine.process
         engine.signal(number)
-        await asyncio.sleep(NEED_SECONDS + fault.seconds)
+        await asyncio.sleep(MIN_REDUCED_LOAD_SECONDS + fault.seconds)
         if engine.process is process:
             engine.signal(number)
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _write_foreign(self, fault: Fault, engine: Member | None) -> None:
-        entries = await self.fleet.entries()
+    async def _write_foreign_entry(
+        self, fault: Fault, engine: ManagedProcess | None
+    ) -> None:
+        entries = await self.fleet.engine_entries()
         if not entries:
             return
         key = NO_IDS[fault.draw % len(NO_IDS)]
@@ -320,10 +322,10 @@
         elif fault.draw % 3:
             key = new_engine_id()
         known = list(entries.values())
-        like = entries.get(key, known[fault.draw // 3 % len(known)])
-        values = foreign_values(like)
+        template = entries.get(key, known[fault.draw // 3 % len(known)])
+        values = foreign_values(template)
         value = values[fault.draw // 5 % len(values)]
-        seconds = FOREIGN_SECONDS + fault.seconds
+        seconds = MIN_FOREIGN_SECONDS + fault.seconds
         asked_at = time.monotonic()
         if await self.fleet.write_foreign(key, value, seconds):
             log.info("soak: foreign entry", key=key, value=value)
@@ -336,7 +338,7 @@
     async def _stop_series(self, fault: Fault) -> None:
         """Stop all nodes, one after the other, before the earlier ones are back."""
         if fault.kind == "node_stop_all":
-            await self._stop_all(SERIES_SECONDS)
+            await self._stop_all(SERIES_PAUSE_SECONDS)
             return
         await asyncio.gather(
             self._stop_all(fault.seconds / len(self.fleet.nodes)),
@@ -357,30 +359,30 @@
             await asyncio.sleep(number * pause)
             began = time.monotonic()
             self.fleet.stop(self.fleet.nodes[number])
-            await self._until_back(self.fleet.nodes[number])
-            self._note("node_stop", began, number)
+            await self._wait_until_restarted(self.fleet.nodes[number])
+            self._record_disturbance("node_stop", began, number)
 
         numbers = range(len(self.fleet.nodes))
         await asyncio.gather(*(stop(number) for number in numbers))
 
-    async def _pause(self, member: Member, seconds: float) -> None:
+    async def _pause(self, member: ManagedProcess, seconds: float) -> None:
         member.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         member.signal(signal.SIGCONT)
 
-    async def _until_back(self, member: Member) -> None:
-        while member.stopping_since is not None and member.wanted:
+    async def _wait_until_restarted(self, member: ManagedProcess) -> None:
+        while member.stopping_since is not None and member.should_run:
             await asyncio.sleep(0.1)
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def _revoke(self, seconds: float) -> None:
-        if "key-b" not in self.fleet.keys:
+        if "key-b" not in self.fleet.active_keys:
             return
-        self.fleet.keys.discard("key-b")
+        self.fleet.active_keys.discard("key-b")
         accepted = await self.fleet.configure()
         accepted_at = time.monotonic()
         await asyncio.sleep(seconds + 2.0)
-        self.fleet.keys.add("key-b")
+        self.fleet.active_keys.add("key-b")
         restored_at = time.monotonic()
         while not await self.fleet.configure():
             await asyncio.sleep(0.1)
@@ -390,7 +392,7 @@
             )
             self.revocations.append(revocation)
 
-    def _note(self, kind: str, began: float, node: int | None) -> None:
+    def _record_disturbance(self, kind: str, began: float, node: int | None) -> None:
         self.disturbances.append(
             Disturbance(kind=kind, began_at=began, ended_at=time.monotonic(), node=node)
         )
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -15,7 +15,6 @@
 from typing import Any
 
 from mallowpond.platform.early_listener import SETTINGS_VARIABLE
-
 from mallowpond.standins.observatory_engine import new_engine_id
 from mallowpond.standins.observatory_operator import (
     ObservatoryOperator,
@@ -33,7 +32,7 @@
 # Time of one event by the engine model of the configuration, in seconds.
 EVENT_SECONDS = 0.02
 # Pause between two looks whether a killed process has ended, in seconds.
-KILL_LOOK_SECONDS = 0.005
+KILL_POLL_SECONDS = 0.005
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -42,7 +41,7 @@
 
     nodes: int = 3
     domains: int = 2
-    engines_a_domain: int = 4
+    engines_per_domain: int = 4
     plain_engines: int = 2
     slowness: float = 1.0
     # Time for which only its answers tell that an engine stops, in seconds.
@@ -50,7 +49,7 @@
 
 
 @dataclass(kw_only=True)
-class Member:
+class ManagedProcess:
     """Hold one process and how it is started again."""
 
     name: str
@@ -59,7 +58,7 @@
     log: Path
     options: dict[str, Any] | None = None
     process: subprocess.Popen[bytes] | None = None
-    wanted: bool = True
+    should_run: bool = True
     stopping_since: float | None = None
 
     def start(self) -> None:
@@ -95,17 +94,17 @@
     """Hold a store, engines, nodes, and the links between them."""
 
     folder: Path
-    ports_left: Iterator[int] = field(default_factory=own_ports)
+    free_ports: Iterator[int] = field(default_factory=own_ports)
     shape: FleetShape = FleetShape()
-    nodes: list[Member] = field(default_factory=list)
-    engines: list[Member] = field(default_factory=list)
+    nodes: list[ManagedProcess] = field(default_factory=list)
+    engines: list[ManagedProcess] = field(default_factory=list)
     store_links: list[Proxy] = field(default_factory=list)
     engine_links: list[Proxy] = field(default_factory=list)
     engine_store_links: list[Proxy] = field(default_factory=list)
-    ports: list[tuple[int, int]] = field(default_factory=list)
+    node_ports: list[tuple[int, int]] = field(default_factory=list)
     version: int = 0
-    keys: set[str] = field(default_factory=lambda: set(WORKSPACES))
-    _store: Member | None = None
+    active_keys: set[str] = field(default_factory=lambda: set(WORKSPACES))
+    _store: ManagedProcess | None = None
     _store_port: int = 0
     _http: HttpClient = field(default_factory=HttpClient)
     _operator: ObservatoryOperator = field(init=False)
@@ -114,20 +113,20 @@
     async def start(self) -> None:
         """Start everything, and wait until nodes and groups are there."""
         self._stack.push_async_callback(self._http.close)
-        self._store_port = next(self.ports_left)
+        self._store_port = next(self.free_ports)
         address = f"127.0.0.1:{self._store_port}"
         self._operator = ObservatoryOperator(http=self._http, address=address)
         options = {"host": "127.0.0.1", "port": self._store_port}
-        self._store = self._member("store", "observatory-store", options)
+        self._store = self._new_standin("store", "observatory-store", options)
         self._store.start()
-        await self._until(lambda: self.configure(), "the store")
-        for number in range(self.grouped_engines + self.shape.plain_engines):
+        await self._wait_for(lambda: self.configure(), "the store")
+        for number in range(self.grouped_engine_count + self.shape.plain_engines):
             await self._add_engine(number)
         for number in range(self.shape.nodes):
             await self._add_node(number)
         for member in (*self.engines, *self.nodes):
             member.start()
-        await self._until(self._is_serving, "open groups")
+        await self._wait_for(self._is_serving, "open groups")
 
     async def close(self) -> None:
         """Kill the processes that this fleet started, and close the links."""
@@ -135,7 +134,7 @@
         if self._store is not None:
             members.append(self._store)
         for member in members:
-            member.wanted = False
+            member.should_run = False
             member.signal(signal.SIGCONT)
             member.signal(signal.SIGKILL)
         for member in members:
@@ -151,29 +150,29 @@
                 since = member.stopping_since
                 if since is not None and time.monotonic() - since > GRACE_SECONDS:
                     member.signal(signal.SIGKILL)
-                if member.wanted and not member.is_running:
+                if member.should_run and not member.is_running:
                     if member.options is not None:
-                        self._write(member, {"id": new_engine_id()})
+                        self._write_options(member, {"id": new_engine_id()})
                     member.start()
 
-    async def restart(self, engine: Member) -> None:
+    async def restart(self, engine: ManagedProcess) -> None:
         """Kill an engine and start it at once under the id that it had."""
         process = engine.process
-        engine.wanted = False
+        engine.should_run = False
         engine.signal(signal.SIGKILL)
         while process is not None and process.poll() is None:
-            await asyncio.sleep(KILL_LOOK_SECONDS)
+            await asyncio.sleep(KILL_POLL_SECONDS)
         # Another fault may have started it meanwhile: two processes would share a port.
         if engine.process is process:
             engine.start()
-        engine.wanted = True
+        engine.should_run = True
 
     @property
-    def grouped_engines(self) -> int:
+    def grouped_engine_count(self) -> int:
         """Return how many engines may stand in groups; the plain ones come after."""
-        return self.shape.domains * self.shape.engines_a_domain
+        return self.shape.domains * self.shape.engines_per_domain
 
-    def stop(self, member: Member) -> None:
+    def stop(self, member: ManagedProcess) -> None:
         """Ask a process to end."""
         if member.stopping_since is None:
             member.stopping_since = time.monotonic()
@@ -187,7 +186,7 @@
             group_size=GROUP_SIZE,
             load_seconds=LOAD_SECONDS,
             workspaces={
-                name: key if key in self.keys else None
+                name: key if key in self.active_keys else None
                 for key, name in WORKSPACES.items()
             },
         )
@@ -197,7 +196,7 @@
         """Let the store forget its changes."""
         return await self._operator.drop_history()
 
-    async def entries(self) -> dict[str, dict[str, Any]]:
+    async def engine_entries(self) -> dict[str, dict[str, Any]]:
         """Return what each engine says of itself in the store, by its id."""
         return await self._operator.entries()
 
@@ -211,21 +210,21 @@
             self._store.signal(number)
 
     async def _is_serving(self) -> bool:
-        groups = self.shape.engines_a_domain // GROUP_SIZE * self.shape.domains
+        groups = self.shape.engines_per_domain // GROUP_SIZE * self.shape.domains
         return await self._operator.open_groups() >= groups
 
-    async def _until(self, holds: Any, what: str, seconds: float = 90.0) -> None:
+    async def _wait_for(self, condition: Any, what: str, seconds: float = 90.0) -> None:
         limit = time.monotonic() + seconds
-        while not await holds():
+        while not await condition():
             if time.monotonic() > limit:
                 raise TimeoutError(f"{what} did not come up")
             await asyncio.sleep(0.1)
 
     async def _add_engine(self, number: int) -> None:
-        port = next(self.ports_left)
-        link = await self._link(port)
-        store_link = await self._link(self._store_port)
-        is_plain = number >= self.grouped_engines
+        port = next(self.free_ports)
+        link = await self._add_link(port)
+        store_link = await self._add_link(self._store_port)
+        is_plain = number >= self.grouped_engine_count
         name = f"engine{number}"
         options = {
             "host": "127.0.0.1",
@@ -233,7 +232,7 @@
             "advertised": f"127.0.0.1:{link.port}",
             "store": f"127.0.0.1:{store_link.port}",
             "service": "plain" if is_plain else "engines",
-            "domain": "" if is_plain else f"d{number // self.shape.engines_a_domain}",
+            "domain": "" if is_plain else f"d{number // self.shape.engines_per_domain}",
             "data_centre": "a",
             "journal": str(self.folder / f"{name}.journal"),
             "staged_file": str(self.folder / f"{name}.staged"),
@@ -244,15 +243,15 @@
             options["unannounced_seconds"] = self.shape.unannounced_seconds
         if not is_plain:
             options["models"] = {"m": LOAD_SECONDS}
-        member = self._member(name, "observatory-engine", options)
+        member = self._new_standin(name, "observatory-engine", options)
         member.options = options
         self.engines.append(member)
         self.engine_links.append(link)
         self.engine_store_links.append(store_link)
 
     async def _add_node(self, number: int) -> None:
-        callers, readiness, peers = islice(self.ports_left, 3)
-        link = await self._link(self._store_port)
+        callers, readiness, peers = islice(self.free_ports, 3)
+        link = await self._add_link(self._store_port)
         path = self.folder / f"node{number}.toml"
         path.write_text(
             f'name = "node-{number}"\ndata_centre = "a"\naddress = "127.0.0.1"\n'
@@ -262,7 +261,7 @@
             "stall = 1.0\nchecks_fencing = true\n"
         )
         self.nodes.append(
-            Member(
+            ManagedProcess(
                 name=f"node{number}",
                 arguments=("node",),
                 environment={SETTINGS_VARIABLE: str(path)},
@@ -270,25 +269,27 @@
             )
         )
         self.store_links.append(link)
-        self.ports.append((callers, readiness))
+        self.node_ports.append((callers, readiness))
 
-    async def _link(self, port: int) -> Proxy:
+    async def _add_link(self, port: int) -> Proxy:
         link = Proxy(target_port=port)
         await link.start()
         self._stack.push_async_callback(link.close)
         return link
 
-    def _member(self, name: str, program: str, options: dict[str, Any]) -> Member:
+    def _new_standin(
+        self, name: str, program: str, options: dict[str, Any]
+    ) -> ManagedProcess:
         path = self.folder / f"{name}.toml"
         path.write_text(_toml(options))
-        return Member(
+        return ManagedProcess(
             name=name,
             arguments=("standin", program, "--config", str(path)),
             environment={},
             log=self.folder / f"{name}.log",
         )
 
-    def _write(self, engine: Member, change: dict[str, Any]) -> None:
+    def _write_options(self, engine: ManagedProcess, change: dict[str, Any]) -> None:
         engine.options = {**(engine.options or {}), **change}
         path = self.folder / f"{engine.name}.toml"
         path.write_text(_toml(engine.options))
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -4,12 +4,12 @@
 from enum import Enum
 
 READ_SIZE = 65536
-# Delay of every chunk on a slow link, in seconds: some times the usual answer time.
+# Delay of every chunk on a slow mode, in seconds: some times the usual answer time.
 SLOW_SECONDS = 0.3
 
 
-class Link(str, Enum):
-    """Say how a link behaves."""
+class LinkMode(str, Enum):
+    """Say how a mode behaves."""
 
     SOUND = "sound"
     SLOW = "slow"
@@ -23,7 +23,7 @@
 
     def __init__(self, *, target_port: int) -> None:
         self._target_port = target_port
-        self._link = Link.SOUND
+        self._mode = LinkMode.SOUND
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -47,11 +47,11 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def set(self, link: Link) -> None:
-        """Change how the link behaves from now on."""
-        was_silent = self._link in (Link.SILENT, Link.ONE_WAY)
-        self._link = link
-        if link is Link.RESET or was_silent:
+    def set_mode(self, mode: LinkMode) -> None:
+        """Change how the mode behaves from now on."""
+        was_silent = self._mode in (LinkMode.SILENT, LinkMode.ONE_WAY)
+        self._mode = mode
+        if mode is LinkMode.RESET or was_silent:
             # Bytes that a cut held up are lost with their connections.
             self._abort_all()
 
@@ -67,31 +67,31 @@
         self._tasks.add(task)
         self._writers.add(writer)
         try:
-            await self._carry(reader, writer)
+            await self._relay(reader, writer)
         except (OSError, asyncio.CancelledError):
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
             self._tasks.discard(task)
 
-    async def _carry(
+    async def _relay(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._link is Link.RESET:
+        if self._mode is LinkMode.RESET:
             writer.transport.abort()
             return
-        there_reader, there = await asyncio.open_connection(
+        upstream_reader, upstream_writer = await asyncio.open_connection(
             "127.0.0.1", self._target_port
         )
-        self._writers.add(there)
+        self._writers.add(upstream_writer)
         try:
             await asyncio.gather(
-                self._pump(reader, there, is_reply=False),
-                self._pump(there_reader, writer, is_reply=True),
+                self._pump(reader, upstream_writer, is_reply=False),
+                self._pump(upstream_reader, writer, is_reply=True),
             )
         finally:
-            self._writers.discard(there)
-            there.transport.abort()
+            self._writers.discard(upstream_writer)
+            upstream_writer.transport.abort()
             writer.transport.abort()
 
     async def _pump(
@@ -102,14 +102,16 @@
         is_reply: bool,
     ) -> None:
         while data := await reader.read(READ_SIZE):
-            if self._link is Link.SLOW:
+            if self._mode is LinkMode.SLOW:
                 await asyncio.sleep(SLOW_SECONDS)
-            if self._link is Link.SILENT or (self._link is Link.ONE_WAY and is_reply):
+            if self._mode is LinkMode.SILENT or (
+                self._mode is LinkMode.ONE_WAY and is_reply
+            ):
                 # The bytes are gone, and neither side is told.
                 continue
             writer.write(data)
             await writer.drain()
-        if self._link in (Link.SILENT, Link.ONE_WAY):
+        if self._mode in (LinkMode.SILENT, LinkMode.ONE_WAY):
             await asyncio.Event().wait()
         # The end of one direction ends both: all peers here use whole closes.
         raise ConnectionResetError
--- a/soak/records.py
+++ b/soak/records.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Kind(str, Enum):
+class RequestKind(str, Enum):
     """Name the kinds of requests."""
 
     STREAM = "stream"
@@ -29,7 +29,7 @@
     """Hold one request as its caller saw it; times are those of one host's clock."""
 
     attempt: str
-    kind: Kind
+    kind: RequestKind
     key: str
     node: int
     events: int
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Note:
+class JournalEntry:
     """Hold one line of an engine's journal."""
 
     at: float
@@ -55,7 +55,7 @@
     values: dict[str, Any]
 
     @property
-    def key(self) -> tuple[str, int] | None:
+    def group_key(self) -> tuple[str, int] | None:
         """Return the group that the line is about."""
         group = self.values.get("group")
         return None if group is None else (group, self.values["epoch"])
@@ -94,7 +94,7 @@
     """Hold all that one run left behind."""
 
     callers: tuple[CallerRecord, ...]
-    notes: tuple[Note, ...]
+    notes: tuple[JournalEntry, ...]
     disturbances: tuple[Disturbance, ...]
     revocations: tuple[Revocation, ...]
     foreign: tuple[ForeignEntry, ...] = ()
@@ -107,7 +107,7 @@
     path.write_text(json.dumps(kept, indent=1, default=repr))
 
 
-def read_notes(folder: Path) -> tuple[Note, ...]:
+def read_journals(folder: Path) -> tuple[JournalEntry, ...]:
     """Return the lines of every journal in a folder, by time.
 
     A killed engine may leave its last line half written.
@@ -120,7 +120,7 @@
             except ValueError:
                 continue
             notes.append(
-                Note(
+                JournalEntry(
                     at=values.pop("at"),
                     engine=values.pop("engine"),
                     event=values.pop("event"),
--- a/soak/tests/test_callers.py
+++ b/soak/tests/test_callers.py
@@ -7,11 +7,11 @@
 from mallowpond.platform import headers as names
 from mallowpond.standins.observatory_engine import call_body
 from mallowpond.transport.http_server import Exchange, HttpRequest, HttpServer
-from soak.callers import LISTEN_SECONDS, LONG_SECONDS, Callers
-from soak.records import Ending, Kind
+from soak.callers import LONG_SECONDS, READ_GRACE_SECONDS, Callers
+from soak.records import Ending, RequestKind
 
 
-async def _answer(request: HttpRequest, exchange: Exchange) -> None:
+async def _respond(request: HttpRequest, exchange: Exchange) -> None:
     attempt = request.headers[names.ATTEMPT]
     await exchange.respond(200, call_body(attempt), ((names.ATTEMPT, attempt),))
 
@@ -19,13 +19,16 @@
 async def _run_until_one_node_is_not_ready() -> tuple[Callers, float]:
     stopped_at = float("inf")
 
-    async def tell(request: HttpRequest, exchange: Exchange) -> None:
+    async def report_readiness(request: HttpRequest, exchange: Exchange) -> None:
         await exchange.respond(200 if time.monotonic() < stopped_at else 503)
 
-    async def tell_always(request: HttpRequest, exchange: Exchange) -> None:
+    async def report_ready(request: HttpRequest, exchange: Exchange) -> None:
         await exchange.respond(200)
 
-    servers = [HttpServer(handler=h) for h in (_answer, tell, _answer, tell_always)]
+    servers = [
+        HttpServer(handler=h)
+        for h in (_respond, report_readiness, _respond, report_ready)
+    ]
     for server in servers:
         await server.start("127.0.0.1", 0)
     ports = [(servers[n].port, servers[n + 1].port) for n in (0, 2)]
@@ -60,7 +63,7 @@
 
 def test_some_streams_last_for_seconds():
     callers, _ = asyncio.run(_run_until_one_node_is_not_ready())
-    streams = [r for r in callers.records if r.kind is Kind.STREAM]
+    streams = [r for r in callers.records if r.kind is RequestKind.STREAM]
     long = [r for r in streams if r.events >= 100]
     assert 0 < len(long) < len(streams) / 8
-    assert all(r.deadline - r.sent_at > LONG_SECONDS - LISTEN_SECONDS for r in long)
+    assert all(r.deadline - r.sent_at > LONG_SECONDS - READ_GRACE_SECONDS for r in long)
--- a/soak/tests/test_fleet.py
+++ b/soak/tests/test_fleet.py
@@ -8,7 +8,7 @@
     FIRST_PORT,
     own_ports,
 )
-from soak.fleet import Fleet, Member
+from soak.fleet import Fleet, ManagedProcess
 
 
 def test_ports_are_not_among_those_of_connections():
@@ -33,7 +33,7 @@
     options.write_text('host = "127.0.0.1"\nport = 0\n')
 
     async def restart_twice() -> None:
-        engine = Member(
+        engine = ManagedProcess(
             name="e",
             arguments=("standin", "observatory-store", "--config", str(options)),
             environment={},
@@ -45,7 +45,7 @@
         try:
             async with asyncio.timeout(10.0):
                 await asyncio.gather(fleet.restart(engine), fleet.restart(engine))
-            assert engine.wanted and engine.is_running
+            assert engine.should_run and engine.is_running
         finally:
             await fleet.close()
 
--- a/soak/tests/test_judge.py
+++ b/soak/tests/test_judge.py
@@ -5,14 +5,14 @@
 import pytest
 
 from mallowpond.standins.observatory_engine import call_body, event_bytes
-from soak.judge import broken_promises
+from soak.judge import find_violations
 from soak.records import (
     CallerRecord,
     Disturbance,
     Ending,
     ForeignEntry,
-    Kind,
-    Note,
+    JournalEntry,
+    RequestKind,
     Revocation,
     Run,
 )
@@ -20,24 +20,24 @@
 MEMBERS = ["e0", "e1", "e2"]
 
 
-def note(event, at=10.0, engine="e0", **values):
+def entry(event, at=10.0, engine="e0", **values):
     """Write a line of an engine's journal."""
-    return Note(at=at, engine=engine, event=event, values=values)
+    return JournalEntry(at=at, engine=engine, event=event, values=values)
 
 
-def ran(attempt="q", at=10.1, engine="p0", **values):
+def run_entry(attempt="q", at=10.1, engine="p0", **values):
     """Write the line of a run."""
     place = {"group": None, "epoch": None, "members": None}
-    told = {"attempt": attempt, "tenant": "a", "has_key": False, **place, **values}
-    return note("run", at=at, engine=engine, **told)
+    expected = {"attempt": attempt, "tenant": "a", "has_key": False, **place, **values}
+    return entry("run", at=at, engine=engine, **expected)
 
 
-def record(kind=Kind.ONCE, **more):
+def record(kind=RequestKind.ONCE, **more):
     """Write a request that was answered whole."""
     body = call_body("q")
-    if kind is Kind.STREAM:
+    if kind is RequestKind.STREAM:
         body = event_bytes("q", 1) + event_bytes("q", 2)
-    found = CallerRecord(
+    answered = CallerRecord(
         attempt="q",
         kind=kind,
         key="key-a",
@@ -51,7 +51,7 @@
         ending=Ending.WHOLE,
         ended_at=10.2,
     )
-    return replace(found, **more)
+    return replace(answered, **more)
 
 
 def run_of(*records, notes=(), disturbances=(), revocations=(), foreign=()):
@@ -66,28 +66,28 @@
 
 
 READY = [
-    note("state", 9.0, e, group="g", epoch=1, state="ready", members=MEMBERS)
+    entry("state", 9.0, e, group="g", epoch=1, state="ready", members=MEMBERS)
     for e in MEMBERS
 ]
-OPEN = note("state", 9.1, group="g", epoch=1, state="open", members=MEMBERS)
+OPEN = entry("state", 9.1, group="g", epoch=1, state="open", members=MEMBERS)
 IN_GROUP = {"group": "g", "epoch": 1, "members": MEMBERS, "engine": "e0"}
 REVOKED = Revocation(key="key-a", accepted_at=5.0, restored_at=20.0)
-JOINED = note("join", 10.0, "e1", group="h", epoch=2, members=["e1"], before=["g", 1])
-LEAVING = note("draining accepted", 5.0, "p0")
+JOINED = entry("join", 10.0, "e1", group="h", epoch=2, members=["e1"], before=["g", 1])
+LEAVING = entry("draining accepted", 5.0, "p0")
 STOPPED = Disturbance(kind="node_stop", began_at=9.9, ended_at=14.0, node=0)
 REFUSED = {"status": 503, "headers": {}, "body": b""}
 CUT = {"ending": Ending.CUT, "body": event_bytes("q", 1)}
 RECONFIGURED = Disturbance(kind="reconfigure", began_at=9.8, ended_at=9.9)
 KILLED = Disturbance(kind="engine_kill", began_at=9.0, ended_at=11.0)
 STALLED = Disturbance(kind="stall", began_at=9.95, ended_at=10.1)
-RESTARTED = note("start", 9.05, "e1", born=2)
-REJOINED = note("state", 9.5, "e1", group="g", epoch=1, state="ready", members=MEMBERS)
-LEFT = note("leave", 12.0, group="g", epoch=1)
-REOPENED = note("state", 13.0, group="g", epoch=1, state="open", members=MEMBERS)
+RESTARTED = entry("start", 9.05, "e1", born=2)
+REJOINED = entry("state", 9.5, "e1", group="g", epoch=1, state="ready", members=MEMBERS)
+LEFT = entry("leave", 12.0, group="g", epoch=1)
+REOPENED = entry("state", 13.0, group="g", epoch=1, state="open", members=MEMBERS)
 FOREIGN = ForeignEntry(key="p0", written_at=5.0, until=12.0)
 NO_ENGINE = Disturbance(kind="foreign_entry", began_at=9.0, ended_at=12.0)
 STORE_CUT = Disturbance(kind="store_link", began_at=4.0, ended_at=6.0, node=1)
-MISDIRECTED = note("misdirected", wanted="no id")
+MISDIRECTED = entry("misdirected", wanted="no id")
 FATAL_BESIDE = Disturbance(kind="fatal_request", began_at=0.0, ended_at=60.0)
 RESTARTED_NODE = Disturbance(kind="node_kill", began_at=19.0, ended_at=21.0, node=0)
 FAILED = {"status": 502, "headers": {}, "body": b""}
@@ -106,8 +106,8 @@
         )
         for at in times
     ]
-    lines = [ran(f"f{at}", at) for at in times]
-    lines += [note("crash", at + 0.1, attempt=f"f{at}") for at in times]
+    lines = [run_entry(f"f{at}", at) for at in times]
+    lines += [entry("crash", at + 0.1, attempt=f"f{at}") for at in times]
     return records, lines
 
 
@@ -117,10 +117,10 @@
     return run_of(*records, notes=lines, **more)
 
 
-def asked(*, sent_at, **more):
-    """Write one asking of a request that was asked several times."""
+def resent(*, sent_at, **more):
+    """Write one asking of a request that was resent several times."""
     times = {"sent_at": sent_at, "ended_at": sent_at, "deadline": sent_at + 1.5}
-    return record(Kind.AGAIN, content="c", **times, **more)
+    return record(RequestKind.AGAIN, content="c", **times, **more)
 
 
 KEPT = [
@@ -135,28 +135,32 @@
         disturbances=(RESTARTED_NODE,),
     ),
     run_of(
-        asked(sent_at=10.0, **FAILED),
-        asked(sent_at=11.0, **REFUSED),
-        asked(sent_at=12.0),
-        notes=[ran(), ran()],
+        resent(sent_at=10.0, **FAILED),
+        resent(sent_at=11.0, **REFUSED),
+        resent(sent_at=12.0),
+        notes=[run_entry(), run_entry()],
         disturbances=(FATAL_BESIDE,),
     ),
-    run_of(record(), notes=[ran()]),
-    run_of(record(Kind.STREAM), notes=[*READY, OPEN, ran(**IN_GROUP)]),
+    run_of(record(), notes=[run_entry()]),
+    run_of(record(RequestKind.STREAM), notes=[*READY, OPEN, run_entry(**IN_GROUP)]),
     run_of(record(**REFUSED)),
-    run_of(record(Kind.AGAIN), notes=[ran(), ran()]),
-    run_of(record(**CUT, kind=Kind.STREAM), notes=[ran()]),
+    run_of(record(RequestKind.AGAIN), notes=[run_entry(), run_entry()]),
+    run_of(record(**CUT, kind=RequestKind.STREAM), notes=[run_entry()]),
     run_of(
-        record(**CUT, kind=Kind.STREAM, ended_at=11.49),
-        notes=[ran()],
+        record(**CUT, kind=RequestKind.STREAM, ended_at=11.49),
+        notes=[run_entry()],
         disturbances=(STOPPED,),
     ),
     # A stop is not to blame for what an engine's death cut off beside it.
     run_of(
-        record(**CUT, kind=Kind.STREAM), notes=[ran()], disturbances=(STOPPED, KILLED)
+        record(**CUT, kind=RequestKind.STREAM),
+        notes=[run_entry()],
+        disturbances=(STOPPED, KILLED),
     ),
     run_of(
-        record(**CUT, kind=Kind.STREAM), notes=[ran()], disturbances=(STOPPED, STALLED)
+        record(**CUT, kind=RequestKind.STREAM),
+        notes=[run_entry()],
+        disturbances=(STOPPED, STALLED),
     ),
     # A member that started a moment before the opening, or joined anew.
     run_of(notes=[*READY, RESTARTED, OPEN]),
@@ -173,40 +177,42 @@
         notes=[
             *READY,
             OPEN,
-            note("start", 9.5),
+            entry("start", 9.5),
             JOINED,
             LEFT,
         ]
     ),
-    run_of(record(), notes=[LEAVING, note("start", 9.0, "p0"), ran()]),
+    run_of(record(), notes=[LEAVING, entry("start", 9.0, "p0"), run_entry()]),
     # What came before the news, or after an entry of the engine's own.
-    run_of(record(), notes=[ran(at=7.0)], foreign=(FOREIGN,)),
-    run_of(record(), notes=[ran(at=12.5)], foreign=(FOREIGN,)),
-    run_of(record(), notes=[ran()], foreign=(FOREIGN,), disturbances=(STORE_CUT,)),
+    run_of(record(), notes=[run_entry(at=7.0)], foreign=(FOREIGN,)),
+    run_of(record(), notes=[run_entry(at=12.5)], foreign=(FOREIGN,)),
+    run_of(
+        record(), notes=[run_entry()], foreign=(FOREIGN,), disturbances=(STORE_CUT,)
+    ),
     run_of(record(**REFUSED), disturbances=(NO_ENGINE, KILLED)),
-    run_of(notes=[note("start", 1.0, "e9"), note("misdirected", wanted="e9")]),
+    run_of(notes=[entry("start", 1.0, "e9"), entry("misdirected", wanted="e9")]),
 ]
 BROKEN = [
     ("4 times more", fatal_run(10.0, 11.0, 12.0, *(20.0 + n / 10 for n in range(4)))),
     (
         "beside a fatal request",
         run_of(
-            asked(sent_at=10.0, **FAILED),
-            asked(sent_at=11.0, **REFUSED),
+            resent(sent_at=10.0, **FAILED),
+            resent(sent_at=11.0, **REFUSED),
             disturbances=(FATAL_BESIDE,),
         ),
     ),
-    ("another request", run_of(record(headers={}), notes=[ran()])),
-    ("is not", run_of(record(body=b""), notes=[ran()])),
-    ("missing, doubled", run_of(record(**{**CUT, "body": b"x"}), notes=[ran()])),
-    ("ran 2 times", run_of(record(), notes=[ran(), ran()])),
-    ("and it ran", run_of(record(**REFUSED), notes=[ran()])),
-    ("no caller", run_of(notes=[ran()])),
-    ("for workspace", run_of(record(), notes=[ran(tenant="b")])),
-    ("key was passed", run_of(record(), notes=[ran(has_key=True)])),
-    ("held beyond", run_of(record(ended_at=14.0), notes=[ran()])),
-    ("taken away", run_of(record(), notes=[ran()], revocations=(REVOKED,))),
-    ("not whole", run_of(record(), notes=[*READY[:2], OPEN, ran(**IN_GROUP)])),
+    ("another request", run_of(record(headers={}), notes=[run_entry()])),
+    ("is not", run_of(record(body=b""), notes=[run_entry()])),
+    ("missing, doubled", run_of(record(**{**CUT, "body": b"x"}), notes=[run_entry()])),
+    ("ran 2 times", run_of(record(), notes=[run_entry(), run_entry()])),
+    ("and it ran", run_of(record(**REFUSED), notes=[run_entry()])),
+    ("no caller", run_of(notes=[run_entry()])),
+    ("for workspace", run_of(record(), notes=[run_entry(tenant="b")])),
+    ("key was passed", run_of(record(), notes=[run_entry(has_key=True)])),
+    ("held beyond", run_of(record(ended_at=14.0), notes=[run_entry()])),
+    ("taken away", run_of(record(), notes=[run_entry()], revocations=(REVOKED,))),
+    ("not whole", run_of(record(), notes=[*READY[:2], OPEN, run_entry(**IN_GROUP)])),
     (
         "while",
         run_of(
@@ -214,7 +220,7 @@
                 *READY,
                 OPEN,
                 JOINED,
-                note(
+                entry(
                     "run",
                     11.0,
                     attempt="z",
@@ -227,37 +233,49 @@
             ]
         ),
     ),
-    ("that leaves", run_of(record(), notes=[LEAVING, ran()])),
+    ("that leaves", run_of(record(), notes=[LEAVING, run_entry()])),
     (
         "planned stop",
-        run_of(record(**CUT, kind=Kind.STREAM), notes=[ran()], disturbances=(STOPPED,)),
+        run_of(
+            record(**CUT, kind=RequestKind.STREAM),
+            notes=[run_entry()],
+            disturbances=(STOPPED,),
+        ),
     ),
     (
         "planned stop",
         run_of(
-            record(**CUT, kind=Kind.STREAM),
-            notes=[ran()],
+            record(**CUT, kind=RequestKind.STREAM),
+            notes=[run_entry()],
             disturbances=(STOPPED, RECONFIGURED),
         ),
     ),
     (
         "ran 2 times",
-        run_of(record(), notes=[ran(born=1), note("start", 10.15, "p0"), ran(born=2)]),
+        run_of(
+            record(),
+            notes=[run_entry(born=1), entry("start", 10.15, "p0"), run_entry(born=2)],
+        ),
     ),
     (
         "held beyond",
-        run_of(record(ended_at=14.0), notes=[ran()], disturbances=(STALLED,)),
+        run_of(record(ended_at=14.0), notes=[run_entry()], disturbances=(STALLED,)),
     ),
     (
         "another writer",
-        run_of(record(), notes=[ran()], foreign=(FOREIGN,), disturbances=(STALLED,)),
+        run_of(
+            record(), notes=[run_entry()], foreign=(FOREIGN,), disturbances=(STALLED,)
+        ),
     ),
     ("without e1", run_of(notes=[*READY, RESTARTED, REOPENED])),
-    ("another writer", run_of(record(), notes=[ran()], foreign=(FOREIGN,))),
+    ("another writer", run_of(record(), notes=[run_entry()], foreign=(FOREIGN,))),
     (
         "another writer",
         run_of(
-            record(), notes=[ran()], foreign=(FOREIGN,), disturbances=(RECONFIGURED,)
+            record(),
+            notes=[run_entry()],
+            foreign=(FOREIGN,),
+            disturbances=(RECONFIGURED,),
         ),
     ),
     ("entry of no engine", run_of(record(**REFUSED), disturbances=(NO_ENGINE,))),
@@ -267,21 +285,21 @@
 
 @pytest.mark.parametrize("run", KEPT)
 def test_a_run_that_kept_its_promises_passes(run):
-    assert broken_promises(run) == []
+    assert find_violations(run) == []
 
 
-@pytest.mark.parametrize(("told", "run"), BROKEN)
-def test_every_breach_is_seen(told, run):
-    assert any(told in line for line in broken_promises(run))
+@pytest.mark.parametrize(("expected", "run"), BROKEN)
+def test_every_breach_is_seen(expected, run):
+    assert any(expected in line for line in find_violations(run))
 
 
-def limited(*arrivals, limit=1.0, node=0, disturbances=()):
+def rate_limited_run(*arrivals, limit=1.0, node=0, disturbances=()):
     """Write a run of an engine that names a limit at 10 s, and what it got since."""
-    notes = [note("rate limit", at=10.0, engine="p0", limit=limit)]
+    notes = [entry("rate limit", at=10.0, engine="p0", limit=limit)]
     records = []
     for number, at in enumerate((10.1, *arrivals)):
-        notes.append(note("arrival", at=at, engine="p0", attempt=f"q{number}"))
-        notes.append(ran(attempt=f"q{number}", at=at))
+        notes.append(entry("arrival", at=at, engine="p0", attempt=f"q{number}"))
+        notes.append(run_entry(attempt=f"q{number}", at=at))
         records.append(
             record(
                 attempt=f"q{number}",
@@ -295,53 +313,55 @@
 
 def test_requests_beyond_a_rate_limit_are_seen():
     at_once = [13.5] * 11
-    assert any("named 1.0" in line for line in broken_promises(limited(*at_once)))
+    assert any(
+        "named 1.0" in line for line in find_violations(rate_limited_run(*at_once))
+    )
 
 
 def test_requests_that_a_rate_limit_allows_are_no_breach():
-    assert broken_promises(limited(*[13.5] * 10)) == []
+    assert find_violations(rate_limited_run(*[13.5] * 10)) == []
     # Before the limit counts, and once it is over.
-    assert broken_promises(limited(*[11.0] * 30)) == []
-    over = limited(*[14.0] * 30)
-    ended = note("rate limit", at=13.9, engine="p0", limit=None)
+    assert find_violations(rate_limited_run(*[11.0] * 30)) == []
+    over = rate_limited_run(*[14.0] * 30)
+    ended = entry("rate limit", at=13.9, engine="p0", limit=None)
     notes = sorted([*over.notes, ended], key=lambda n: n.at)
-    assert broken_promises(replace(over, notes=tuple(notes))) == []
+    assert find_violations(replace(over, notes=tuple(notes))) == []
 
 
 def test_a_host_that_was_disturbed_is_excused_from_a_rate_limit():
     killed = Disturbance(kind="node_kill", began_at=12.0, ended_at=13.0, node=0)
-    assert broken_promises(limited(*[13.5] * 30, disturbances=[killed])) == []
+    assert find_violations(rate_limited_run(*[13.5] * 30, disturbances=[killed])) == []
 
 
-def turned_away(*arrivals, disturbances=()):
+def backoff_run(*arrivals, disturbances=()):
     """Write a run of an engine that asks a node for 3 s at 10 s."""
-    first = note("turned away", at=10.0, engine="p0", attempt="q", seconds=3.0)
-    later = [note("arrival", at=at, engine="p0", attempt="q") for at in arrivals]
-    notes = (first, ran(), *later)
+    first = entry("turned away", at=10.0, engine="p0", attempt="q", seconds=3.0)
+    later = [entry("arrival", at=at, engine="p0", attempt="q") for at in arrivals]
+    notes = (first, run_entry(), *later)
     return run_of(record(), notes=notes, disturbances=disturbances)
 
 
 def test_requests_within_a_backoff_are_seen():
-    lines = broken_promises(turned_away(10.6, 11.0, 12.9))
+    lines = find_violations(backoff_run(10.6, 11.0, 12.9))
     assert any("asked node 0 for backoff" in line for line in lines)
 
 
 def test_requests_beside_a_backoff_are_no_breach():
     # Those that were under way, two more, and those after the time.
-    assert broken_promises(turned_away(10.1, 10.4, 11.0, 12.0, 13.1, 13.2)) == []
+    assert find_violations(backoff_run(10.1, 10.4, 11.0, 12.0, 13.1, 13.2)) == []
     killed = Disturbance(kind="node_kill", began_at=11.0, ended_at=12.0, node=0)
-    many = turned_away(10.6, 11.0, 12.9, disturbances=[killed])
-    assert broken_promises(many) == []
+    many = backoff_run(10.6, 11.0, 12.9, disturbances=[killed])
+    assert find_violations(many) == []
 
 
-def leaving(sent_at, disturbances=()):
+def draining_run(sent_at, disturbances=()):
     """Write a run of an engine that leaves, of which a node has an answer at 10 s."""
     notes = (
-        note("draining", at=9.0, engine="p0"),
-        note("arrival", at=10.0, engine="p0", attempt="q0"),
-        ran(attempt="q0", at=10.0),
-        note("arrival", at=sent_at + 0.1, engine="p0", attempt="q1"),
-        ran(attempt="q1", at=sent_at + 0.1),
+        entry("draining", at=9.0, engine="p0"),
+        entry("arrival", at=10.0, engine="p0", attempt="q0"),
+        run_entry(attempt="q0", at=10.0),
+        entry("arrival", at=sent_at + 0.1, engine="p0", attempt="q1"),
+        run_entry(attempt="q1", at=sent_at + 0.1),
     )
     records = [
         record(
@@ -356,17 +376,17 @@
 
 
 def test_a_request_to_an_engine_that_said_it_leaves_is_seen():
-    assert any("said it leaves" in line for line in broken_promises(leaving(13.0)))
-    assert broken_promises(leaving(12.4)) == []
+    assert any("said it leaves" in line for line in find_violations(draining_run(13.0)))
+    assert find_violations(draining_run(12.4)) == []
     killed = Disturbance(kind="node_kill", began_at=11.0, ended_at=12.0, node=0)
-    assert broken_promises(leaving(13.0, disturbances=[killed])) == []
+    assert find_violations(draining_run(13.0, disturbances=[killed])) == []
 
 
 def test_a_backoff_ends_with_the_process_that_asked_for_it():
-    run = turned_away(11.1, 11.2, 12.9)
-    restarted = note("start", at=11.0, engine="p0")
+    run = backoff_run(11.1, 11.2, 12.9)
+    restarted = entry("start", at=11.0, engine="p0")
     notes = tuple(sorted([*run.notes, restarted], key=lambda n: n.at))
-    assert broken_promises(replace(run, notes=notes)) == []
+    assert find_violations(replace(run, notes=notes)) == []
     other = replace(restarted, engine="p1")
     notes = tuple(sorted([*run.notes, other], key=lambda n: n.at))
-    assert broken_promises(replace(run, notes=notes)) != []
+    assert find_violations(replace(run, notes=notes)) != []
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from soak.__main__ import play
+from soak.__main__ import run_case
 from soak.cases import Case
 from soak.faults import Fault
 from soak.fleet import FleetShape
 from soak.judge import (
-    BESIDE,
-    FATAL_ENDINGS,
+    BACKOFF_KIND,
+    BYSTANDER_TEXT,
+    FATAL_CRASHES,
     FATAL_KIND,
-    NEED_KIND,
-    SHED_KIND,
-    broken_promises,
+    RATE_LIMIT_KIND,
+    find_violations,
 )
 from soak.records import Ending
 
@@ -30,8 +30,8 @@
     Cause: any; bounds in time are left to runs by hand, since a busy machine adds
     to them.
     """
-    run = asyncio.run(play(Case(seed=seed, seconds=SECONDS, draw=draw), tmp_path))
-    assert broken_promises(run, timed=False) == []
+    run = asyncio.run(run_case(Case(seed=seed, seconds=SECONDS, draw=draw), tmp_path))
+    assert find_violations(run, timed=False) == []
     assert any(r.status == 200 and r.ending is Ending.WHOLE for r in run.callers)
 
 
@@ -41,7 +41,7 @@
     """Play a request that ends its engines, sent again and again for 12 s."""
     fault = Fault(at=0.2, kind=FATAL_KIND, seconds=6.0, draw=request.param)
     case = Case(seed=1, seconds=0.0, faults=(fault,))
-    return asyncio.run(play(case, tmp_path_factory.mktemp("fatal")))
+    return asyncio.run(run_case(case, tmp_path_factory.mktemp("fatal")))
 
 
 def test_a_request_that_ends_its_engines_is_held_back(fatal_run):
@@ -52,10 +52,10 @@
     went on ending engines, and what ran beside it was lost with them. Two engines of
     one day: a stream began to run 101 ms and 66 ms before its head ended.
     """
-    crashes = [note for note in fatal_run.notes if note.event == "crash"]
-    assert len(crashes) >= FATAL_ENDINGS
-    broken = broken_promises(fatal_run, timed=False)
-    assert [line for line in broken if BESIDE not in line] == []
+    crashes = [entry for entry in fatal_run.notes if entry.event == "crash"]
+    assert len(crashes) >= FATAL_CRASHES
+    broken = find_violations(fatal_run, timed=False)
+    assert [line for line in broken if BYSTANDER_TEXT not in line] == []
 
 
 def test_who_stood_beside_a_request_that_ends_its_engines_is_served(fatal_run):
@@ -64,29 +64,29 @@
     Their callers came again, and stood beside it again, or were sent to engines that
     other hosts had seen end. Counted by their endings alone they look like the cause.
     """
-    broken = broken_promises(fatal_run, timed=False)
-    assert [line for line in broken if BESIDE in line] == []
+    broken = find_violations(fatal_run, timed=False)
+    assert [line for line in broken if BYSTANDER_TEXT in line] == []
 
 
 # Numbers of the draw whose remainder chooses what the engine is.
 @pytest.mark.parametrize("draw", [0, 1], ids=["head", "plain"])
 def test_an_engine_that_names_a_rate_limit_gets_no_more(draw, tmp_path):
     """Guards against hosts that together exceed the rate limit that an engine names."""
-    fault = Fault(at=0.2, kind=NEED_KIND, seconds=1.0, draw=draw)
+    fault = Fault(at=0.2, kind=RATE_LIMIT_KIND, seconds=1.0, draw=draw)
     case = Case(seed=1, seconds=0.0, faults=(fault,))
-    run = asyncio.run(play(case, tmp_path))
-    assert any(note.event == "rate limit" for note in run.notes)
-    assert broken_promises(run) == []
+    run = asyncio.run(run_case(case, tmp_path))
+    assert any(entry.event == "rate limit" for entry in run.notes)
+    assert find_violations(run) == []
 
 
 @pytest.mark.parametrize("draw", [0, 1], ids=["head", "plain"])
 def test_an_engine_that_asks_for_backoff_is_left_alone(draw, tmp_path):
     """Guards against hosts that come again before the time that an engine asks for."""
-    fault = Fault(at=0.2, kind=SHED_KIND, seconds=1.0, draw=draw)
+    fault = Fault(at=0.2, kind=BACKOFF_KIND, seconds=1.0, draw=draw)
     case = Case(seed=1, seconds=0.0, faults=(fault,))
-    run = asyncio.run(play(case, tmp_path))
-    assert any(note.event == "turned away" for note in run.notes)
-    assert broken_promises(run) == []
+    run = asyncio.run(run_case(case, tmp_path))
+    assert any(entry.event == "turned away" for entry in run.notes)
+    assert find_violations(run) == []
 
 
 @pytest.mark.parametrize("draw", [0, 1], ids=["head", "plain"])
@@ -95,6 +95,6 @@
     fault = Fault(at=0.2, kind="engine_stop_head_or_plain", seconds=1.0, draw=draw)
     shape = FleetShape(unannounced_seconds=5.0)
     case = Case(seed=1, seconds=0.0, faults=(fault,), shape=shape)
-    run = asyncio.run(play(case, tmp_path))
-    assert any(note.event == "draining" for note in run.notes)
-    assert broken_promises(run) == []
+    run = asyncio.run(run_case(case, tmp_path))
+    assert any(entry.event == "draining" for entry in run.notes)
+    assert find_violations(run) == []
