--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak, each with its own processes."""
+"""Run soak cases, each with its own processes, and check the records of each."""
 
 import asyncio
 import random
@@ -21,25 +21,26 @@
 from soak.records import Disturbance, Run, read_journals, write_run
 
 REQUESTS_PER_SECOND = 40.0
-# How often a caller comes again, where a request may end the engines of others.
+# Retries of one request in runs with requests that crash engines; others have none.
 MAX_RETRIES = 8
-# Time after the last fault in which callers go on, in seconds.
+# Time after the last fault for which callers continue, in seconds.
 TRAILING_SECONDS = 3.0
-# Time for which no link carries anything, in seconds, after which a node may take its
-# groups for silent: a part of the gap that the configuration allows.
+# Minimum delay of this process that is recorded as a stall, in seconds. No link carries
+# anything meanwhile, so that a node may suspect its groups: the value is a part of the
+# gap between events that the configuration allows.
 STALL_SECONDS = 0.1
 STALL_POLL_SECONDS = 0.02
 
 
 @dataclass(kw_only=True)
 class StallDetector:
-    """Hold when this process stood still: the links of all others are in it."""
+    """Detects when this process was blocked: the links of all others run in it."""
 
     longest: float = 0.0
     disturbances: list[Disturbance] = field(default_factory=list)
 
     async def watch(self) -> None:
-        """Look at the clock until cancelled."""
+        """Compare sleeps with the clock until cancelled."""
         while True:
             began = time.monotonic()
             await asyncio.sleep(STALL_POLL_SECONDS)
@@ -55,7 +56,7 @@
 async def run_case(
     case: Case, folder: Path, *, rate: float = REQUESTS_PER_SECOND
 ) -> Run:
-    """Play one case and return what it left behind."""
+    """Run one case and return its records; journals and logs stay in the folder."""
     rng = random.Random(case.seed)
     fleet = Fleet(folder=folder, shape=case.shape)
     kinds = case.only or draw_kinds(rng, case.draw)
@@ -94,7 +95,10 @@
 
 
 def _count_at_stops(run: Run) -> dict[str, int]:
-    """Count the requests that ran when their node was told to stop, or came later."""
+    """Count requests in progress when their node was stopped, and later ones.
+
+    The later ones came on connections that were open before the stop.
+    """
     counts: Counter[str] = Counter()
     for record in run.callers:
         for stop in run.disturbances:
@@ -108,29 +112,34 @@
 
 
 def main(
-    seeds: Annotated[int, typer.Option(help="How many seeds.")] = 1,
-    first: Annotated[int, typer.Option(help="The first seed.")] = 1,
-    seconds: Annotated[float, typer.Option(help="Time with faults a seed.")] = 15.0,
-    draw: Annotated[int, typer.Option(help="Which draw of faults.")] = NEWEST_DRAW,
+    seeds: Annotated[int, typer.Option(help="Number of seeds.")] = 1,
+    first: Annotated[int, typer.Option(help="First seed.")] = 1,
+    seconds: Annotated[
+        float, typer.Option(help="Seconds with faults in each run.")
+    ] = 15.0,
+    draw: Annotated[
+        int, typer.Option(help="Version of the draw of faults.")
+    ] = NEWEST_DRAW,
     only: Annotated[
-        list[str] | None, typer.Option(help="A kind of fault; no others are drawn.")
+        list[str] | None, typer.Option(help="Draw only faults of this kind.")
     ] = None,
-    nodes: Annotated[int, typer.Option(help="How many nodes.")] = 3,
-    domains: Annotated[int, typer.Option(help="How many domains.")] = 2,
+    nodes: Annotated[int, typer.Option(help="Number of nodes.")] = 3,
+    domains: Annotated[int, typer.Option(help="Number of domains.")] = 2,
     rate: Annotated[
-        float, typer.Option(help="Requests a second.")
+        float, typer.Option(help="Requests per second.")
     ] = REQUESTS_PER_SECOND,
     slowness: Annotated[
-        float, typer.Option(help="Time of an event, as a multiple of the declared.")
+        float,
+        typer.Option(help="Time of an event, as a multiple of the configured one."),
     ] = 1.0,
     regressions: Annotated[
-        bool, typer.Option(help="Play the seeds that once failed, and no others.")
+        bool, typer.Option(help="Run only the seeds that once failed.")
     ] = False,
-    keep: Annotated[Path, typer.Option(help="Where failed runs are kept.")] = Path(
-        "soak-results"
-    ),
+    keep: Annotated[
+        Path, typer.Option(help="Folder for the records of failed runs.")
+    ] = Path("soak-results"),
 ) -> None:
-    """Play seeds one after the other; exit with 1 if a promise was broken."""
+    """Run seeds one after the other; exit with 1 if a guarantee was violated."""
     shape = FleetShape(nodes=nodes, domains=domains, slowness=slowness)
     cases = REGRESSIONS
     if not regressions:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Send requests to the nodes and remember all that came back."""
+"""Send requests to the nodes and record the answers."""
 
 import asyncio
 import random
@@ -19,30 +19,34 @@
     RequestKind.AGAIN: "/again/x",
 }
 DEADLINES = {RequestKind.STREAM: 3.0, RequestKind.ONCE: 1.5, RequestKind.AGAIN: 1.5}
-# Time beyond its deadline for which a caller listens, in seconds.
+# Time after its deadline for which a caller still reads an answer, in seconds.
 READ_GRACE_SECONDS = 2.5
-# Share of callers that go to a node also when it says that it is not ready, as a
-# balancer sends them when most nodes say so.
+# Share of new connections that go to any node, ready or not, as a load balancer does
+# when most nodes are not ready.
 NOT_READY_SHARE = 0.1
 READINESS_POLL_SECONDS = 0.3
-# Share of requests that go on a kept connection where there is one, whether or not
-# its node says that it is ready: callers use connections until they close.
+# Share of requests that reuse an idle connection if there is one, even if its node is
+# no longer ready: callers use connections until they close.
 REUSE_SHARE = 0.7
-# Share of streams that last for seconds, so that many nodes are told to stop while
-# they run; their number of events, and their time.
+# Share of streams that last for seconds, so that many nodes are stopped while they run;
+# range of their number of events, and their deadline in seconds.
 LONG_SHARE = 0.04
 LONG_EVENTS = (100, 200)
 LONG_SECONDS = 6.0
-# Longest pauses before a caller sends a request that was not answered whole again, and
-# before one that never is comes again, in seconds.
+# Maximum pauses, in seconds, before a caller retries a request that got no complete
+# answer, and before it sends a fatal request again.
 MAX_RETRY_PAUSE_SECONDS = 0.8
 MAX_RESEND_PAUSE_SECONDS = 0.4
-# Events of a stream that ends its engine: it would last longer than the engine does.
+# Events of a stream that crashes its engine: the engine ends before the stream would.
 FATAL_EVENTS = 30
 
 
 class Callers:
-    """Keep requests coming, at random times, on kept and on new connections."""
+    """Generates requests at random times, on reused and on new connections.
+
+    `ports` has the request port and the readiness port of each node, `rate` is in
+    requests per second, `max_retries` bounds the retries of one request.
+    """
 
     def __init__(
         self,
@@ -55,7 +59,6 @@
         self._ports = ports
         self._rate = rate
         self._rng = rng
-        # How often a caller comes again with a request that was not answered whole.
         self._max_retries = max_retries
         self._ready_nodes: set[int] = set()
         self._idle: list[_Connection] = []
@@ -63,7 +66,7 @@
         self.records: list[CallerRecord] = []
 
     async def run(self, until: float) -> None:
-        """Send requests until a time, then let them end."""
+        """Send requests until a monotonic time, then wait until all have ended."""
         poll_task = asyncio.create_task(self._poll_readiness())
         while time.monotonic() < until:
             await asyncio.sleep(self._rng.expovariate(self._rate))
@@ -77,7 +80,7 @@
     async def send_repeatedly(
         self, *, kind: RequestKind, body: str, until: float
     ) -> None:
-        """Send one request again and again, at any node, whatever comes of it."""
+        """Send one request repeatedly, to any node, regardless of its answers."""
         key = self._rng.choice(("key-a", "key-b"))
         while time.monotonic() < until:
             first = self._new_record(kind, FATAL_EVENTS, DEADLINES[kind])
@@ -129,7 +132,7 @@
     async def _send_with_retries(
         self, record: CallerRecord, connection: "_Connection | None"
     ) -> None:
-        """Ask, and ask again elsewhere while the request may be repeated."""
+        """Send a request and retry it, at any node, while it may be repeated."""
         seconds = record.deadline - record.sent_at
         await self._send(record, connection)
         for _ in range(self._max_retries):
--- a/soak/cases.py
+++ b/soak/cases.py
@@ -1,7 +1,7 @@
-"""What one run plays; seeds that once broke a promise are kept, with their causes.
+"""Soak cases, with the seeds that once violated a guarantee and their causes.
 
-A seed draws faults and callers; what the processes make of them differs from run to
-run, so a seed that passes has not shown its cause to be gone.
+A seed determines the faults and the requests, but the timing of the processes differs
+from run to run: a seed that passes does not prove that its cause is gone.
 """
 
 from dataclasses import dataclass
@@ -12,39 +12,43 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Case:
-    """Name a seed, what is drawn from it, and the cause that it showed, if any."""
+    """The parameters of one run, and the cause of its past failure, if any.
+
+    `draw` is the version of the draw, `only` restricts the kinds of faults, and faults
+    are drawn for the first `seconds` of the run.
+    """
 
     seed: int
     seconds: float
     draw: int = NEWEST_DRAW
     only: tuple[str, ...] = ()
     shape: FleetShape = FleetShape()
-    # Faults that come beside what is drawn; none is drawn in a run of no seconds.
+    # Faults in addition to the drawn ones.
     faults: tuple[Fault, ...] = ()
     cause: str = ""
 
 
-LONG_STREAMS = "the soak's own route ended streams that its callers meant to last"
-FOREIGN_ENTRY = "an entry of another writer, under an unknown key, counted as an engine"
-# It needed a busy machine, on which the soak's links stood still for a moment.
+LONG_STREAMS = "the route of the soak ended streams before their intended length"
+FOREIGN_ENTRY = "a foreign entry under an unknown key was taken for an engine"
+# Needs a busy machine, on which the links of the soak stall for a moment.
 FALSE_SUSPICION = (
-    "streams of a falsely suspected group were not woken when the doubt ended"
+    "streams of a falsely suspected group were not woken when the suspicion ended"
 )
 STALE_PLANNER = (
-    "a planner that woke from a pause joined a member, which knew no newer fence yet, "
-    "out of a group that its successor had opened"
+    "a planner that resumed after a pause ordered a member, which knew no newer fence "
+    "yet, to leave a group that the planner's successor had opened and join another"
 )
-# Open: with two groups and three requests that end their engines at once.
+# Unsolved: with two groups and three requests that crash their engines at once.
 BYSTANDER_BLAMED = (
-    "sends to engines that another host had seen end, broken off after 1 ms, counted "
-    "against a bystander, which was held back in the place of the cause"
+    "sends to engines that another host had seen end, aborted after 1 ms, counted "
+    "against a bystander, which was quarantined instead of the cause"
 )
-# The check was wrong: the requests went to the engine's next process.
-CHECK_IGNORED_RESTART = "a backoff was counted on after its engine had started again"
-# Open: an engine with ten requests a second names a limit of one.
+# The check was wrong: the requests went to the next process of the engine.
+CHECK_IGNORED_RESTART = "the check did not end a backoff when its engine restarted"
+# Unsolved: an engine with ten requests per second announces a limit of one.
 LIMIT_WINDOW_OVERLAP = (
-    "what hosts sent just before a limit was named and their first requests after it "
-    "fell into one window"
+    "what hosts sent just before a limit was announced and their first requests after "
+    "it fell into one window"
 )
 LOAD_REDUCTION_KINDS = ("engine_need", "engine_shedding", "engine_restart", "node_kill")
 STOP_KINDS = ("node_stop_all", "node_stop_series", "node_stop", "reconfigure")
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Draw faults from a seed, and bring them about from outside the processes."""
+"""Draw faults from a seed and inject them from outside the processes."""
 
 import asyncio
 import random
@@ -36,7 +36,7 @@
     "revoke",
     "reconfigure",
 )
-# Kinds that came later: a seed of the first draw goes on meaning the same faults.
+# Later draw versions add kinds, so that seeds of older ones keep their faults.
 DRAW_2_KINDS = (
     "node_stop_series",
     "engine_restart",
@@ -46,39 +46,43 @@
     "foreign_entry",
     "foreign_entry_of_engine",
 )
-# A request that ends each engine that runs it, sent again and again.
+# A request that crashes each engine that runs it, sent repeatedly.
 DRAW_3_KINDS = ("fatal_request",)
-# An engine that names a rate limit in its answers, and one that turns requests away.
+# An engine that announces a rate limit in its answers; one that asks for backoff.
 DRAW_4_KINDS = (RATE_LIMIT_KIND, BACKOFF_KIND)
-# Parts of all kinds that a seed of the second draw may choose from: with few kinds
-# there are calm times, in which the bounds in time count.
+# Shares of all kinds that a seed may choose, from draw version 2 on. With few kinds
+# there are undisturbed periods, in which the time limits are checked.
 KIND_SHARES = (0.15, 0.3, 0.6, 1.0)
 NEWEST_DRAW = 4
 LINK_FAULTS = (LinkMode.SLOW, LinkMode.RESET, LinkMode.SILENT, LinkMode.ONE_WAY)
 SERIES_KINDS = ("node_stop_all", "node_stop_series")
 MAX_FAULT_SECONDS = 4.0
 MEAN_PAUSE_SECONDS = 1.2
-# Pause between the stops of a series, in seconds: shorter than a stop takes.
+# Pause between the stops of a series, in seconds; shorter than the duration of a stop.
 SERIES_PAUSE_SECONDS = 1.0
 # Time after a kill or stop until a node serves and knows its peers, in seconds.
 SETTLE_SECONDS = 2.0
-# Longest wait for an engine that joins a group, and the pause between looks, seconds.
+# Timeout and interval of the polls for an engine that joins a group, in seconds.
 MAX_FORMING_SECONDS = 3.0
 FORMING_POLL_SECONDS = 0.02
-# Time for which an entry of another writer stands at least, in seconds: longer than
-# the bound after which nothing may be sent to its engine.
+# Minimum lifetime of an entry of another writer, in seconds: longer than the limit
+# after which nothing may be sent to its engine.
 MIN_FOREIGN_SECONDS = 3.5
-# Time for which a request that ends its engines comes again at least, in seconds:
-# longer than the bound after which it may hardly reach one.
+# Minimum time for which a request that crashes its engines is sent repeatedly, in
+# seconds: longer than the limit after which it may hardly reach one.
 MIN_FATAL_SECONDS = 6.0
-# Time for which an engine asks for less at least, in seconds: longer than the time from
-# which on a rate limit has to be kept, and a window of it, or than two backoffs.
+# Minimum time for which an engine asks for fewer requests, in seconds: longer than the
+# delay until a rate limit is checked plus its window, and longer than two backoffs.
 MIN_REDUCED_LOAD_SECONDS = 8.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """Say what goes wrong, when, how long, and with which draw of its target."""
+    """A fault to inject, `at` seconds after the start of the run, for `seconds`.
+
+    `draw` is a random number; its remainder chooses the target of the fault. `link` is
+    the mode of the link, for kinds that change one.
+    """
 
     at: float
     kind: str
@@ -88,7 +92,7 @@
 
 
 def draw_kinds(rng: random.Random, draw: int) -> tuple[str, ...]:
-    """Return the kinds that faults of one run are of."""
+    """Choose the kinds of faults of one run; `draw` is the version of the draw."""
     if draw == 1:
         return DRAW_1_KINDS
     share = rng.choice(KIND_SHARES)
@@ -101,7 +105,7 @@
 def draw_faults(
     rng: random.Random, seconds: float, kinds: tuple[str, ...]
 ) -> tuple[Fault, ...]:
-    """Return the faults of one run; they overlap and come in series."""
+    """Draw the faults of one run, ordered by time; they may overlap."""
     faults = []
     at = rng.expovariate(1.0 / MEAN_PAUSE_SECONDS)
     while at < seconds:
@@ -119,7 +123,7 @@
 
 @dataclass(kw_only=True)
 class Injector:
-    """Carry out faults on a fleet, and remember what was done."""
+    """Injects faults into a fleet and records each one with its times."""
 
     fleet: Fleet
     callers: Callers
@@ -128,7 +132,7 @@
     foreign: list[ForeignEntry] = field(default_factory=list)
 
     async def run(self, faults: tuple[Fault, ...]) -> None:
-        """Bring about every fault at its time; return when the last has ended."""
+        """Inject every fault at its time; return when the last has ended."""
         began = time.monotonic()
         tasks = []
         for fault in faults:
@@ -142,7 +146,7 @@
         number = fault.draw % len(self.fleet.nodes)
         match fault.kind.partition("_")[0]:
             case "node" if fault.kind in SERIES_KINDS:
-                # Each of its stops is noted by itself.
+                # Each stop of the series is recorded on its own.
                 await self._stop_series(fault)
                 return
             case "node":
@@ -246,7 +250,8 @@
         link.set_mode(LinkMode.SOUND)
 
     def _choose_plain_or_grouped(self, draw: int) -> ManagedProcess:
-        # Requests that may not be repeated go to the few plain engines only.
+        # Half of the draws choose plain engines, which are few: only they get the
+        # requests that must not be repeated.
         engines, plain = self.fleet.engines, self.fleet.grouped_engine_count
         half = engines[plain:] if draw % 2 else engines[:plain]
         return half[draw // 2 % len(half)]
@@ -256,7 +261,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def _restart_forming(self, draw: int) -> None:
-        """Break a group, and restart one engine while it joins the next."""
+        """Kill an engine of a group, and restart one while it joins the next group."""
         fleet = self.fleet
         fleet.engines[draw % fleet.grouped_engine_count].signal(signal.SIGKILL)
         limit = time.monotonic() + MAX_FORMING_SECONDS
@@ -274,7 +279,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def _restart_while_cut_off(self, fault: Fault) -> None:
-        """Restart an engine while it, or one of the nodes, is cut off the store."""
+        """Restart an engine while its store link, or that of a node, is impaired."""
         fleet = self.fleet
         number = fault.draw // 2
         index = number % len(fleet.engines)
@@ -289,7 +294,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def _choose_head_or_plain(self, draw: int) -> ManagedProcess:
-        """Choose the head of an open group, or a plain engine."""
+        """Choose the head of an open group or a plain engine, by the draw."""
         entries = await self.fleet.engine_entries()
         plain = self.fleet.engines[self.fleet.grouped_engine_count :]
         heads = [
@@ -301,7 +306,7 @@
         return choice[draw // 2 % len(choice)]
 
     async def _reduce_load(self, fault: Fault, number: signal.Signals) -> None:
-        """Let a head, or a plain engine, ask for less by a signal, for a time."""
+        """Signal a head or a plain engine to ask for fewer requests for some time."""
         engine = await self._choose_head_or_plain(fault.draw)
         process = engine.process
         engine.signal(number)
@@ -336,7 +341,7 @@
             await asyncio.sleep(seconds)
 
     async def _stop_series(self, fault: Fault) -> None:
-        """Stop all nodes, one after the other, before the earlier ones are back."""
+        """Stop all nodes in turn, each before the earlier ones are back."""
         if fault.kind == "node_stop_all":
             await self._stop_all(SERIES_PAUSE_SECONDS)
             return
@@ -346,7 +351,7 @@
         )
 
     async def _signal_again(self, seconds: float) -> None:
-        """Signal nodes that may be stopping, and write a configuration."""
+        """Write a configuration, and send SIGHUP and SIGTERM to stopping nodes."""
         await asyncio.sleep(seconds / 2.0)
         await self.fleet.configure()
         for node in self.fleet.nodes:
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Start the real programs as processes on loopback, and signal them."""
+"""Start the real programs as processes on loopback, and stop and restart them."""
 
 import asyncio
 import json
@@ -29,28 +29,34 @@
 GRACE_SECONDS = 8.0
 RESTART_SECONDS = 0.3
 LOAD_SECONDS = 0.3
-# Time of one event by the engine model of the configuration, in seconds.
+# Time of one event according to the configured engine model, in seconds.
 EVENT_SECONDS = 0.02
-# Pause between two looks whether a killed process has ended, in seconds.
+# Interval of the polls for the end of a killed process, in seconds.
 KILL_POLL_SECONDS = 0.005
 
 
 @dataclass(frozen=True, kw_only=True)
 class FleetShape:
-    """Say how many processes there are, and how slow engines are beside their model."""
+    """Number of processes, and the speed of engines.
+
+    `slowness` is the actual time of an event, as a multiple of the configured one.
+    """
 
     nodes: int = 3
     domains: int = 2
     engines_per_domain: int = 4
     plain_engines: int = 2
     slowness: float = 1.0
-    # Time for which only its answers tell that an engine stops, in seconds.
+    # Time for which a stopping engine announces it only in its answers, in seconds.
     unannounced_seconds: float | None = None
 
 
 @dataclass(kw_only=True)
 class ManagedProcess:
-    """Hold one process and how it is started again."""
+    """One process, with what is needed to restart it.
+
+    `options` is set for engines only.
+    """
 
     name: str
     arguments: tuple[str, ...]
@@ -62,7 +68,7 @@
     stopping_since: float | None = None
 
     def start(self) -> None:
-        """Start the process; what it writes goes to its log."""
+        """Start the process; append its output to its log."""
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "mallowpond", *self.arguments],
@@ -75,23 +81,23 @@
 
     @property
     def id(self) -> str:
-        """Return the id of the engine that this is, empty for others."""
+        """Return the engine id; empty for other processes."""
         return (self.options or {}).get("id", "")
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process exists."""
+        """Return whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.is_running and self.process is not None:
             self.process.send_signal(number)
 
 
 @dataclass(kw_only=True)
 class Fleet:
-    """Hold a store, engines, nodes, and the links between them."""
+    """A store, engines and nodes as processes, and the proxies between them."""
 
     folder: Path
     free_ports: Iterator[int] = field(default_factory=own_ports)
@@ -111,7 +117,10 @@
     _stack: AsyncExitStack = field(default_factory=AsyncExitStack)
 
     async def start(self) -> None:
-        """Start everything, and wait until nodes and groups are there."""
+        """Start all processes and wait until all groups are open.
+
+        Raises TimeoutError if the store or the groups do not come up in time.
+        """
         self._stack.push_async_callback(self._http.close)
         self._store_port = next(self.free_ports)
         address = f"127.0.0.1:{self._store_port}"
@@ -129,7 +138,7 @@
         await self._wait_for(self._is_serving, "open groups")
 
     async def close(self) -> None:
-        """Kill the processes that this fleet started, and close the links."""
+        """Kill the processes of this fleet and close the proxies."""
         members = [*self.nodes, *self.engines]
         if self._store is not None:
             members.append(self._store)
@@ -143,7 +152,10 @@
         await self._stack.aclose()
 
     async def run_restarts(self) -> None:
-        """Start again what ended, and kill what outlives its grace time."""
+        """Restart ended processes, and kill those that outlive their grace period.
+
+        Runs until cancelled. A restarted engine gets a new id.
+        """
         while True:
             await asyncio.sleep(RESTART_SECONDS)
             for member in (*self.nodes, *self.engines):
@@ -156,30 +168,30 @@
                     member.start()
 
     async def restart(self, engine: ManagedProcess) -> None:
-        """Kill an engine and start it at once under the id that it had."""
+        """Kill an engine and restart it at once with the same id."""
         process = engine.process
         engine.should_run = False
         engine.signal(signal.SIGKILL)
         while process is not None and process.poll() is None:
             await asyncio.sleep(KILL_POLL_SECONDS)
-        # Another fault may have started it meanwhile: two processes would share a port.
+        # Another fault may have restarted it already; two processes would share a port.
         if engine.process is process:
             engine.start()
         engine.should_run = True
 
     @property
     def grouped_engine_count(self) -> int:
-        """Return how many engines may stand in groups; the plain ones come after."""
+        """Return the number of engines that may join groups; plain ones follow."""
         return self.shape.domains * self.shape.engines_per_domain
 
     def stop(self, member: ManagedProcess) -> None:
-        """Ask a process to end."""
+        """Send SIGTERM to a process, once."""
         if member.stopping_since is None:
             member.stopping_since = time.monotonic()
             member.signal(signal.SIGTERM)
 
     async def configure(self) -> bool:
-        """Write a new configuration with the keys that are in force."""
+        """Write a configuration with the active keys; return whether it is accepted."""
         self.version += 1
         document = soak_configuration(
             self.version,
@@ -193,15 +205,15 @@
         return await self._operator.configure(document)
 
     async def drop_history(self) -> bool:
-        """Let the store forget its changes."""
+        """Make the store drop its history of changes."""
         return await self._operator.drop_history()
 
     async def engine_entries(self) -> dict[str, dict[str, Any]]:
-        """Return what each engine says of itself in the store, by its id."""
+        """Return the store entry of each engine, by engine id."""
         return await self._operator.entries()
 
     async def write_foreign(self, key: str, value: bytes, seconds: float) -> bool:
-        """Let the store hold an engine's entry of another writer for a time."""
+        """Make the store hold a foreign engine entry under a key for some seconds."""
         return await self._operator.write_foreign(key, value, seconds)
 
     def signal_store(self, number: signal.Signals) -> None:
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -1,4 +1,8 @@
-"""Check the promises on what a run left behind."""
+"""Check the records of a run against the guarantees of the system.
+
+Each check yields one line for each violation. Checks of time limits skip what happened
+close to a fault that may explain it.
+"""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator
@@ -10,29 +14,29 @@
 GROUP_SIZE = 3
 REVOKE_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
-# Time that links, timers and a busy machine may add to a bound, in seconds.
+# Time that links, timers and a busy machine may add to a limit, in seconds.
 SLACK_SECONDS = 0.5
-# Time by which a node may end an answer before its caller's deadline, in seconds: it
-# is first_seen whole milliseconds that are left.
+# Time by which a node may end an answer before its caller's deadline, in seconds: the
+# request header carries the remaining time in whole milliseconds.
 ROUNDING_SECONDS = 0.02
-# Time after a disturbance in which a bound in time does not hold, in seconds.
+# Time after a disturbance during which time limits are not checked, in seconds.
 RECOVERY_SECONDS = 3.0
-# Time after it was written at which an entry of another writer, or a start of an
-# engine, is known to every node, in seconds: some reads of the list, and their way.
+# Time within which every node knows of an entry of another writer, or of a start of an
+# engine, in seconds: several reads of the engine list and their latency.
 PROPAGATION_SECONDS = 2.5
 RATE_LIMIT_KIND = "engine_need"
 BACKOFF_KIND = "engine_shedding"
-# Disturbances beside which every request is served all the same.
+# Disturbances that must not affect any request.
 NO_EFFECT_KINDS = ("reconfigure", "history", "foreign_entry")
-# Disturbances after which an answer that was under way has to end whole.
+# Disturbances that must not cut off an answer in progress.
 NO_CUT_KINDS = ("node_stop", RATE_LIMIT_KIND, BACKOFF_KIND, *NO_EFFECT_KINDS)
-# Time after the last disturbance after which every request is served, in seconds: a
-# group is formed again, and hosts that started anew know the others.
+# Time after the last disturbance after which every request must be served, in seconds:
+# groups are formed again, and restarted hosts know the others.
 FULL_RECOVERY_SECONDS = 5.0
-# A time in which the soak itself stood still, and with it every link. It may cut an
-# answer off; bounds of seconds hold all the same.
+# A period in which the soak process itself was blocked, and with it every link. It may
+# cut off an answer; time limits of seconds are still checked.
 STALL_KIND = "stall"
-# Disturbances that leave each node's reads of the list of engines alone.
+# Disturbances that do not affect the nodes' reads of the engine list.
 LIST_READABLE_KINDS = (
     "engine_kill",
     "engine_kill_pair",
@@ -47,32 +51,32 @@
     STALL_KIND,
     *NO_EFFECT_KINDS,
 )
-# Time after its deadline at which a request must have crash_times, in seconds.
+# Time after its deadline within which a request must have ended, in seconds.
 OVERDUE_SECONDS = 1.0
-# Time after its SIGTERM within which a node has crash_times, in seconds: its grace and a
-# second.
+# Time after SIGTERM within which a node has ended, in seconds: 1 s more than its grace
+# period.
 STOP_SECONDS = 9.0
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-# Engines that one request may end before it is known for it, and how often it may
-# reach engines after a while all the same.
+# Number of engines that one request may crash before it is quarantined, and how often
+# it may still reach engines after the quarantine has spread.
 FATAL_CRASHES = 3
 MAX_FATAL_SENDS = 3
 FATAL_KIND = "fatal_request"
-# Time after an engine first limit_entry a rate limit from which on it counts, the window in
-# which its requests are counted, and what hosts that know it may send there: a multiple
-# of the limit, and a number beyond.
+# Time after an engine announces a rate limit until it is checked, and the window in
+# which its requests are counted, both in seconds. Hosts that know the limit may send up
+# to a multiple of it, and a fixed number of requests more.
 LIMIT_GRACE_SECONDS = 3.0
 LIMIT_WINDOW_SECONDS = 4.0
 LIMIT_FACTOR = 1.5
 LIMIT_ALLOWANCE = 5
-# Requests that a node may send to an engine that it was asked to leave alone.
+# Number of requests that a node may send to an engine that asked it for backoff.
 MAX_BACKOFF_REQUESTS = 2
 BYSTANDER_TEXT = "beside a fatal request"
 WORKSPACES = {"key-a": "a", "key-b": "b"}
 
 
 def find_violations(run: Run, *, timed: bool = True) -> list[str]:
-    """Return a line for each broken promise; with `timed`, bounds in time count."""
+    """Return a line for each violated guarantee; `timed` includes the time limits."""
     checks = (
         _check_answers,
         _check_at_most_once,
@@ -115,7 +119,7 @@
         if record.headers.get(names.ATTEMPT) != record.attempt:
             yield f"{record.attempt}: the answer belongs to another request"
         if record.ending is Ending.WHOLE and record.body != whole:
-            yield f"{record.attempt}: crash_times as whole, but is not"
+            yield f"{record.attempt}: ended as whole, but is not"
         if not whole.startswith(record.body):
             yield f"{record.attempt}: events missing, doubled or mixed"
 
@@ -195,7 +199,7 @@
         if entry.event == "leave":
             head_states.pop(entry.group_key, None)
         if entry.event == "start":
-            # A process that starts holds nothing, also under a known id.
+            # A new process has no group, even if its engine id is a known one.
             head_states = {k: v for k, v in head_states.items() if v[0] != entry.engine}
         if entry.event == "join" and entry.values["before"] is not None:
             before = tuple(entry.values["before"])
@@ -206,11 +210,14 @@
                 and state in ("open", "closing")
                 and _is_active_after(run, head, entry.at)
             ):
-                yield f"{entry.engine}: joined {entry.group_key} while {before} was {state}"
+                yield (
+                    f"{entry.engine}: joined {entry.group_key} "
+                    f"while {before} was {state}"
+                )
 
 
 def _is_active_after(run: Run, engine: str, at: float) -> bool:
-    """Tell whether an engine does anything after a moment."""
+    """Return whether the journal of an engine has entries after a time."""
     return any(entry.engine == engine and entry.at > at for entry in run.notes)
 
 
@@ -237,7 +244,7 @@
 
 
 def _check_group_openings(run: Run) -> Iterator[str]:
-    """Find groups that opened long after a member had started anew."""
+    """Find groups that opened although a member had restarted and not rejoined."""
     ready: dict[tuple[str, tuple[str, int]], float] = {}
     started: dict[str, float] = {}
     for entry in run.notes:
@@ -268,7 +275,7 @@
 
 
 def _check_unaffected_requests(run: Run) -> Iterator[str]:
-    """Find what was not served while nothing was wrong but entries of no engine."""
+    """Find requests that failed during disturbances that must not affect any."""
     changes = [d for d in run.disturbances if d.kind in NO_EFFECT_KINDS]
     for record in run.callers:
         if record.status == 200 and record.ending is Ending.WHOLE:
@@ -280,7 +287,7 @@
 
 
 def _check_misdirected(run: Run) -> Iterator[str]:
-    """Find what was sent to an engine that only another writer names."""
+    """Find requests meant for an engine that exists only in a foreign entry."""
     engines = {entry.engine for entry in run.notes}
     for entry in run.notes:
         intended = entry.values.get("wanted")
@@ -289,7 +296,7 @@
 
 
 def _check_containment(run: Run) -> Iterator[str]:
-    """Find requests that went on to engines long after they had crash_times some."""
+    """Find requests that still reach engines long after they crashed several."""
     sent = {record.attempt: record for record in run.callers}
     crash_times: dict[str, list[float]] = defaultdict(list)
     for entry in run.notes:
@@ -314,7 +321,7 @@
 
 
 def _check_rate_limits(run: Run) -> Iterator[str]:
-    """Find engines that got more than the rate limit that they had limit_entry."""
+    """Find engines that got more requests than their announced rate limit."""
     for engine in {entry.engine for entry in run.notes if entry.event == "rate limit"}:
         entries = [entry for entry in run.notes if entry.engine == engine]
         limit_entry: JournalEntry | None = None
@@ -333,7 +340,10 @@
 def _find_excess(
     run: Run, entries: list[JournalEntry], limit_entry: JournalEntry, at: float
 ) -> str | None:
-    """Say how many requests an engine got in the window up to a moment, if too many."""
+    """Return a violation if the window that ends at `at` holds too many requests.
+
+    Only requests of undisturbed nodes count that have sent one since the announcement.
+    """
     if at < limit_entry.at + LIMIT_GRACE_SECONDS:
         return None
     nodes = {record.attempt: record.node for record in run.callers}
@@ -358,7 +368,7 @@
 
 
 def _check_backoffs(run: Run) -> Iterator[str]:
-    """Find nodes that sent on to an engine which had asked them for backoff."""
+    """Find nodes that kept sending to an engine that asked them for backoff."""
     nodes = {record.attempt: record.node for record in run.callers}
     arrived: dict[tuple[str, int | None], list[float]] = defaultdict(list)
     for entry in run.notes:
@@ -372,7 +382,7 @@
         node = nodes.get(entry.values.get("attempt", ""))
         if entry.event != "turned away" or node is None:
             continue
-        # A process that starts anew under the id has asked for nothing.
+        # A restart under the same id ends the backoff: the new process asked for none.
         later = [at for at in starts[entry.engine] if at > entry.at]
         end = min([entry.at + entry.values["seconds"], *later])
         since = entry.at + SLACK_SECONDS
@@ -382,7 +392,7 @@
 
 
 def _check_announced_stops(run: Run) -> Iterator[str]:
-    """Find requests to an engine of whose stop its answers had first_seen that node."""
+    """Find requests from a node to an engine whose answers announced its stop."""
     sent = {record.attempt: record for record in run.callers}
     leaving: set[str] = set()
     first_seen: dict[tuple[str, int], float] = {}
@@ -404,7 +414,7 @@
 
 
 def _was_disturbed(run: Run, node: int, at: float) -> bool:
-    """Tell whether a node itself was disturbed just before a moment."""
+    """Return whether the node itself was disturbed shortly before a time."""
     return any(
         d.node == node and d.began_at < at and d.ended_at > at - RECOVERY_SECONDS
         for d in run.disturbances
@@ -412,11 +422,12 @@
 
 
 def _check_bystanders(run: Run) -> Iterator[str]:
-    """Find requests that only stood on engines which another one crash_times."""
+    """Find requests that were never served because another one crashed engines."""
     fatal = [d for d in run.disturbances if d.kind == FATAL_KIND]
     by_content: dict[str, list[CallerRecord]] = defaultdict(list)
     for record in run.callers:
-        # What may not be repeated is lost with its engine, as its caller is first_seen.
+        # A request that must not be repeated may fail with its engine; its caller is
+        # told that the outcome is unknown.
         if record.kind is not RequestKind.ONCE:
             by_content[record.content].append(record)
     for content, records in by_content.items():
@@ -445,7 +456,7 @@
     for record in run.callers:
         is_cut = record.ending in (Ending.CUT, Ending.NONE)
         if not is_cut or record.ended_at > record.deadline - ROUNDING_SECONDS:
-            # What was too slow for its caller was not cut off by the stop.
+            # The deadline ended this request, not the stop.
             continue
         span = record.sent_at - RECOVERY_SECONDS, record.ended_at
         is_near = any(
@@ -457,17 +468,17 @@
 
 
 def _is_without_cuts(run: Run, start: float, end: float) -> bool:
-    """Tell whether nothing happened but what may cut no answer off."""
+    """Return whether the interval has only disturbances that must not cut answers."""
     return not _is_disturbed(run, start, end, except_for=NO_CUT_KINDS)
 
 
 def _is_undisturbed(run: Run, start: float, end: float) -> bool:
-    """Tell whether nothing happened but what every process may disregard."""
+    """Return whether the interval has only disturbances without effect."""
     return not _is_disturbed(run, start, end, except_for=NO_EFFECT_KINDS)
 
 
 def _is_node_undisturbed(run: Run, node: int, start: float, end: float) -> bool:
-    """Tell whether neither a node nor what all nodes share was disturbed."""
+    """Return whether neither the node nor anything shared by all was disturbed."""
     return not any(
         d.began_at < end and d.ended_at > start
         for d in run.disturbances
@@ -477,7 +488,7 @@
 
 
 def _is_list_readable(run: Run, start: float, end: float) -> bool:
-    """Tell whether nothing kept a node from the list of engines."""
+    """Return whether all nodes could read the engine list throughout."""
     return not _is_disturbed(run, start, end, except_for=LIST_READABLE_KINDS)
 
 
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,15 +1,19 @@
-"""Carry connections between two processes, and spoil them on request."""
+"""A TCP proxy between two processes that can delay, drop or reset connections."""
 
 import asyncio
 from enum import Enum
 
 READ_SIZE = 65536
-# Delay of every chunk on a slow mode, in seconds: some times the usual answer time.
+# Delay of every chunk on a slow link, in seconds; several times the usual answer time.
 SLOW_SECONDS = 0.3
 
 
 class LinkMode(str, Enum):
-    """Say how a mode behaves."""
+    """How a link treats connections and their bytes.
+
+    SOUND relays them. SLOW delays every chunk. RESET resets all connections. SILENT
+    discards bytes in both directions, ONE_WAY only replies.
+    """
 
     SOUND = "sound"
     SLOW = "slow"
@@ -19,7 +23,7 @@
 
 
 class Proxy:
-    """Pass bytes from one loopback port to another."""
+    """Relays connections from one loopback port to another."""
 
     def __init__(self, *, target_port: int) -> None:
         self._target_port = target_port
@@ -30,16 +34,16 @@
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the port on which the proxy listens; requires `start`."""
         assert self._server is not None
         return self._server.sockets[0].getsockname()[1]
 
     async def start(self, port: int = 0) -> None:
-        """Listen."""
+        """Listen on a port; 0 lets the system choose one."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
 
     async def close(self) -> None:
-        """Drop every connection."""
+        """Stop listening and reset every connection."""
         if self._server is not None:
             self._server.close()
         self._abort_all()
@@ -48,11 +52,11 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set_mode(self, mode: LinkMode) -> None:
-        """Change how the mode behaves from now on."""
+        """Change the mode; reset connections that lost bytes in the earlier one."""
         was_silent = self._mode in (LinkMode.SILENT, LinkMode.ONE_WAY)
         self._mode = mode
         if mode is LinkMode.RESET or was_silent:
-            # Bytes that a cut held up are lost with their connections.
+            # Bytes were discarded, so that these connections cannot be continued.
             self._abort_all()
 
     def _abort_all(self) -> None:
@@ -107,11 +111,11 @@
             if self._mode is LinkMode.SILENT or (
                 self._mode is LinkMode.ONE_WAY and is_reply
             ):
-                # The bytes are gone, and neither side is told.
+                # Discard the bytes without closing either side.
                 continue
             writer.write(data)
             await writer.drain()
         if self._mode in (LinkMode.SILENT, LinkMode.ONE_WAY):
             await asyncio.Event().wait()
-        # The end of one direction ends both: all peers here use whole closes.
+        # The end of one direction ends both: no peer here half-closes a connection.
         raise ConnectionResetError
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers saw and what engines did, as the checks read it."""
+"""Records of a run: what callers observed, and the journals of the engines."""
 
 import json
 from dataclasses import asdict, dataclass, field
@@ -8,7 +8,7 @@
 
 
 class RequestKind(str, Enum):
-    """Name the kinds of requests."""
+    """Kind of a request, which decides its path and whether it may be repeated."""
 
     STREAM = "stream"
     ONCE = "once"
@@ -16,7 +16,11 @@
 
 
 class Ending(str, Enum):
-    """Say how an answer ended for its caller."""
+    """How an answer ended for its caller.
+
+    WHOLE: received completely. CUT: ended after its status line. NONE: the connection
+    ended without an answer. HELD: nothing was received before the caller gave up.
+    """
 
     WHOLE = "whole"
     CUT = "cut"
@@ -26,7 +30,7 @@
 
 @dataclass(kw_only=True)
 class CallerRecord:
-    """Hold one request as its caller saw it; times are those of one host's clock."""
+    """One request as observed by its caller; all times are of one host's clock."""
 
     attempt: str
     kind: RequestKind
@@ -36,7 +40,7 @@
     sent_at: float
     deadline: float
     is_kept: bool = False
-    # The request's body, which stays the same when its caller sends it again.
+    # Request body; the retries of a request have the same one.
     content: str = ""
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -47,7 +51,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class JournalEntry:
-    """Hold one line of an engine's journal."""
+    """One line of the journal of an engine."""
 
     at: float
     engine: str
@@ -56,14 +60,14 @@
 
     @property
     def group_key(self) -> tuple[str, int] | None:
-        """Return the group that the line is about."""
+        """Return the name and epoch of the group that the entry concerns, if any."""
         group = self.values.get("group")
         return None if group is None else (group, self.values["epoch"])
 
 
 @dataclass(frozen=True, kw_only=True)
 class Disturbance:
-    """Say what was done to which process, and when; `node` None means all nodes."""
+    """An injected fault; `node` is None if it does not concern a single node."""
 
     kind: str
     began_at: float
@@ -73,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Revocation:
-    """Say when a key was taken away, and when it was given back."""
+    """The interval for which an API key was revoked."""
 
     key: str
     accepted_at: float
@@ -82,7 +86,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForeignEntry:
-    """Say from when to when an entry of another writer stood under a key."""
+    """The interval for which the store held an entry of another writer under a key."""
 
     key: str
     written_at: float
@@ -91,7 +95,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Run:
-    """Hold all that one run left behind."""
+    """All records of one run, as the checks read them."""
 
     callers: tuple[CallerRecord, ...]
     notes: tuple[JournalEntry, ...]
@@ -102,15 +106,15 @@
 
 
 def write_run(run: Run, path: Path) -> None:
-    """Write what callers saw and what was done, for who traces a failed run."""
+    """Write the records of a failed run, without the journals, as JSON."""
     kept = {name: value for name, value in asdict(run).items() if name != "notes"}
     path.write_text(json.dumps(kept, indent=1, default=repr))
 
 
 def read_journals(folder: Path) -> tuple[JournalEntry, ...]:
-    """Return the lines of every journal in a folder, by time.
+    """Return the entries of all journals in a folder, ordered by time.
 
-    A killed engine may leave its last line half written.
+    Skips lines that are not JSON: a killed engine may leave its last one incomplete.
     """
     notes = []
     for path in folder.glob("*.journal"):
--- a/soak/tests/test_callers.py
+++ b/soak/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers behave as a balancer and its clients do."""
+"""Tests that callers behave like clients behind a load balancer."""
 
 import asyncio
 import random
@@ -43,20 +43,20 @@
 
 
 def test_open_connections_are_used_until_they_close():
-    """
-    Symptom: a node that cuts off what comes late in its stop passes every check.
-    Sequence: a node says that it is not ready; its connections stay open.
-    Cause: callers left a node, with their open connections, as soon as it said so.
+    """A node that cut off requests late in its stop passed every check.
+
+    Callers dropped their open connections as soon as the node reported that it was not
+    ready, so that no request arrived during the stop.
     """
     callers, stopped_at = asyncio.run(_run_until_one_node_is_not_ready())
     after = [r for r in callers.records if r.sent_at > stopped_at + 0.5]
     late = [r for r in after if r.node == 0]
-    # How many there are depends on how busy the machine is, their share does not: new
-    # connections go to the other node, so it falls from a half as they become kept.
+    # Their number depends on the load of the machine, their share does not: new
+    # connections go to the other node, so it falls from a half as they are reused.
     kept = [r for r in after if r.is_kept]
     assert sum(r.node == 0 for r in kept) > len(kept) / 10 > 0
     assert all(r.ending is Ending.WHOLE for r in late)
-    # New connections mostly go where the node says that it is ready.
+    # New connections mostly go to the ready node.
     new = [r for r in callers.records if not r.is_kept and r.sent_at > stopped_at + 0.5]
     assert sum(r.node == 0 for r in new) < len(new) / 4
 
--- a/soak/tests/test_fleet.py
+++ b/soak/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Processes are started again once, whatever overlaps."""
+"""Tests of the ports and of overlapping restarts of processes."""
 
 import asyncio
 from itertools import islice
@@ -12,10 +12,10 @@
 
 
 def test_ports_are_not_among_those_of_connections():
-    """
-    Symptom: a run does not start, since a port is in use.
-    Sequence: a port is found free; a connection gets it; a process would listen there.
-    Cause: the kernel gave the port to the connection.
+    """A run failed to start because a port was in use.
+
+    The port was free when it was chosen; before the process listened on it, the kernel
+    assigned it to an outgoing connection.
     """
     ports = list(islice(own_ports(), 100))
     assert len(set(ports)) == 100
@@ -23,10 +23,10 @@
 
 
 def test_overlapping_restarts_of_one_engine_end(tmp_path):
-    """
-    Symptom: a run never ends, after its last fault.
-    Sequence: an engine is killed twice at once; one of the two starts it again.
-    Cause: the other one waited for the end of the new process.
+    """A run never ended after its last fault.
+
+    Two faults killed an engine at once and one restarted it; the other waited for the
+    end of the new process.
     """
 
     options = tmp_path / "options"
--- a/soak/tests/test_judge.py
+++ b/soak/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""Each check of the soak sees the breach that it is there for."""
+"""Tests that each check of the soak reports its violation, and nothing else."""
 
 from dataclasses import replace
 
@@ -21,19 +21,19 @@
 
 
 def entry(event, at=10.0, engine="e0", **values):
-    """Write a line of an engine's journal."""
+    """Return an entry of the journal of an engine."""
     return JournalEntry(at=at, engine=engine, event=event, values=values)
 
 
 def run_entry(attempt="q", at=10.1, engine="p0", **values):
-    """Write the line of a run."""
+    """Return the journal entry of an engine that runs a request."""
     place = {"group": None, "epoch": None, "members": None}
     expected = {"attempt": attempt, "tenant": "a", "has_key": False, **place, **values}
     return entry("run", at=at, engine=engine, **expected)
 
 
 def record(kind=RequestKind.ONCE, **more):
-    """Write a request that was answered whole."""
+    """Return a request with a complete answer; `more` replaces fields."""
     body = call_body("q")
     if kind is RequestKind.STREAM:
         body = event_bytes("q", 1) + event_bytes("q", 2)
@@ -55,7 +55,7 @@
 
 
 def run_of(*records, notes=(), disturbances=(), revocations=(), foreign=()):
-    """Write a run."""
+    """Return a run with these records."""
     return Run(
         callers=records,
         notes=tuple(notes),
@@ -94,7 +94,7 @@
 
 
 def fatal(*times):
-    """Write a request that ended an engine at each of these times."""
+    """Return the records and entries of a request that crashes engines at `times`."""
     records = [
         record(
             **FAILED,
@@ -112,19 +112,19 @@
 
 
 def fatal_run(*times, **more):
-    """Write a run with such a request."""
+    """Return a run with a request that crashes engines at `times`."""
     records, lines = fatal(*times)
     return run_of(*records, notes=lines, **more)
 
 
 def resent(*, sent_at, **more):
-    """Write one asking of a request that was resent several times."""
+    """Return one attempt of a request that its caller sends several times."""
     times = {"sent_at": sent_at, "ended_at": sent_at, "deadline": sent_at + 1.5}
     return record(RequestKind.AGAIN, content="c", **times, **more)
 
 
 KEPT = [
-    # Within the time that the news of it takes, and a few times after.
+    # Sent until the hosts know that it crashes engines, and a few times after.
     fatal_run(10.0, 11.0, 12.0, 12.5, 13.0, 14.0, 15.0, 20.0, 20.1, 20.2),
     fatal_run(10.0, 11.0, 20.0, 20.1, 20.2),
     fatal_run(
@@ -151,7 +151,7 @@
         notes=[run_entry()],
         disturbances=(STOPPED,),
     ),
-    # A stop is not to blame for what an engine's death cut off beside it.
+    # The kill of an engine, not the stop, may have cut off the answer.
     run_of(
         record(**CUT, kind=RequestKind.STREAM),
         notes=[run_entry()],
@@ -162,7 +162,7 @@
         notes=[run_entry()],
         disturbances=(STOPPED, STALLED),
     ),
-    # A member that started a moment before the opening, or joined anew.
+    # A member that restarted just before the group opened, or has rejoined.
     run_of(notes=[*READY, RESTARTED, OPEN]),
     run_of(
         notes=[
@@ -172,7 +172,7 @@
             REOPENED,
         ]
     ),
-    # A group of an engine that started anew under its id is gone with its process.
+    # The restart of a head under the same id ends its group.
     run_of(
         notes=[
             *READY,
@@ -183,7 +183,7 @@
         ]
     ),
     run_of(record(), notes=[LEAVING, entry("start", 9.0, "p0"), run_entry()]),
-    # What came before the news, or after an entry of the engine's own.
+    # Before nodes know of the foreign entry, and after the engine's own replaced it.
     run_of(record(), notes=[run_entry(at=7.0)], foreign=(FOREIGN,)),
     run_of(record(), notes=[run_entry(at=12.5)], foreign=(FOREIGN,)),
     run_of(
@@ -294,7 +294,7 @@
 
 
 def rate_limited_run(*arrivals, limit=1.0, node=0, disturbances=()):
-    """Write a run of an engine that names a limit at 10 s, and what it got since."""
+    """Return a run of an engine that announces a limit at 10 s, then gets requests."""
     notes = [entry("rate limit", at=10.0, engine="p0", limit=limit)]
     records = []
     for number, at in enumerate((10.1, *arrivals)):
@@ -320,7 +320,7 @@
 
 def test_requests_that_a_rate_limit_allows_are_no_breach():
     assert find_violations(rate_limited_run(*[13.5] * 10)) == []
-    # Before the limit counts, and once it is over.
+    # Before the limit is checked, and after it has ended.
     assert find_violations(rate_limited_run(*[11.0] * 30)) == []
     over = rate_limited_run(*[14.0] * 30)
     ended = entry("rate limit", at=13.9, engine="p0", limit=None)
@@ -334,7 +334,7 @@
 
 
 def backoff_run(*arrivals, disturbances=()):
-    """Write a run of an engine that asks a node for 3 s at 10 s."""
+    """Return a run of an engine that asks a node for 3 s of backoff at 10 s."""
     first = entry("turned away", at=10.0, engine="p0", attempt="q", seconds=3.0)
     later = [entry("arrival", at=at, engine="p0", attempt="q") for at in arrivals]
     notes = (first, run_entry(), *later)
@@ -347,7 +347,7 @@
 
 
 def test_requests_beside_a_backoff_are_no_breach():
-    # Those that were under way, two more, and those after the time.
+    # Requests in flight, two more, and those after the backoff.
     assert find_violations(backoff_run(10.1, 10.4, 11.0, 12.0, 13.1, 13.2)) == []
     killed = Disturbance(kind="node_kill", began_at=11.0, ended_at=12.0, node=0)
     many = backoff_run(10.6, 11.0, 12.9, disturbances=[killed])
@@ -355,7 +355,7 @@
 
 
 def draining_run(sent_at, disturbances=()):
-    """Write a run of an engine that leaves, of which a node has an answer at 10 s."""
+    """Return a run of a draining engine from which a node has an answer at 10 s."""
     notes = (
         entry("draining", at=9.0, engine="p0"),
         entry("arrival", at=10.0, engine="p0", attempt="q0"),
