--- a/bench/placing.py
+++ b/bench/placing.py
@@ -7,8 +7,8 @@
 import structlog
 
 from bench.report import Report
-from mallowpond.emulator.placing import play
-from mallowpond.emulator.scenario import Figures, Scenario
+from mallowpond.emulator.placing import simulate
+from mallowpond.emulator.scenario import Scenario, SimulationResult
 
 PROCESSES = 4
 SEEDS = 4
@@ -28,10 +28,10 @@
 )
 
 
-def _play(scenario: Scenario, seed: int) -> Figures:
+def _play(scenario: Scenario, seed: int) -> SimulationResult:
     silent = structlog.make_filtering_bound_logger(logging.CRITICAL)
     structlog.configure(wrapper_class=silent)
-    return play(scenario, seed)
+    return simulate(scenario, seed)
 
 
 def run(smallest: bool = False) -> list[Report]:
@@ -42,21 +42,24 @@
     seeds = range(1 if smallest else SEEDS)
     with ProcessPoolExecutor(PROCESSES) as pool:
         plays = {
-            (scenario.name, dispatched, seed): pool.submit(
-                _play, replace(scenario, dispatched=dispatched), seed
+            (scenario.name, uses_dispatcher, seed): pool.submit(
+                _play, replace(scenario, uses_dispatcher=uses_dispatcher), seed
             )
             for scenario in scenarios
-            for dispatched in (False, True)
+            for uses_dispatcher in (False, True)
             for seed in seeds
         }
         rows = [
             _row(
                 scenario.name,
-                dispatched,
-                [plays[scenario.name, dispatched, seed].result() for seed in seeds],
+                uses_dispatcher,
+                [
+                    plays[scenario.name, uses_dispatcher, seed].result()
+                    for seed in seeds
+                ],
             )
             for scenario in scenarios
-            for dispatched in (False, True)
+            for uses_dispatcher in (False, True)
         ]
     columns = ("load", "places", "streams", "late", "unserved", "beyond", "beside")
     notes = (
@@ -70,15 +73,17 @@
 
 
 def _row(
-    name: str, dispatched: bool, plays: list[Figures]
+    name: str, uses_dispatcher: bool, plays: list[SimulationResult]
 ) -> tuple[str | int | float, ...]:
     streams = sum(figures.streams for figures in plays)
     return (
         name,
-        "counted" if dispatched else "by news",
+        "counted" if uses_dispatcher else "by news",
         streams,
         round(100 * sum(figures.late for figures in plays) / streams, 2),
         round(100 * sum(figures.unserved for figures in plays) / streams, 2),
-        round(sum(figures.beyond for figures in plays) / len(plays), 1),
-        round(sum(figures.beside for figures in plays) / len(plays), 1),
+        round(sum(figures.excess_seconds for figures in plays) / len(plays), 1),
+        round(
+            sum(figures.avoidable_excess_seconds for figures in plays) / len(plays), 1
+        ),
     )
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -14,13 +14,14 @@
 from pathlib import Path
 from typing import Any
 
+from mallowpond.standins.free_ports import free_ports
+
 from mallowpond.platform.early_listener import SETTINGS_VARIABLE
 from mallowpond.standins.observatory_engine import new_engine_id
 from mallowpond.standins.observatory_operator import (
     ObservatoryOperator,
     soak_configuration,
 )
-from mallowpond.standins.own_ports import own_ports
 from mallowpond.transport.http_client import HttpClient
 from soak.judge import GROUP_SIZE, REVOKE_SECONDS, WORKSPACES
 from soak.proxy import Proxy
@@ -100,7 +101,7 @@
     """A store, engines and nodes as processes, and the proxies between them."""
 
     folder: Path
-    free_ports: Iterator[int] = field(default_factory=own_ports)
+    free_ports: Iterator[int] = field(default_factory=free_ports)
     shape: FleetShape = FleetShape()
     nodes: list[ManagedProcess] = field(default_factory=list)
     engines: list[ManagedProcess] = field(default_factory=list)
