--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -21,8 +21,8 @@
     ROUTE,
     SERVICE,
     WAY_SECONDS,
-    Figures,
     Scenario,
+    SimulationResult,
 )
 from mallowpond.emulator.virtual_time import run_virtually
 from mallowpond.node.outcomes import Answered, Refusal
@@ -59,7 +59,7 @@
         self.groups: dict[str, EmulatedGroup] = {}
         self.targets = EmulatedTargets(groups=self.groups, way_seconds=WAY_SECONDS)
         self.hosts: list[Host] = []
-        self.figures = Figures()
+        self.figures = SimulationResult()
         self.serving: set[asyncio.Task[None]] = set()
         self.waiting_callers: deque[tuple[CallerRequest, float]] = deque()
         self._opened = 0
@@ -118,7 +118,7 @@
         self.hosts = []
         for task in list(self.serving):
             task.cancel()
-        await asyncio.sleep(self.scenario.away)
+        await asyncio.sleep(self.scenario.outage_seconds)
         back = asyncio.create_task(self.start_hosts(START_SECONDS))
         await asyncio.sleep(FOUND_SECONDS)
         while self.waiting_callers:
@@ -208,7 +208,7 @@
                 self._draw(scenario.prompt_tokens, scenario.prompt_spread)
             ),
             answer_tokens=min(
-                scenario.most_events,
+                scenario.max_events,
                 max(1, round(self._draw(scenario.events, scenario.events_spread))),
             ),
         )
@@ -274,10 +274,10 @@
             open_groups = [self.groups[name] for name in self.listing.targets_now]
             beyond = sum(group.beyond for group in open_groups)
             free = sum(group.free for group in open_groups)
-            self.figures.beyond += beyond * LOOK_SECONDS
-            self.figures.beside += min(beyond, free) * LOOK_SECONDS
+            self.figures.excess_seconds += beyond * LOOK_SECONDS
+            self.figures.avoidable_excess_seconds += min(beyond, free) * LOOK_SECONDS
 
-    async def play(self) -> Figures:
+    async def simulate(self) -> SimulationResult:
         """Play the scenario to its end."""
         scenario = self.scenario
         for _ in range(scenario.groups):
@@ -297,6 +297,6 @@
         return self.figures
 
 
-def play(scenario: Scenario, seed: int) -> Figures:
+def simulate(scenario: Scenario, seed: int) -> SimulationResult:
     """Play a scenario with a seed."""
-    return run_virtually(Fleet(scenario, seed).play())
+    return run_virtually(Fleet(scenario, seed).simulate())
--- a/mallowpond/emulator/tests/test_placing.py
+++ b/mallowpond/emulator/tests/test_placing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mallowpond.emulator.placing import play
+from mallowpond.emulator.placing import simulate
 from mallowpond.emulator.scenario import Scenario
 
 TIGHT = Scenario(name="tight", hosts=18, groups=6, rate=44.0, seconds=8.0)
@@ -15,32 +15,36 @@
 
 def both_ways(scenario, seed):
     """Play a scenario with and without the host that counts places."""
-    return play(replace(scenario, dispatched=False), seed), play(scenario, seed)
+    return simulate(replace(scenario, uses_dispatcher=False), seed), simulate(
+        scenario, seed
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_stream_stands_beyond_the_slots_of_a_group_beside_free_ones(seed):
     """Guard against streams that wait on a full group beside one with free slots."""
-    by_news, dispatched = both_ways(TIGHT, seed)
-    assert by_news.beside > 0.5
-    assert dispatched.beside < by_news.beside / 3
-    assert dispatched.late <= by_news.late
+    by_reports, by_dispatcher = both_ways(TIGHT, seed)
+    assert by_reports.avoidable_excess_seconds > 0.5
+    assert (
+        by_dispatcher.avoidable_excess_seconds < by_reports.avoidable_excess_seconds / 3
+    )
+    assert by_dispatcher.late <= by_reports.late
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_when_all_hosts_start_anew_no_group_is_sent_all_their_streams(seed):
     """Guard against hosts that know nothing of each other and fill the same group."""
-    by_news, dispatched = both_ways(RESTART, seed)
-    assert dispatched.beyond < by_news.beyond / 2
+    by_reports, by_dispatcher = both_ways(RESTART, seed)
+    assert by_dispatcher.excess_seconds < by_reports.excess_seconds / 2
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_in_an_overload_some_are_on_time_and_few_are_lost(seed):
     """Guard against an overload in which each stream waits until it is late."""
-    by_news, dispatched = both_ways(OVERLOAD, seed)
-    assert dispatched.in_time > by_news.in_time
-    assert dispatched.unserved <= by_news.unserved + 0.02 * by_news.streams
+    by_reports, by_dispatcher = both_ways(OVERLOAD, seed)
+    assert by_dispatcher.in_time > by_reports.in_time
+    assert by_dispatcher.unserved <= by_reports.unserved + 0.02 * by_reports.streams
 
 
 def test_a_play_repeats():
-    assert play(TIGHT, 5) == play(TIGHT, 5)
+    assert simulate(TIGHT, 5) == simulate(TIGHT, 5)
