--- a/mallowpond/programs/tests/cluster.py
+++ b/mallowpond/programs/tests/cluster.py
@@ -13,7 +13,7 @@
 from itertools import islice
 from pathlib import Path
 
-from mallowpond.standins.own_ports import own_ports
+from mallowpond.standins.free_ports import own_ports
 
 PORTS = own_ports()
 API_KEY = "kurul-key"
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -15,12 +15,12 @@
 from typing import Any
 
 from mallowpond.platform.early_listener import SETTINGS_VARIABLE
+from mallowpond.standins.free_ports import own_ports
 from mallowpond.standins.observatory_engine import new_engine_id
 from mallowpond.standins.observatory_operator import (
     ObservatoryOperator,
     soak_configuration,
 )
-from mallowpond.standins.own_ports import own_ports
 from mallowpond.transport.http_client import HttpClient
 from soak.judge import GROUP_SIZE, REVOKE_SECONDS, WORKSPACES
 from soak.proxy import Proxy
--- a/soak/tests/test_fleet.py
+++ b/soak/tests/test_fleet.py
@@ -3,7 +3,7 @@
 import asyncio
 from itertools import islice
 
-from mallowpond.standins.own_ports import (
+from mallowpond.standins.free_ports import (
     FIRST_EPHEMERAL_PORT,
     FIRST_PORT,
     own_ports,
