--- a/mallowpond/standins/free_ports.py
+++ b/mallowpond/standins/free_ports.py
@@ -13,7 +13,7 @@
 PORTS_A_PROCESS = 400
 
 
-def own_ports() -> Iterator[int]:
+def free_ports() -> Iterator[int]:
     """Yield ports that nothing listens on, from a part that is this process's own."""
     blocks = (FIRST_EPHEMERAL_PORT - FIRST_PORT) // PORTS_A_PROCESS
     first = FIRST_PORT + os.getpid() % blocks * PORTS_A_PROCESS
--- a/soak/tests/test_fleet.py
+++ b/soak/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from mallowpond.standins.free_ports import (
     FIRST_EPHEMERAL_PORT,
     FIRST_PORT,
-    own_ports,
+    free_ports,
 )
 from soak.fleet import Fleet, ManagedProcess
 
@@ -17,7 +17,7 @@
     The port was free when it was chosen; before the process listened on it, the kernel
     assigned it to an outgoing connection.
     """
-    ports = list(islice(own_ports(), 100))
+    ports = list(islice(free_ports(), 100))
     assert len(set(ports)) == 100
     assert all(FIRST_PORT <= port < FIRST_EPHEMERAL_PORT for port in ports)
 
