--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -36,7 +36,7 @@
 
     scenario: Scenario
     rng: random.Random
-    listing: "Listing"
+    listing: "EmulatedTargetSource"
     targets: EmulatedTargets
     hosts: list["Host"]
 
@@ -72,7 +72,7 @@
         return ()
 
 
-class Listing:
+class EmulatedTargetSource:
     """Hold the list of targets, one for each open group."""
 
     def __init__(self) -> None:
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -13,7 +13,7 @@
 
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.emulator.engines import EmulatedGroup, EmulatedTargets
-from mallowpond.emulator.hosts import Exchange, Host, Listing, Told
+from mallowpond.emulator.hosts import Exchange, Host, EmulatedTargetSource, Told
 from mallowpond.emulator.scenario import (
     FIRST_EVENT_SECONDS,
     MODEL,
@@ -55,7 +55,7 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.rng = random.Random(seed)
-        self.listing = Listing()
+        self.listing = EmulatedTargetSource()
         self.groups: dict[str, EmulatedGroup] = {}
         self.targets = EmulatedTargets(groups=self.groups, way_seconds=WAY_SECONDS)
         self.hosts: list[Host] = []
