--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -13,7 +13,7 @@
 
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.emulator.engines import EmulatedGroup, EmulatedTargets
-from mallowpond.emulator.hosts import Exchange, Host, EmulatedTargetSource, Told
+from mallowpond.emulator.hosts import EmulatedTargetSource, Exchange, Host, Told
 from mallowpond.emulator.scenario import (
     FIRST_EVENT_SECONDS,
     MODEL,
@@ -286,8 +286,8 @@
         works = [self.tell(), self.look()]
         if scenario.restart_at is not None:
             works.append(self.restart())
-        if scenario.replaced_every is not None:
-            works.append(self.replace_groups(scenario.replaced_every))
+        if scenario.replacement_interval is not None:
+            works.append(self.replace_groups(scenario.replacement_interval))
         async with AsyncExitStack() as stack:
             for work in works:
                 stack.push_async_callback(cancel_task, asyncio.ensure_future(work))
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -22,7 +22,7 @@
     restart_at: time at which all hosts stop, None for never.
     away: time from that stop until the hosts start again; callers that arrive
         meanwhile wait and are served as the hosts start.
-    replaced_every: seconds after which one group closes and an empty one opens.
+    replacement_interval: seconds after which one group closes and an empty one opens.
     uses_dispatcher: whether a dispatcher grants slots; otherwise each host chooses
         groups by the loads that the hosts report to each other.
     """
@@ -39,7 +39,7 @@
     max_events: int = 70
     restart_at: float | None = None
     outage_seconds: float = 1.2
-    replaced_every: float | None = None
+    replacement_interval: float | None = None
     uses_dispatcher: bool = True
 
 
