--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -28,7 +28,7 @@
 from mallowpond.state.fleet import Target
 from mallowpond.state.retry_window import RetryWindow
 
-Told = PlaceQuestion | PlaceAnswer | Work
+PeerMessage = PlaceQuestion | PlaceAnswer | Work
 
 
 class Surroundings(Protocol):
@@ -43,7 +43,7 @@
     def dispatching_host(self) -> str | None:
         """Return the host that counts places for all, None while none is known."""
 
-    def deliver(self, node: str, message: Told) -> None:
+    def deliver(self, node: str, message: PeerMessage) -> None:
         """Hand a message to a host that is up."""
 
 
@@ -97,13 +97,13 @@
         self.on_place_answer: list[Callable[[PlaceAnswer], None]] = []
         self.on_work: list[Callable[[Work], None]] = []
 
-    def send_to(self, message: Told, nodes: Iterable[str]) -> None:
+    def send_to(self, message: PeerMessage, nodes: Iterable[str]) -> None:
         """Send a message to some hosts."""
         loop = asyncio.get_running_loop()
         for node in nodes:
             loop.call_later(WAY_SECONDS, self._fleet.deliver, node, message)
 
-    def hear(self, message: Told) -> None:
+    def hear(self, message: PeerMessage) -> None:
         """Take a message."""
         match message:
             case PlaceQuestion():
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -13,7 +13,7 @@
 
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.emulator.engines import EmulatedGroup, EmulatedTargets
-from mallowpond.emulator.hosts import EmulatedTargetSource, Exchange, Host, Told
+from mallowpond.emulator.hosts import EmulatedTargetSource, Exchange, Host, PeerMessage
 from mallowpond.emulator.scenario import (
     FIRST_EVENT_SECONDS,
     MODEL,
@@ -131,7 +131,7 @@
         """Return the host that counts places for all, None while none is known."""
         return self.hosts[0].name if self.hosts else None
 
-    def deliver(self, node: str, message: Told) -> None:
+    def deliver(self, node: str, message: PeerMessage) -> None:
         """Hand a message to a host that is up."""
         for host in self.hosts:
             if host.name == node:
