--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -47,7 +47,7 @@
         """Hand a message to a host that is up."""
 
 
-class Exchange:
+class DiscardingExchange:
     """Take an answer as a caller does."""
 
     def __init__(self) -> None:
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -13,7 +13,12 @@
 
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.emulator.engines import EmulatedGroup, EmulatedTargets
-from mallowpond.emulator.hosts import EmulatedTargetSource, Exchange, Host, PeerMessage
+from mallowpond.emulator.hosts import (
+    DiscardingExchange,
+    EmulatedTargetSource,
+    Host,
+    PeerMessage,
+)
 from mallowpond.emulator.scenario import (
     FIRST_EVENT_SECONDS,
     MODEL,
@@ -237,7 +242,7 @@
                 workspace="w",
                 priority=1,
                 deadline=deadline,
-                exchange=Exchange(),
+                exchange=DiscardingExchange(),
             )
             outcome = await self.rng.choice(self.hosts).streams.serve(work)
             match outcome:
