--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -31,7 +31,7 @@
 PeerMessage = PlaceQuestion | PlaceAnswer | Work
 
 
-class Surroundings(Protocol):
+class FleetContext(Protocol):
     """Give a host what it shares with the others of its fleet."""
 
     scenario: Scenario
@@ -91,7 +91,7 @@
 class Datagrams:
     """Carry the messages of one host, each as long as a datagram takes."""
 
-    def __init__(self, fleet: Surroundings) -> None:
+    def __init__(self, fleet: FleetContext) -> None:
         self._fleet = fleet
         self.on_place_question: list[Callable[[PlaceQuestion], None]] = []
         self.on_place_answer: list[Callable[[PlaceAnswer], None]] = []
@@ -119,7 +119,7 @@
 class Host:
     """Run the product's placing and serving of one host."""
 
-    def __init__(self, *, fleet: Surroundings, number: int) -> None:
+    def __init__(self, *, fleet: FleetContext, number: int) -> None:
         self.name = f"n{number}"
         self._fleet = fleet
         clock = VirtualClock()
