--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -64,7 +64,7 @@
         """Take the end."""
 
 
-class Callers:
+class EmptyCallerHeaders:
     """Pass no headers on."""
 
     def answer_headers(self, response: object) -> tuple[tuple[str, str], ...]:
@@ -133,7 +133,7 @@
             parts=ServingParts(
                 directory=self.directory,
                 targets=fleet.targets,
-                callers=Callers(),
+                callers=EmptyCallerHeaders(),
                 clock=clock,
                 metrics=metrics,
                 budget=lambda service: budget,
