--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -88,7 +88,7 @@
         )
 
 
-class Datagrams:
+class EmulatedDatagrams:
     """Carry the messages of one host, each as long as a datagram takes."""
 
     def __init__(self, fleet: FleetContext) -> None:
@@ -145,7 +145,7 @@
                 ),
             )
         )
-        self.datagrams = Datagrams(fleet)
+        self.datagrams = EmulatedDatagrams(fleet)
         self.dispatcher = Dispatcher(
             name=self.name,
             peers=self.datagrams,
