--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from mallowpond.emulator.engines import EmulatedTargets
-from mallowpond.emulator.scenario import PROFILE, WAY_SECONDS, Scenario
+from mallowpond.emulator.scenario import ONE_WAY_SECONDS, PROFILE, Scenario
 from mallowpond.emulator.virtual_time import VirtualClock
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Dispatcher
@@ -101,7 +101,7 @@
         """Send a message to some hosts."""
         loop = asyncio.get_running_loop()
         for node in nodes:
-            loop.call_later(WAY_SECONDS, self._fleet.deliver, node, message)
+            loop.call_later(ONE_WAY_SECONDS, self._fleet.deliver, node, message)
 
     def hear(self, message: PeerMessage) -> None:
         """Take a message."""
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -22,10 +22,10 @@
 from mallowpond.emulator.scenario import (
     FIRST_EVENT_SECONDS,
     MODEL,
+    ONE_WAY_SECONDS,
     PROFILE,
     ROUTE,
     SERVICE,
-    WAY_SECONDS,
     Scenario,
     SimulationResult,
 )
@@ -62,7 +62,7 @@
         self.rng = random.Random(seed)
         self.listing = EmulatedTargetSource()
         self.groups: dict[str, EmulatedGroup] = {}
-        self.targets = EmulatedTargets(groups=self.groups, way_seconds=WAY_SECONDS)
+        self.targets = EmulatedTargets(groups=self.groups, way_seconds=ONE_WAY_SECONDS)
         self.hosts: list[Host] = []
         self.figures = SimulationResult()
         self.serving: set[asyncio.Task[None]] = set()
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -8,7 +8,7 @@
 SERVICE = "engines"
 MODEL = "m"
 # Time that a datagram takes, and a request or an answer between host and engine.
-WAY_SECONDS = 0.002
+ONE_WAY_SECONDS = 0.002
 
 
 @dataclass(frozen=True, kw_only=True)
