--- a/mallowpond/emulator/engines.py
+++ b/mallowpond/emulator/engines.py
@@ -127,9 +127,11 @@
 class EmulatedTargets:
     """Send requests to emulated groups by the name of their head."""
 
-    def __init__(self, *, groups: dict[str, EmulatedGroup], way_seconds: float) -> None:
+    def __init__(
+        self, *, groups: dict[str, EmulatedGroup], one_way_seconds: float
+    ) -> None:
         self._groups = groups
-        self._way_seconds = way_seconds
+        self._way_seconds = one_way_seconds
 
     async def send(
         self,
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -62,7 +62,9 @@
         self.rng = random.Random(seed)
         self.listing = EmulatedTargetSource()
         self.groups: dict[str, EmulatedGroup] = {}
-        self.targets = EmulatedTargets(groups=self.groups, way_seconds=ONE_WAY_SECONDS)
+        self.targets = EmulatedTargets(
+            groups=self.groups, one_way_seconds=ONE_WAY_SECONDS
+        )
         self.hosts: list[Host] = []
         self.figures = SimulationResult()
         self.serving: set[asyncio.Task[None]] = set()
