--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -76,14 +76,14 @@
     """Hold the list of targets, one for each open group."""
 
     def __init__(self) -> None:
-        self.targets_now: dict[str, Target] = {}
+        self.current_targets: dict[str, Target] = {}
         self.revision = 1
 
     async def targets(self, since: int) -> TargetsRead:
         """Return the whole list."""
         return TargetsRead(
             revision=self.revision,
-            targets=tuple(self.targets_now.values()),
+            targets=tuple(self.current_targets.values()),
             whole=True,
         )
 
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -83,7 +83,7 @@
             model=PROFILE.models[0],
             first_event_seconds=FIRST_EVENT_SECONDS,
         )
-        self.listing.targets_now[name] = Target(
+        self.listing.current_targets[name] = Target(
             id=name,
             service=SERVICE,
             address=f"{name}:1",
@@ -100,8 +100,8 @@
         """Close the oldest group and open an empty one, again and again."""
         while True:
             await asyncio.sleep(seconds)
-            oldest = next(iter(self.listing.targets_now))
-            del self.listing.targets_now[oldest]
+            oldest = next(iter(self.listing.current_targets))
+            del self.listing.current_targets[oldest]
             self.open_group()
             for host in list(self.hosts):
                 await host.directory.refresh()
@@ -278,7 +278,7 @@
             await asyncio.sleep(LOOK_SECONDS)
             if asyncio.get_running_loop().time() < LEAD_SECONDS:
                 continue
-            open_groups = [self.groups[name] for name in self.listing.targets_now]
+            open_groups = [self.groups[name] for name in self.listing.current_targets]
             beyond = sum(group.beyond for group in open_groups)
             free = sum(group.free for group in open_groups)
             self.figures.excess_seconds += beyond * LOOK_SECONDS
