--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -103,7 +103,7 @@
         for node in nodes:
             loop.call_later(ONE_WAY_SECONDS, self._fleet.deliver, node, message)
 
-    def hear(self, message: PeerMessage) -> None:
+    def on_message(self, message: PeerMessage) -> None:
         """Take a message."""
         match message:
             case PlaceQuestion():
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -142,7 +142,7 @@
         """Hand a message to a host that is up."""
         for host in self.hosts:
             if host.name == node:
-                host.datagrams.hear(message)
+                host.datagrams.on_message(message)
 
     # -- news ----------------------------------------------------------------
 
