--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from mallowpond.emulator.engines import EmulatedTargets
-from mallowpond.emulator.scenario import PROFILE, WAY_SECONDS, Scenario
+from mallowpond.emulator.scenario import ONE_WAY_SECONDS, PROFILE, Scenario
 from mallowpond.emulator.virtual_time import VirtualClock
 from mallowpond.node.directory import Directory
 from mallowpond.node.dispatcher import Dispatcher
@@ -28,26 +28,26 @@
 from mallowpond.state.fleet import Target
 from mallowpond.state.retry_window import RetryWindow
 
-Told = PlaceQuestion | PlaceAnswer | Work
+PeerMessage = PlaceQuestion | PlaceAnswer | Work
 
 
-class Surroundings(Protocol):
+class FleetContext(Protocol):
     """Give a host what it shares with the others of its fleet."""
 
     scenario: Scenario
     rng: random.Random
-    listing: "Listing"
+    listing: "EmulatedTargetSource"
     targets: EmulatedTargets
     hosts: list["Host"]
 
     def dispatching_host(self) -> str | None:
         """Return the host that counts places for all, None while none is known."""
 
-    def deliver(self, node: str, message: Told) -> None:
+    def deliver(self, node: str, message: PeerMessage) -> None:
         """Hand a message to a host that is up."""
 
 
-class Exchange:
+class DiscardingExchange:
     """Take an answer as a caller does."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         """Take the end."""
 
 
-class Callers:
+class EmptyCallerHeaders:
     """Pass no headers on."""
 
     def answer_headers(self, response: object) -> tuple[tuple[str, str], ...]:
@@ -72,38 +72,38 @@
         return ()
 
 
-class Listing:
+class EmulatedTargetSource:
     """Hold the list of targets, one for each open group."""
 
     def __init__(self) -> None:
-        self.targets_now: dict[str, Target] = {}
+        self.current_targets: dict[str, Target] = {}
         self.revision = 1
 
     async def targets(self, since: int) -> TargetsRead:
         """Return the whole list."""
         return TargetsRead(
             revision=self.revision,
-            targets=tuple(self.targets_now.values()),
+            targets=tuple(self.current_targets.values()),
             whole=True,
         )
 
 
-class Datagrams:
+class EmulatedDatagrams:
     """Carry the messages of one host, each as long as a datagram takes."""
 
-    def __init__(self, fleet: Surroundings) -> None:
+    def __init__(self, fleet: FleetContext) -> None:
         self._fleet = fleet
         self.on_place_question: list[Callable[[PlaceQuestion], None]] = []
         self.on_place_answer: list[Callable[[PlaceAnswer], None]] = []
         self.on_work: list[Callable[[Work], None]] = []
 
-    def send_to(self, message: Told, nodes: Iterable[str]) -> None:
+    def send_to(self, message: PeerMessage, nodes: Iterable[str]) -> None:
         """Send a message to some hosts."""
         loop = asyncio.get_running_loop()
         for node in nodes:
-            loop.call_later(WAY_SECONDS, self._fleet.deliver, node, message)
+            loop.call_later(ONE_WAY_SECONDS, self._fleet.deliver, node, message)
 
-    def hear(self, message: Told) -> None:
+    def on_message(self, message: PeerMessage) -> None:
         """Take a message."""
         match message:
             case PlaceQuestion():
@@ -119,7 +119,7 @@
 class Host:
     """Run the product's placing and serving of one host."""
 
-    def __init__(self, *, fleet: Surroundings, number: int) -> None:
+    def __init__(self, *, fleet: FleetContext, number: int) -> None:
         self.name = f"n{number}"
         self._fleet = fleet
         clock = VirtualClock()
@@ -133,7 +133,7 @@
             parts=ServingParts(
                 directory=self.directory,
                 targets=fleet.targets,
-                callers=Callers(),
+                callers=EmptyCallerHeaders(),
                 clock=clock,
                 metrics=metrics,
                 budget=lambda service: budget,
@@ -145,7 +145,7 @@
                 ),
             )
         )
-        self.datagrams = Datagrams(fleet)
+        self.datagrams = EmulatedDatagrams(fleet)
         self.dispatcher = Dispatcher(
             name=self.name,
             peers=self.datagrams,
@@ -164,7 +164,7 @@
             dispatching_host=fleet.dispatching_host,
         )
         self.dispatcher_client = dispatcher_client
-        if fleet.scenario.dispatched:
+        if fleet.scenario.uses_dispatcher:
             self.streams.placement.dispatcher_client = dispatcher_client
             self.streams.on_end.append(self.tell_work)
             dispatcher_client.on_unused_grant.append(self.tell_work)
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -13,16 +13,21 @@
 
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.emulator.engines import EmulatedGroup, EmulatedTargets
-from mallowpond.emulator.hosts import Exchange, Host, Listing, Told
+from mallowpond.emulator.hosts import (
+    DiscardingExchange,
+    EmulatedTargetSource,
+    Host,
+    PeerMessage,
+)
 from mallowpond.emulator.scenario import (
     FIRST_EVENT_SECONDS,
     MODEL,
+    ONE_WAY_SECONDS,
     PROFILE,
     ROUTE,
     SERVICE,
-    WAY_SECONDS,
-    Figures,
     Scenario,
+    SimulationResult,
 )
 from mallowpond.emulator.virtual_time import run_virtually
 from mallowpond.node.outcomes import Answered, Refusal
@@ -55,11 +60,13 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.rng = random.Random(seed)
-        self.listing = Listing()
+        self.listing = EmulatedTargetSource()
         self.groups: dict[str, EmulatedGroup] = {}
-        self.targets = EmulatedTargets(groups=self.groups, way_seconds=WAY_SECONDS)
+        self.targets = EmulatedTargets(
+            groups=self.groups, one_way_seconds=ONE_WAY_SECONDS
+        )
         self.hosts: list[Host] = []
-        self.figures = Figures()
+        self.figures = SimulationResult()
         self.serving: set[asyncio.Task[None]] = set()
         self.waiting_callers: deque[tuple[CallerRequest, float]] = deque()
         self._opened = 0
@@ -76,7 +83,7 @@
             model=PROFILE.models[0],
             first_event_seconds=FIRST_EVENT_SECONDS,
         )
-        self.listing.targets_now[name] = Target(
+        self.listing.current_targets[name] = Target(
             id=name,
             service=SERVICE,
             address=f"{name}:1",
@@ -93,8 +100,8 @@
         """Close the oldest group and open an empty one, again and again."""
         while True:
             await asyncio.sleep(seconds)
-            oldest = next(iter(self.listing.targets_now))
-            del self.listing.targets_now[oldest]
+            oldest = next(iter(self.listing.current_targets))
+            del self.listing.current_targets[oldest]
             self.open_group()
             for host in list(self.hosts):
                 await host.directory.refresh()
@@ -118,7 +125,7 @@
         self.hosts = []
         for task in list(self.serving):
             task.cancel()
-        await asyncio.sleep(self.scenario.away)
+        await asyncio.sleep(self.scenario.outage_seconds)
         back = asyncio.create_task(self.start_hosts(START_SECONDS))
         await asyncio.sleep(FOUND_SECONDS)
         while self.waiting_callers:
@@ -131,11 +138,11 @@
         """Return the host that counts places for all, None while none is known."""
         return self.hosts[0].name if self.hosts else None
 
-    def deliver(self, node: str, message: Told) -> None:
+    def deliver(self, node: str, message: PeerMessage) -> None:
         """Hand a message to a host that is up."""
         for host in self.hosts:
             if host.name == node:
-                host.datagrams.hear(message)
+                host.datagrams.on_message(message)
 
     # -- news ----------------------------------------------------------------
 
@@ -208,7 +215,7 @@
                 self._draw(scenario.prompt_tokens, scenario.prompt_spread)
             ),
             answer_tokens=min(
-                scenario.most_events,
+                scenario.max_events,
                 max(1, round(self._draw(scenario.events, scenario.events_spread))),
             ),
         )
@@ -237,7 +244,7 @@
                 workspace="w",
                 priority=1,
                 deadline=deadline,
-                exchange=Exchange(),
+                exchange=DiscardingExchange(),
             )
             outcome = await self.rng.choice(self.hosts).streams.serve(work)
             match outcome:
@@ -271,13 +278,13 @@
             await asyncio.sleep(LOOK_SECONDS)
             if asyncio.get_running_loop().time() < LEAD_SECONDS:
                 continue
-            open_groups = [self.groups[name] for name in self.listing.targets_now]
+            open_groups = [self.groups[name] for name in self.listing.current_targets]
             beyond = sum(group.beyond for group in open_groups)
             free = sum(group.free for group in open_groups)
-            self.figures.beyond += beyond * LOOK_SECONDS
-            self.figures.beside += min(beyond, free) * LOOK_SECONDS
+            self.figures.excess_seconds += beyond * LOOK_SECONDS
+            self.figures.avoidable_excess_seconds += min(beyond, free) * LOOK_SECONDS
 
-    async def play(self) -> Figures:
+    async def simulate(self) -> SimulationResult:
         """Play the scenario to its end."""
         scenario = self.scenario
         for _ in range(scenario.groups):
@@ -286,8 +293,8 @@
         works = [self.tell(), self.look()]
         if scenario.restart_at is not None:
             works.append(self.restart())
-        if scenario.replaced_every is not None:
-            works.append(self.replace_groups(scenario.replaced_every))
+        if scenario.replacement_interval is not None:
+            works.append(self.replace_groups(scenario.replacement_interval))
         async with AsyncExitStack() as stack:
             for work in works:
                 stack.push_async_callback(cancel_task, asyncio.ensure_future(work))
@@ -297,6 +304,6 @@
         return self.figures
 
 
-def play(scenario: Scenario, seed: int) -> Figures:
+def simulate(scenario: Scenario, seed: int) -> SimulationResult:
     """Play a scenario with a seed."""
-    return run_virtually(Fleet(scenario, seed).play())
+    return run_virtually(Fleet(scenario, seed).simulate())
--- a/mallowpond/platform/tests/test_documents.py
+++ b/mallowpond/platform/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of the platform's documents."""
+"""Decoding of the platform's documents."""
 
 from copy import deepcopy
 
@@ -64,7 +64,7 @@
 
 
 def test_a_configuration_is_decoded_whole():
-    site = documents.configuration(DOCUMENT)
+    site = documents.decode_configuration(DOCUMENT)
     stream, other = site.routes
     assert site.version == 7
     assert (stream.repeat, stream.resumable) == (RepeatPolicy.STREAM, True)
@@ -80,16 +80,18 @@
 
 
 def test_a_kind_that_is_not_known_is_never_repeated():
-    """Symptom: a request that may run once at most runs twice.
+    """A request that may run at most once must not run twice.
 
-    Sequence: a new kind of route comes into force before this program knows it.
-    Cause: an unknown kind was taken for one that may be repeated.
+    It did when a configuration with a new kind of route came into force before this
+    program knew that kind: an unknown kind counted as one that may be repeated.
     """
-    assert documents.configuration(DOCUMENT).routes[1].repeat is RepeatPolicy.ONCE
+    assert (
+        documents.decode_configuration(DOCUMENT).routes[1].repeat is RepeatPolicy.ONCE
+    )
 
 
 def test_an_empty_configuration_is_one():
-    site = documents.configuration({"version": 1})
+    site = documents.decode_configuration({"version": 1})
     assert site.routes == ()
     assert not site.uses_keys
 
@@ -110,22 +112,22 @@
         "staged": ["m"],
         "group": {"name": "g", "epoch": 3, "rank": 0, "state": "open"},
     }
-    target = documents.target("i-1", row)
+    target = documents.decode_target("i-1", row)
     assert target.draining
     assert (target.service, target.address) == ("s", "10.0.0.1:80")
     assert (target.data_centre, target.slots) == ("a", 13)
     assert (target.domain, target.model, target.staged) == ("d1", "m", ("m",))
     assert target.membership.phase is GroupPhase.OPEN
     assert target.process == Process(id="i-1", born=1_733_184_000_000)
-    free = documents.target("i-2", {**row, "group": None})
+    free = documents.decode_target("i-2", {**row, "group": None})
     assert free.membership is None
-    assert documents.target("i-3", {}) == Unreadable(
+    assert documents.decode_target("i-3", {}) == Unreadable(
         fault=DecodeFault.MISSING, field="service"
     )
 
 
-# What is no value of any field of the configuration, by the type of a good one.
-WRONG = {
+# Values that are invalid for every field of the configuration with this type.
+WRONG_VALUES = {
     str: (7, True, [], {}, "a\nb", "x" * 2000),
     bool: (7, "x", [], {}),
     int: ("4", True, -1, 2**60, [], {}),
@@ -133,42 +135,41 @@
     list: (7, True, "x", {"a": 1}, [7], [None], ["x"], [[]]),
     dict: (7, True, "x", [], [1]),
 }
-UNUSED = {"later_field"}
+IGNORED_FIELDS = {"later_field"}
 
 
-def spoilt(document, path=()):
-    """Yield each document with one field that is no value of its type."""
+def invalid_variants(document, path=()):
+    """Yield each variant of the document with one invalid value, and its path."""
     for name, value in document.items() if isinstance(document, dict) else ():
-        if name in UNUSED:
+        if name in IGNORED_FIELDS:
             continue
-        for wrong in WRONG[type(value)]:
+        for wrong in WRONG_VALUES[type(value)]:
             if name != "api_keys" or wrong != ["x"]:
                 yield (*path, name), {**document, name: wrong}
         if isinstance(value, dict):
-            for inner, changed in spoilt(value, (*path, name)):
+            for inner, changed in invalid_variants(value, (*path, name)):
                 yield inner, {**document, name: changed}
         if isinstance(value, list):
             for place, item in enumerate(value):
-                for inner, changed in spoilt(item, (*path, name, place)):
+                for inner, changed in invalid_variants(item, (*path, name, place)):
                     items = [*value[:place], changed, *value[place + 1 :]]
                     yield inner, {**document, name: items}
 
 
-SPOILT = [
+INVALID_DOCUMENTS = [
     pytest.param(document, id=".".join(map(str, path)) + f"-{number}")
-    for number, (path, document) in enumerate(spoilt(DOCUMENT))
+    for number, (path, document) in enumerate(invalid_variants(DOCUMENT))
 ]
 
 
-@pytest.mark.parametrize("document", SPOILT)
+@pytest.mark.parametrize("document", INVALID_DOCUMENTS)
 def test_a_configuration_with_one_wrong_field_is_unreadable_as_a_whole(document):
-    """Symptom: requests get 404 on a route that is in force, or keys never expire.
+    """One invalid field must make the configuration unreadable, and must not raise.
 
-    Sequence: a configuration has a field of another type than this program knows.
-    Cause: its decoding raised in the task that follows the configuration; taken in
-    part, what is missing of it would be refused for a reason that is not true.
+    An exception ended the task that follows the configuration, so that revoked keys
+    never expired. If the rest were used, requests to a route in force would get 404.
     """
-    assert isinstance(documents.configuration(document), Unreadable)
+    assert isinstance(documents.decode_configuration(document), Unreadable)
 
 
 @pytest.mark.parametrize(
@@ -190,36 +191,38 @@
     for step in part:
         holder = holder[step]
     del holder[name]
-    found = documents.configuration(document)
+    found = documents.decode_configuration(document)
     assert isinstance(found, Unreadable)
     assert found.fault is DecodeFault.MISSING
 
 
 @pytest.mark.parametrize("document", [None, 7, "x", True, [], [DOCUMENT], {}])
 def test_what_is_no_configuration_is_unreadable(document):
-    assert isinstance(documents.configuration(document), Unreadable)
+    assert isinstance(documents.decode_configuration(document), Unreadable)
 
 
 def test_an_empty_key_lets_nobody_in():
     tenants = [{"name": "w", "api_keys": [""]}]
-    found = documents.configuration({**DOCUMENT, "tenants": tenants})
+    found = documents.decode_configuration({**DOCUMENT, "tenants": tenants})
     assert isinstance(found, Unreadable)
 
 
 @pytest.mark.parametrize("path", ["x", "/a b", "/é", "/a\r\nx: y"])
 def test_a_health_path_that_cannot_be_asked_for_is_unreadable(path):
     services = [{"name": "s", "health_path": path}]
-    found = documents.configuration({**DOCUMENT, "services": services})
+    found = documents.decode_configuration({**DOCUMENT, "services": services})
     assert isinstance(found, Unreadable)
 
 
 def test_null_and_unknown_fields_count_as_missing():
     document = {"version": 1, "routes": None, "limits": None, "x": {"y": [1]}}
-    assert documents.configuration(document) == documents.configuration({"version": 1})
+    assert documents.decode_configuration(document) == documents.decode_configuration(
+        {"version": 1}
+    )
 
 
 @pytest.mark.parametrize("name", ["", " ", "w ", "wörk", "a\r\nx: y"])
 def test_a_workspace_that_no_header_can_name_is_unreadable(name):
     tenants = [{"name": name, "api_keys": ["k"]}]
-    found = documents.configuration({**DOCUMENT, "tenants": tenants})
+    found = documents.decode_configuration({**DOCUMENT, "tenants": tenants})
     assert isinstance(found, Unreadable)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak, each with its own processes."""
+"""Run soak cases, each with its own processes, and check the records of each."""
 
 import asyncio
 import random
@@ -17,43 +17,46 @@
 from soak.cases import REGRESSIONS, Case
 from soak.faults import NEWEST_DRAW, Injector, draw_faults, draw_kinds
 from soak.fleet import Fleet, FleetShape
-from soak.judge import broken_promises
-from soak.records import Disturbance, Run, read_notes, write_run
-
-RATE = 40.0
-# How often a caller comes again, where a request may end the engines of others.
-RETURNS = 8
-# Time after the last fault in which callers go on, in seconds.
-CALM_SECONDS = 3.0
-# Time for which no link carries anything, in seconds, after which a node may take its
-# groups for silent: a part of the gap that the configuration allows.
+from soak.judge import find_violations
+from soak.records import Disturbance, Run, read_journals, write_run
+
+REQUESTS_PER_SECOND = 40.0
+# Retries of one request in runs with requests that crash engines; others have none.
+MAX_RETRIES = 8
+# Time after the last fault for which callers continue, in seconds.
+TRAILING_SECONDS = 3.0
+# Minimum delay of this process that is recorded as a stall, in seconds. No link carries
+# anything meanwhile, so that a node may suspect its groups: the value is a part of the
+# gap between events that the configuration allows.
 STALL_SECONDS = 0.1
-STALL_LOOK_SECONDS = 0.02
+STALL_POLL_SECONDS = 0.02
 
 
 @dataclass(kw_only=True)
-class Stalls:
-    """Hold when this process stood still: the links of all others are in it."""
+class StallDetector:
+    """Detects when this process was blocked: the links of all others run in it."""
 
     longest: float = 0.0
-    found: list[Disturbance] = field(default_factory=list)
+    disturbances: list[Disturbance] = field(default_factory=list)
 
     async def watch(self) -> None:
-        """Look at the clock until cancelled."""
+        """Compare sleeps with the clock until cancelled."""
         while True:
             began = time.monotonic()
-            await asyncio.sleep(STALL_LOOK_SECONDS)
-            late = time.monotonic() - began - STALL_LOOK_SECONDS
+            await asyncio.sleep(STALL_POLL_SECONDS)
+            late = time.monotonic() - began - STALL_POLL_SECONDS
             self.longest = max(self.longest, late)
             if late > STALL_SECONDS:
                 stall = Disturbance(
                     kind="stall", began_at=began, ended_at=time.monotonic()
                 )
-                self.found.append(stall)
+                self.disturbances.append(stall)
 
 
-async def play(case: Case, folder: Path, *, rate: float = RATE) -> Run:
-    """Play one case and return what it left behind."""
+async def run_case(
+    case: Case, folder: Path, *, rate: float = REQUESTS_PER_SECOND
+) -> Run:
+    """Run one case and return its records; journals and logs stay in the folder."""
     rng = random.Random(case.seed)
     fleet = Fleet(folder=folder, shape=case.shape)
     kinds = case.only or draw_kinds(rng, case.draw)
@@ -61,72 +64,82 @@
     is_fatal = any(fault.kind == "fatal_request" for fault in faults)
     ends_in = max([case.seconds, *(f.at + f.seconds for f in case.faults)])
     callers = Callers(
-        ports=fleet.ports,
+        ports=fleet.node_ports,
         rate=rate,
         rng=random.Random(case.seed),
-        returns=RETURNS if is_fatal else 0,
+        max_retries=MAX_RETRIES if is_fatal else 0,
     )
     injector = Injector(fleet=fleet, callers=callers)
     try:
         await fleet.start()
-        restarts = asyncio.create_task(fleet.run_restarts())
-        stalls = Stalls()
-        watching = asyncio.create_task(stalls.watch())
-        asking = asyncio.create_task(
-            callers.run(time.monotonic() + ends_in + CALM_SECONDS)
+        restart_task = asyncio.create_task(fleet.run_restarts())
+        stalls = StallDetector()
+        watch_task = asyncio.create_task(stalls.watch())
+        callers_task = asyncio.create_task(
+            callers.run(time.monotonic() + ends_in + TRAILING_SECONDS)
         )
         await injector.run(tuple(sorted(faults, key=lambda fault: fault.at)))
-        await asking
-        await cancel_task(restarts)
-        await cancel_task(watching)
+        await callers_task
+        await cancel_task(restart_task)
+        await cancel_task(watch_task)
     finally:
         await fleet.close()
     return Run(
         callers=tuple(callers.records),
-        notes=read_notes(folder),
-        disturbances=(*injector.disturbances, *stalls.found),
+        notes=read_journals(folder),
+        disturbances=(*injector.disturbances, *stalls.disturbances),
         revocations=tuple(injector.revocations),
         foreign=tuple(injector.foreign),
         longest_stall=stalls.longest,
     )
 
 
-def _at_stops(run: Run) -> dict[str, int]:
-    """Count the requests that ran when their node was told to stop, or came later."""
-    found: Counter[str] = Counter()
+def _count_at_stops(run: Run) -> dict[str, int]:
+    """Count requests in progress when their node was stopped, and later ones.
+
+    The later ones came on connections that were open before the stop.
+    """
+    counts: Counter[str] = Counter()
     for record in run.callers:
         for stop in run.disturbances:
             if stop.kind != "node_stop" or stop.node != record.node:
                 continue
             if record.sent_at < stop.began_at < record.ended_at:
-                found["ran"] += 1
+                counts["ran"] += 1
             if stop.began_at < record.sent_at < stop.ended_at and record.is_kept:
-                found["came on kept connections"] += 1
-    return dict(found)
+                counts["came on kept connections"] += 1
+    return dict(counts)
 
 
 def main(
-    seeds: Annotated[int, typer.Option(help="How many seeds.")] = 1,
-    first: Annotated[int, typer.Option(help="The first seed.")] = 1,
-    seconds: Annotated[float, typer.Option(help="Time with faults a seed.")] = 15.0,
-    draw: Annotated[int, typer.Option(help="Which draw of faults.")] = NEWEST_DRAW,
+    seeds: Annotated[int, typer.Option(help="Number of seeds.")] = 1,
+    first: Annotated[int, typer.Option(help="First seed.")] = 1,
+    seconds: Annotated[
+        float, typer.Option(help="Seconds with faults in each run.")
+    ] = 15.0,
+    draw: Annotated[
+        int, typer.Option(help="Version of the draw of faults.")
+    ] = NEWEST_DRAW,
     only: Annotated[
-        list[str] | None, typer.Option(help="A kind of fault; no others are drawn.")
+        list[str] | None, typer.Option(help="Draw only faults of this kind.")
     ] = None,
-    nodes: Annotated[int, typer.Option(help="How many nodes.")] = 3,
-    domains: Annotated[int, typer.Option(help="How many domains.")] = 2,
-    rate: Annotated[float, typer.Option(help="Requests a second.")] = RATE,
+    nodes: Annotated[int, typer.Option(help="Number of nodes.")] = 3,
+    domains: Annotated[int, typer.Option(help="Number of domains.")] = 2,
+    rate: Annotated[
+        float, typer.Option(help="Requests per second.")
+    ] = REQUESTS_PER_SECOND,
     slowness: Annotated[
-        float, typer.Option(help="Time of an event, as a multiple of the declared.")
+        float,
+        typer.Option(help="Time of an event, as a multiple of the configured one."),
     ] = 1.0,
     regressions: Annotated[
-        bool, typer.Option(help="Play the seeds that once failed, and no others.")
+        bool, typer.Option(help="Run only the seeds that once failed.")
     ] = False,
-    keep: Annotated[Path, typer.Option(help="Where failed runs are kept.")] = Path(
-        "soak-results"
-    ),
+    keep: Annotated[
+        Path, typer.Option(help="Folder for the records of failed runs.")
+    ] = Path("soak-results"),
 ) -> None:
-    """Play seeds one after the other; exit with 1 if a promise was broken."""
+    """Run seeds one after the other; exit with 1 if a guarantee was violated."""
     shape = FleetShape(nodes=nodes, domains=domains, slowness=slowness)
     cases = REGRESSIONS
     if not regressions:
@@ -143,9 +156,9 @@
     failed = []
     for case in cases:
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{case.seed}-"))
-        run = asyncio.run(play(case, folder, rate=rate))
-        lines = broken_promises(run)
-        _tell(case, run, lines)
+        run = asyncio.run(run_case(case, folder, rate=rate))
+        lines = find_violations(run)
+        _print_summary(case, run, lines)
         if lines:
             failed.append(case.seed)
             write_run(run, folder / "run.json")
@@ -155,11 +168,11 @@
     raise typer.Exit(1 if failed else 0)
 
 
-def _tell(case: Case, run: Run, lines: list[str]) -> None:
+def _print_summary(case: Case, run: Run, lines: list[str]) -> None:
     statuses = Counter(r.status for r in run.callers)
     typer.echo(f"seed {case.seed}: {len(run.callers)} requests {dict(statuses)}")
     kinds = Counter(d.kind for d in run.disturbances)
-    typer.echo(f"  {dict(kinds)}, at planned stops: {_at_stops(run)}")
+    typer.echo(f"  {dict(kinds)}, at planned stops: {_count_at_stops(run)}")
     typer.echo(f"  longest stall of this process {run.longest_stall:.2f} s")
     for line in lines:
         typer.echo(f"  BROKEN {line}")
--- a/soak/tests/test_fleet.py
+++ b/soak/tests/test_fleet.py
@@ -1,39 +1,39 @@
-"""Processes are started again once, whatever overlaps."""
+"""Tests of the ports and of overlapping restarts of processes."""
 
 import asyncio
 from itertools import islice
 
-from mallowpond.standins.own_ports import (
+from mallowpond.standins.free_ports import (
     FIRST_EPHEMERAL_PORT,
     FIRST_PORT,
-    own_ports,
+    free_ports,
 )
-from soak.fleet import Fleet, Member
+from soak.fleet import Fleet, ManagedProcess
 
 
 def test_ports_are_not_among_those_of_connections():
+    """A run failed to start because a port was in use.
+
+    The port was free when it was chosen; before the process listened on it, the kernel
+    assigned it to an outgoing connection.
     """
-    Symptom: a run does not start, since a port is in use.
-    Sequence: a port is found free; a connection gets it; a process would listen there.
-    Cause: the kernel gave the port to the connection.
-    """
-    ports = list(islice(own_ports(), 100))
+    ports = list(islice(free_ports(), 100))
     assert len(set(ports)) == 100
     assert all(FIRST_PORT <= port < FIRST_EPHEMERAL_PORT for port in ports)
 
 
 def test_overlapping_restarts_of_one_engine_end(tmp_path):
-    """
-    Symptom: a run never ends, after its last fault.
-    Sequence: an engine is killed twice at once; one of the two starts it again.
-    Cause: the other one waited for the end of the new process.
+    """A run never ended after its last fault.
+
+    Two faults killed an engine at once and one restarted it; the other waited for the
+    end of the new process.
     """
 
     options = tmp_path / "options"
     options.write_text('host = "127.0.0.1"\nport = 0\n')
 
     async def restart_twice() -> None:
-        engine = Member(
+        engine = ManagedProcess(
             name="e",
             arguments=("standin", "observatory-store", "--config", str(options)),
             environment={},
@@ -45,7 +45,7 @@
         try:
             async with asyncio.timeout(10.0):
                 await asyncio.gather(fleet.restart(engine), fleet.restart(engine))
-            assert engine.wanted and engine.is_running
+            assert engine.should_run and engine.is_running
         finally:
             await fleet.close()
 
