--- a/mallowpond/emulator/tests/test_virtual_time.py
+++ b/mallowpond/emulator/tests/test_virtual_time.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from mallowpond.emulator.virtual_time import StandstillError, run_virtually
+from mallowpond.emulator.virtual_time import NoPendingTimerError, run_virtually
 
 
 def test_hours_pass_in_a_moment_and_in_order():
@@ -28,5 +28,5 @@
     async def main():
         await asyncio.get_running_loop().create_future()
 
-    with pytest.raises(StandstillError):
+    with pytest.raises(NoPendingTimerError):
         run_virtually(main())
--- a/mallowpond/emulator/virtual_time.py
+++ b/mallowpond/emulator/virtual_time.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class StandstillError(RuntimeError):
+class NoPendingTimerError(RuntimeError):
     """Everything waits for something that no timer brings about."""
 
 
@@ -24,7 +24,7 @@
     ) -> list[tuple[selectors.SelectorKey, int]]:
         """Return no events; `timeout` seconds have passed then."""
         if timeout is None:
-            raise StandstillError
+            raise NoPendingTimerError
         self.seconds += max(0.0, timeout)
         return []
 
