--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -29,7 +29,7 @@
     Scenario,
     SimulationResult,
 )
-from mallowpond.emulator.virtual_time import run_virtually
+from mallowpond.emulator.virtual_time import run_in_virtual_time
 from mallowpond.node.outcomes import Answered, Refusal
 from mallowpond.node.ports import CallerRequest
 from mallowpond.node.stream_work import StreamWork
@@ -306,4 +306,4 @@
 
 def simulate(scenario: Scenario, seed: int) -> SimulationResult:
     """Play a scenario with a seed."""
-    return run_virtually(Fleet(scenario, seed).simulate())
+    return run_in_virtual_time(Fleet(scenario, seed).simulate())
--- a/mallowpond/emulator/virtual_time.py
+++ b/mallowpond/emulator/virtual_time.py
@@ -53,7 +53,7 @@
         await asyncio.sleep(seconds)
 
 
-def run_virtually(main: Coroutine[Any, Any, T]) -> T:
+def run_in_virtual_time(main: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine to its end in virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
