--- a/mallowpond/standins/observatory_operator.py
+++ b/mallowpond/standins/observatory_operator.py
@@ -38,7 +38,7 @@
 )
 UNREADABLE = (b"", b"\xff\xfe{", b'{"service": "engi', b"\x00" * 40)
 # Keys that no engine has.
-NO_IDS = ("", " ", "i-", "no id", "i-\u2603", "../op/config", "x" * 200)
+INVALID_IDS = ("", " ", "i-", "no id", "i-\u2603", "../op/config", "x" * 200)
 
 
 class ObservatoryOperator:
