--- a/mallowpond/standins/observatory_operator.py
+++ b/mallowpond/standins/observatory_operator.py
@@ -63,7 +63,7 @@
         document = {"key": key, "value": packed, "seconds": seconds}
         return await self._post("/standin/foreign", document)
 
-    async def open_groups(self) -> int:
+    async def count_open_groups(self) -> int:
         """Return how many engines say that their group is open; 0 without an answer."""
         entries = (await self.entries()).values()
         return sum((e.get("group") or {}).get("state") == "open" for e in entries)
