--- a/mallowpond/emulator/__init__.py
+++ b/mallowpond/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Run the product's own services on a virtual clock, against emulated engines."""
+"""Simulation of the node's services on a virtual clock, with emulated engines."""
--- a/mallowpond/emulator/engines.py
+++ b/mallowpond/emulator/engines.py
@@ -1,4 +1,4 @@
-"""Emulate groups of engines by their declared timing."""
+"""Emulated groups of engines that follow their declared timing."""
 
 import asyncio
 from collections import deque
@@ -10,99 +10,103 @@
 from mallowpond.state.target_notice import TargetNotice
 from mallowpond.transport.http_client import Chunk, End
 
-# Tokens that an engine reads in one step, at most.
-READ_TOKENS_PER_STEP = 2048
+# Upper bound of the prompt tokens that a group prefills per decoding step.
+PREFILL_TOKENS_PER_STEP = 2048
 
 
 @dataclass(kw_only=True, eq=False)
 class EngineStream:
-    """Hold one stream on an engine: what is left to read and to write."""
+    """A stream on an engine: its remaining prefill and its event output."""
 
-    tokens: float
-    events: int
-    # Events that are made, the end as None.
-    made: asyncio.Queue[int | None] = field(default_factory=asyncio.Queue)
-    number: int = 0
+    prefill_tokens_left: float
+    event_count: int
+    # Numbers of the generated events, then None for the end.
+    output: asyncio.Queue[int | None] = field(default_factory=asyncio.Queue)
+    generated_events: int = 0
     is_closed: bool = False
 
 
 class EmulatedGroup:
-    """Serve streams in passes, as many at once as there are slots."""
+    """A group that runs one stream per slot and queues the others.
+
+    It works in passes of `profile.stride` decoding steps. A pass prefills prompts up to
+    a limit and generates one event for each stream whose prompt is complete.
+    """
 
     def __init__(
         self, *, profile: EngineProfile, model: ModelSpec, first_event_seconds: float
     ) -> None:
         self._profile = profile
         self._model = model
-        # Time that each first event takes beside the passes.
+        # Latency of a first event in addition to the passes.
         self._first_event_seconds = first_event_seconds
-        self._waiting: deque[EngineStream] = deque()
+        self._queue: deque[EngineStream] = deque()
         self._running: list[EngineStream] = []
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def taken(self) -> int:
-        """Return how many streams run or wait here."""
-        return len(self._waiting) + len(self._running)
+    def stream_count(self) -> int:
+        """Number of running and queued streams."""
+        return len(self._queue) + len(self._running)
 
     @property
-    def free(self) -> int:
-        """Return how many slots are free."""
-        return max(0, self._profile.slots - self.taken)
+    def free_slots(self) -> int:
+        """Number of free slots."""
+        return max(0, self._profile.slots - self.stream_count)
 
     @property
-    def beyond(self) -> int:
-        """Return how many streams stand here beyond the slots."""
-        return max(0, self.taken - self._profile.slots)
+    def excess_streams(self) -> int:
+        """Number of streams in excess of the slots."""
+        return max(0, self.stream_count - self._profile.slots)
 
-    def take(self, stream: EngineStream) -> None:
-        """Let a stream wait for a slot."""
-        self._waiting.append(stream)
+    def submit(self, stream: EngineStream) -> None:
+        """Queue a stream for a slot."""
+        self._queue.append(stream)
         if self._task is None or self._task.done():
-            self._task = asyncio.create_task(self._work())
+            self._task = asyncio.create_task(self._run_passes())
 
-    async def _work(self) -> None:
-        while self._waiting or self._running:
+    async def _run_passes(self) -> None:
+        while self._queue or self._running:
             self._admit()
-            await asyncio.sleep(self._pass_seconds())
-            self._write()
+            await asyncio.sleep(self._start_pass())
+            self._finish_pass()
 
     def _admit(self) -> None:
-        self._waiting = deque(s for s in self._waiting if not s.is_closed)
+        self._queue = deque(s for s in self._queue if not s.is_closed)
         self._running = [s for s in self._running if not s.is_closed]
-        while self._waiting and len(self._running) < self._profile.slots:
-            self._running.append(self._waiting.popleft())
+        while self._queue and len(self._running) < self._profile.slots:
+            self._running.append(self._queue.popleft())
 
-    def _pass_seconds(self) -> float:
-        """Read what can be read in the next pass and return how long it takes."""
+    def _start_pass(self) -> float:
+        """Prefill prompts within the limit of a pass and return its duration."""
         profile = self._profile
-        budget = float(READ_TOKENS_PER_STEP * profile.stride)
-        read = 0.0
+        token_limit = float(PREFILL_TOKENS_PER_STEP * profile.stride)
+        prefilled = 0.0
         for stream in self._running:
-            tokens = min(stream.tokens, budget - read)
-            stream.tokens -= tokens
-            read += tokens
+            tokens = min(stream.prefill_tokens_left, token_limit - prefilled)
+            stream.prefill_tokens_left -= tokens
+            prefilled += tokens
         step = profile.step_seconds + profile.request_seconds * len(self._running)
-        seconds = step * profile.stride + read / profile.prefill_tokens_per_second
+        seconds = step * profile.stride + prefilled / profile.prefill_tokens_per_second
         return seconds * self._model.pace
 
-    def _write(self) -> None:
+    def _finish_pass(self) -> None:
         for stream in self._running:
-            if stream.tokens > 0:
+            if stream.prefill_tokens_left > 0:
                 continue
-            stream.number += 1
-            stream.made.put_nowait(stream.number)
-            if stream.number >= stream.events:
-                stream.made.put_nowait(None)
+            stream.generated_events += 1
+            stream.output.put_nowait(stream.generated_events)
+            if stream.generated_events >= stream.event_count:
+                stream.output.put_nowait(None)
                 stream.is_closed = True
 
-    async def first_event(self) -> None:
-        """Wait for what a first event takes beside the passes."""
+    async def delay_first_event(self) -> None:
+        """Wait for the additional latency of a first event."""
         await asyncio.sleep(self._first_event_seconds)
 
 
 class EmulatedResponse:
-    """Pass a stream's events on as an answer."""
+    """The HTTP response of an emulated target, whose body is a stream of events."""
 
     status = 200
     header_list: tuple[tuple[str, str], ...] = ()
@@ -112,26 +116,26 @@
         self._stream = stream
 
     async def events(self) -> AsyncIterator[Chunk | End]:
-        """Yield each event as it is made, then the end."""
-        while (number := await self._stream.made.get()) is not None:
+        """Yield each event as it is generated, then the end."""
+        while (number := await self._stream.output.get()) is not None:
             if number == 1:
-                await self._group.first_event()
+                await self._group.delay_first_event()
             yield Chunk(data=b"id: %d\n\n" % number)
         yield End()
 
     def close(self) -> None:
-        """Let the engine drop the stream."""
+        """Cancel the stream on its engine."""
         self._stream.is_closed = True
 
 
 class EmulatedTargets:
-    """Send requests to emulated groups by the name of their head."""
+    """Client that sends requests to emulated groups by the target id of their head."""
 
     def __init__(
         self, *, groups: dict[str, EmulatedGroup], one_way_seconds: float
     ) -> None:
         self._groups = groups
-        self._way_seconds = one_way_seconds
+        self._one_way_seconds = one_way_seconds
 
     async def send(
         self,
@@ -142,20 +146,20 @@
         seconds_left: float,
         last_event: str | None,
     ) -> EmulatedResponse:
-        """Hand a request to the head of a group."""
-        await asyncio.sleep(self._way_seconds)
+        """Submit a request to the group of a target, after the one-way delay."""
+        await asyncio.sleep(self._one_way_seconds)
         group = self._groups[target.id]
         stream = EngineStream(
-            tokens=float(request.prompt_tokens),
-            events=request.answer_tokens,
+            prefill_tokens_left=float(request.prompt_tokens),
+            event_count=request.answer_tokens,
         )
-        group.take(stream)
+        group.submit(stream)
         return EmulatedResponse(group=group, stream=stream)
 
     def is_not_run(self, response: EmulatedResponse) -> bool:
-        """Tell that every request runs."""
+        """Return False: an emulated target runs every request."""
         return False
 
     def notice(self, response: EmulatedResponse) -> TargetNotice:
-        """Tell that engines say nothing of themselves."""
+        """Return an empty notice: emulated targets announce nothing."""
         return TargetNotice()
--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -1,4 +1,4 @@
-"""Run the product's placing and serving of single hosts on a virtual clock."""
+"""Emulated entry hosts: the node's services for placing and serving streams."""
 
 import asyncio
 import random
@@ -32,55 +32,55 @@
 
 
 class FleetContext(Protocol):
-    """Give a host what it shares with the others of its fleet."""
+    """What an emulated host uses of its fleet."""
 
     scenario: Scenario
     rng: random.Random
-    listing: "EmulatedTargetSource"
+    target_source: "EmulatedTargetSource"
     targets: EmulatedTargets
     hosts: list["Host"]
 
     def dispatching_host(self) -> str | None:
-        """Return the host that counts places for all, None while none is known."""
+        """Return the name of the host that dispatches, None while none is known."""
 
     def deliver(self, node: str, message: PeerMessage) -> None:
-        """Hand a message to a host that is up."""
+        """Deliver a message to a host if it is running."""
 
 
 class DiscardingExchange:
-    """Take an answer as a caller does."""
+    """Caller's side of a request, which accepts the answer and discards it."""
 
     def __init__(self) -> None:
         self.started = False
 
     async def start(self, status: int, headers: object = ()) -> None:
-        """Begin an answer."""
+        """Start the answer."""
         self.started = True
 
     async def send(self, data: bytes) -> None:
-        """Take a part."""
+        """Discard a part of the body."""
 
     async def end(self) -> None:
-        """Take the end."""
+        """End the answer."""
 
 
 class EmptyCallerHeaders:
-    """Pass no headers on."""
+    """Caller protocol without any headers."""
 
     def answer_headers(self, response: object) -> tuple[tuple[str, str], ...]:
-        """Return no headers."""
+        """Return no headers for the caller."""
         return ()
 
 
 class EmulatedTargetSource:
-    """Hold the list of targets, one for each open group."""
+    """In-memory list of targets, one for each open group."""
 
     def __init__(self) -> None:
         self.current_targets: dict[str, Target] = {}
         self.revision = 1
 
     async def targets(self, since: int) -> TargetsRead:
-        """Return the whole list."""
+        """Return the whole list, regardless of `since`."""
         return TargetsRead(
             revision=self.revision,
             targets=tuple(self.current_targets.values()),
@@ -89,7 +89,7 @@
 
 
 class EmulatedDatagrams:
-    """Carry the messages of one host, each as long as a datagram takes."""
+    """Peer messages of one host, delivered after a fixed delay and without loss."""
 
     def __init__(self, fleet: FleetContext) -> None:
         self._fleet = fleet
@@ -98,32 +98,32 @@
         self.on_work: list[Callable[[Work], None]] = []
 
     def send_to(self, message: PeerMessage, nodes: Iterable[str]) -> None:
-        """Send a message to some hosts."""
+        """Send a message to each of `nodes`."""
         loop = asyncio.get_running_loop()
         for node in nodes:
             loop.call_later(ONE_WAY_SECONDS, self._fleet.deliver, node, message)
 
     def on_message(self, message: PeerMessage) -> None:
-        """Take a message."""
+        """Pass a received message to the handlers of its type."""
         match message:
             case PlaceQuestion():
-                listeners = self.on_place_question
+                handlers = self.on_place_question
             case PlaceAnswer():
-                listeners = self.on_place_answer
+                handlers = self.on_place_answer
             case Work():
-                listeners = self.on_work
-        for notify in listeners:
-            notify(message)
+                handlers = self.on_work
+        for handle in handlers:
+            handle(message)
 
 
 class Host:
-    """Run the product's placing and serving of one host."""
+    """One entry host that places and serves streams with the node's own services."""
 
     def __init__(self, *, fleet: FleetContext, number: int) -> None:
         self.name = f"n{number}"
         self._fleet = fleet
         clock = VirtualClock()
-        self.directory = Directory(source=fleet.listing, clock=clock)
+        self.directory = Directory(source=fleet.target_source, clock=clock)
         budget = RetryWindow(ratio=0.2, slack=248.0, window_seconds=10.0)
         metrics = NodeMetrics()
         rate_limits = RateLimits(
@@ -166,12 +166,12 @@
         self.dispatcher_client = dispatcher_client
         if fleet.scenario.uses_dispatcher:
             self.streams.placement.dispatcher_client = dispatcher_client
-            self.streams.on_end.append(self.tell_work)
-            dispatcher_client.on_unused_grant.append(self.tell_work)
-            self.datagrams.on_work.append(self._hear_work)
+            self.streams.on_end.append(self.report_loads)
+            dispatcher_client.on_unused_grant.append(self.report_loads)
+            self.datagrams.on_work.append(self._on_work)
 
-    def tell_work(self) -> None:
-        """Tell the dispatcher this host's streams by group."""
+    def report_loads(self) -> None:
+        """Report this host's streams per group to the dispatcher."""
         host = self._fleet.dispatching_host()
         if host is None or host == self.name:
             self.dispatcher.wake()
@@ -185,7 +185,7 @@
         )
         self.datagrams.send_to(work, (host,))
 
-    def _hear_work(self, work: Work) -> None:
+    def _on_work(self, work: Work) -> None:
         loads = self.directory.loads
         loads.record_peer_loads(work.node, decode_loads(work), work.grant_number)
         self.dispatcher.wake()
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -1,8 +1,9 @@
-"""Place streams by news of some age, in virtual time.
+"""Simulation of how hosts place streams on groups by outdated load reports.
 
-The pattern: many hosts get a few streams a second each and send them to the same
-groups; what they know of each other's streams is some tenths of a second old, a group
-opens empty, or all hosts start anew at once and their callers come back together.
+Many hosts receive a few streams per second each and send them to the same groups. Each
+host knows the streams of the others with a delay of some tenths of a second. Groups may
+be replaced by empty ones, or all hosts may restart at once, after which their callers
+return together.
 """
 
 import asyncio
@@ -35,55 +36,57 @@
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.state.fleet import GroupPhase, Membership, Target
 
-# Hosts above which sums of work come from a reader, not from each host's heartbeats.
+# Number of hosts above which a reader publishes the total loads in digests. Up to it
+# each host reports its own loads in heartbeats.
 LARGE_FLEET = 12
 HEARTBEAT_SECONDS = 0.1
 DIGEST_SECONDS = 0.2
-# Tellings of work to the reader between two digests, by a part of the hosts each.
-TELLING_TURNS = 10
-# Time after the start that does not count: the groups fill up.
-LEAD_SECONDS = 2.0
-LOOK_SECONDS = 0.02
-# Share of the time left after which callers do not come back any more.
+# Rounds between two digests; in each, a part of the hosts reports to the reader.
+REPORT_ROUNDS = 10
+# Warm-up at the start, which is not counted: the groups fill up, in seconds.
+WARM_UP_SECONDS = 2.0
+SAMPLE_SECONDS = 0.02
+# Callers give up if they are to retry after more than this share of the time left.
 MAX_RETRY_SHARE = 1 / 3
-# Time in which hosts that start anew do so one after the other, and time after the
-# first until callers find them, in seconds.
-START_SECONDS = 0.3
-FOUND_SECONDS = 0.05
-# Pause between two callers that come back then, by how many still wait, in seconds.
-RETURN_SECONDS = 0.03
+# Time in which the hosts restart one after another, and time from the start of that
+# until callers reconnect, in seconds.
+RESTART_SECONDS = 0.3
+RECONNECT_SECONDS = 0.05
+# Pause between two reconnecting callers, in seconds; divided by one more than the
+# number of callers that still wait.
+RECONNECT_PAUSE_SECONDS = 0.03
 
 
 class Fleet:
-    """Hold the hosts, the groups and the streams of one play."""
+    """Hosts, groups and streams of one simulation run."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.rng = random.Random(seed)
-        self.listing = EmulatedTargetSource()
+        self.target_source = EmulatedTargetSource()
         self.groups: dict[str, EmulatedGroup] = {}
         self.targets = EmulatedTargets(
             groups=self.groups, one_way_seconds=ONE_WAY_SECONDS
         )
         self.hosts: list[Host] = []
-        self.figures = SimulationResult()
+        self.result = SimulationResult()
         self.serving: set[asyncio.Task[None]] = set()
         self.waiting_callers: deque[tuple[CallerRequest, float]] = deque()
-        self._opened = 0
-        self._asked = 0
+        self._opened_groups = 0
+        self._request_count = 0
 
     # -- groups and hosts ----------------------------------------------------
 
     def open_group(self) -> None:
-        """Open one more group."""
-        self._opened += 1
-        name = f"g{self._opened}"
+        """Open an empty group and list its head as a target."""
+        self._opened_groups += 1
+        name = f"g{self._opened_groups}"
         self.groups[name] = EmulatedGroup(
             profile=PROFILE,
             model=PROFILE.models[0],
             first_event_seconds=FIRST_EVENT_SECONDS,
         )
-        self.listing.current_targets[name] = Target(
+        self.target_source.current_targets[name] = Target(
             id=name,
             service=SERVICE,
             address=f"{name}:1",
@@ -94,20 +97,23 @@
             born=0,
             membership=Membership(group=name, epoch=1, rank=0, phase=GroupPhase.OPEN),
         )
-        self.listing.revision += 1
+        self.target_source.revision += 1
 
     async def replace_groups(self, seconds: float) -> None:
-        """Close the oldest group and open an empty one, again and again."""
+        """Replace the oldest group by an empty one every `seconds` seconds."""
         while True:
             await asyncio.sleep(seconds)
-            oldest = next(iter(self.listing.current_targets))
-            del self.listing.current_targets[oldest]
+            oldest = next(iter(self.target_source.current_targets))
+            del self.target_source.current_targets[oldest]
             self.open_group()
             for host in list(self.hosts):
                 await host.directory.refresh()
 
     async def start_hosts(self, within: float = 0.0) -> None:
-        """Start all hosts, knowing nothing of each other's streams."""
+        """Start all hosts in random order, spread over `within` seconds.
+
+        They know nothing of each other's streams.
+        """
         started = []
         for number in range(self.scenario.hosts):
             host = Host(fleet=self, number=number)
@@ -120,36 +126,38 @@
                 await asyncio.sleep(within / len(started))
 
     async def restart(self) -> None:
-        """Stop all hosts at once, and start them after a while."""
+        """Stop all hosts at once and restart them after the outage."""
         await asyncio.sleep(self.scenario.restart_at)
         self.hosts = []
         for task in list(self.serving):
             task.cancel()
         await asyncio.sleep(self.scenario.outage_seconds)
-        back = asyncio.create_task(self.start_hosts(START_SECONDS))
-        await asyncio.sleep(FOUND_SECONDS)
+        restarting = asyncio.create_task(self.start_hosts(RESTART_SECONDS))
+        await asyncio.sleep(RECONNECT_SECONDS)
         while self.waiting_callers:
-            request, at = self.waiting_callers.popleft()
-            self._begin(request, at)
-            await asyncio.sleep(RETURN_SECONDS / (1 + len(self.waiting_callers)))
-        await back
+            request, arrived_at = self.waiting_callers.popleft()
+            self._start_request(request, arrived_at)
+            await asyncio.sleep(
+                RECONNECT_PAUSE_SECONDS / (1 + len(self.waiting_callers))
+            )
+        await restarting
 
     def dispatching_host(self) -> str | None:
-        """Return the host that counts places for all, None while none is known."""
+        """Return the name of the host that dispatches, None while none is known."""
         return self.hosts[0].name if self.hosts else None
 
     def deliver(self, node: str, message: PeerMessage) -> None:
-        """Hand a message to a host that is up."""
+        """Deliver a message to a host if it is running."""
         for host in self.hosts:
             if host.name == node:
                 host.datagrams.on_message(message)
 
-    # -- news ----------------------------------------------------------------
+    # -- load reports --------------------------------------------------------
 
-    async def tell(self) -> None:
-        """Let hosts hear of each other's streams, at the pace of their fleet."""
+    async def exchange_loads(self) -> None:
+        """Exchange the hosts' loads by heartbeats or, in a large fleet, by digests."""
         if self.scenario.hosts > LARGE_FLEET:
-            await self._tell_sums()
+            await self._publish_totals()
         while True:
             for host in self.hosts:
                 loads = host.directory.loads.own_loads()
@@ -161,24 +169,24 @@
             self._wake()
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def _tell_sums(self) -> None:
-        """Tell a reader each host's work in turn, and all hosts the reader's sums."""
+    async def _publish_totals(self) -> None:
+        """Report the hosts' loads to a reader in rounds, and send all of them its totals."""
         while True:
-            for turn in range(TELLING_TURNS):
+            for round_number in range(REPORT_ROUNDS):
                 hosts = self.hosts
                 reader = hosts[0] if hosts else None
-                for host in hosts[1 + turn :: TELLING_TURNS]:
+                for host in hosts[1 + round_number :: REPORT_ROUNDS]:
                     loads = host.directory.loads.own_loads()
                     host.directory.loads.record_published(loads)
                     reader.directory.loads.record_peer_loads(
                         host.name, loads, host.dispatcher_client.grant_number
                     )
-                await asyncio.sleep(DIGEST_SECONDS / TELLING_TURNS)
+                await asyncio.sleep(DIGEST_SECONDS / REPORT_ROUNDS)
             if self.hosts:
                 reader = self.hosts[0].directory
-                sums = reader.loads.all_loads(reader.groups)
+                totals = reader.loads.all_loads(reader.groups)
                 for host in self.hosts[1:]:
-                    host.directory.loads.record_totals(sums)
+                    host.directory.loads.record_totals(totals)
                 self._wake()
 
     def _wake(self) -> None:
@@ -188,27 +196,27 @@
 
     # -- callers -------------------------------------------------------------
 
-    async def call(self) -> None:
-        """Let streams come at random."""
+    async def generate_requests(self) -> None:
+        """Generate requests as a Poisson process until the scenario ends."""
         scenario = self.scenario
         loop = asyncio.get_running_loop()
         while loop.time() < scenario.seconds:
             await asyncio.sleep(self.rng.expovariate(scenario.rate))
-            request = self._request()
+            request = self._draw_request()
             if self.hosts:
-                self._begin(request, loop.time())
+                self._start_request(request, loop.time())
             else:
                 self.waiting_callers.append((request, loop.time()))
 
-    def _request(self) -> CallerRequest:
+    def _draw_request(self) -> CallerRequest:
         scenario = self.scenario
-        self._asked += 1
+        self._request_count += 1
         return CallerRequest(
-            id=str(self._asked),
+            id=str(self._request_count),
             host="h",
             method="POST",
             target="/",
-            body=str(self._asked).encode(),
+            body=str(self._request_count).encode(),
             forwarded_headers=(),
             model=MODEL,
             prompt_tokens=int(
@@ -221,19 +229,19 @@
         )
 
     def _draw(self, mean: float, spread: float) -> float:
-        """Draw from a log-normal distribution by its mean."""
+        """Draw from a log-normal distribution with this mean and variation."""
         sigma2 = log(1.0 + spread**2)
         return mean * exp(self.rng.gauss(0.0, sigma2**0.5) - sigma2 / 2)
 
-    def _begin(self, request: CallerRequest, at: float) -> None:
-        task = asyncio.create_task(self._ask(request, at))
+    def _start_request(self, request: CallerRequest, arrived_at: float) -> None:
+        task = asyncio.create_task(self._serve_caller(request, arrived_at))
         self.serving.add(task)
         task.add_done_callback(self.serving.discard)
 
-    async def _ask(self, request: CallerRequest, at: float) -> None:
-        """Ask, and come back once after a refusal, as callers do."""
+    async def _serve_caller(self, request: CallerRequest, arrived_at: float) -> None:
+        """Send a request, and retry once if a refusal names a retry time."""
         loop = asyncio.get_running_loop()
-        deadline = at + ROUTE.timeout_seconds
+        deadline = arrived_at + ROUTE.timeout_seconds
         for _ in range(2):
             work = StreamWork(
                 request=request,
@@ -249,61 +257,65 @@
             outcome = await self.rng.choice(self.hosts).streams.serve(work)
             match outcome:
                 case Answered():
-                    self._count(work, at)
+                    self._count_answer(work, arrived_at)
                     return
                 case Refusal(retry_after=after) if after is not None:
                     left = deadline - loop.time()
                     if after > MAX_RETRY_SHARE * left:
                         break
                     await asyncio.sleep(after)
-        self._note(at, "unserved")
+        self._count_outcome(arrived_at, "unserved")
 
-    def _count(self, work: StreamWork, at: float) -> None:
-        first = (work.first_event_at or 0.0) - at
-        is_late = first > ROUTE.objective_seconds
+    def _count_answer(self, work: StreamWork, arrived_at: float) -> None:
+        first_event_seconds = (work.first_event_at or 0.0) - arrived_at
+        is_late = first_event_seconds > ROUTE.objective_seconds
         is_gap = work.longest_gap > ROUTE.gap_objective_seconds
-        self._note(at, "late" if is_late else "gaps" if is_gap else "in_time")
+        self._count_outcome(
+            arrived_at, "late" if is_late else "gaps" if is_gap else "in_time"
+        )
 
-    def _note(self, at: float, what: str) -> None:
-        if at < LEAD_SECONDS:
+    def _count_outcome(self, arrived_at: float, outcome_field: str) -> None:
+        if arrived_at < WARM_UP_SECONDS:
             return
-        self.figures.streams += 1
-        setattr(self.figures, what, getattr(self.figures, what) + 1)
+        self.result.streams += 1
+        setattr(self.result, outcome_field, getattr(self.result, outcome_field) + 1)
 
-    # -- figures -------------------------------------------------------------
+    # -- result --------------------------------------------------------------
 
-    async def look(self) -> None:
-        """Add up what stands beyond the slots, and what was free beside it."""
+    async def sample_excess(self) -> None:
+        """Sample the streams in excess of the slots, and how many were avoidable."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            if asyncio.get_running_loop().time() < LEAD_SECONDS:
+            await asyncio.sleep(SAMPLE_SECONDS)
+            if asyncio.get_running_loop().time() < WARM_UP_SECONDS:
                 continue
-            open_groups = [self.groups[name] for name in self.listing.current_targets]
-            beyond = sum(group.beyond for group in open_groups)
-            free = sum(group.free for group in open_groups)
-            self.figures.excess_seconds += beyond * LOOK_SECONDS
-            self.figures.avoidable_excess_seconds += min(beyond, free) * LOOK_SECONDS
+            open_groups = [
+                self.groups[name] for name in self.target_source.current_targets
+            ]
+            excess = sum(group.excess_streams for group in open_groups)
+            free = sum(group.free_slots for group in open_groups)
+            self.result.excess_seconds += excess * SAMPLE_SECONDS
+            self.result.avoidable_excess_seconds += min(excess, free) * SAMPLE_SECONDS
 
     async def simulate(self) -> SimulationResult:
-        """Play the scenario to its end."""
+        """Run the scenario to its end and return the counts."""
         scenario = self.scenario
         for _ in range(scenario.groups):
             self.open_group()
         await self.start_hosts()
-        works = [self.tell(), self.look()]
+        background = [self.exchange_loads(), self.sample_excess()]
         if scenario.restart_at is not None:
-            works.append(self.restart())
+            background.append(self.restart())
         if scenario.replacement_interval is not None:
-            works.append(self.replace_groups(scenario.replacement_interval))
+            background.append(self.replace_groups(scenario.replacement_interval))
         async with AsyncExitStack() as stack:
-            for work in works:
-                stack.push_async_callback(cancel_task, asyncio.ensure_future(work))
-            await self.call()
+            for coroutine in background:
+                stack.push_async_callback(cancel_task, asyncio.ensure_future(coroutine))
+            await self.generate_requests()
             while self.serving:
                 await asyncio.wait(self.serving)
-        return self.figures
+        return self.result
 
 
 def simulate(scenario: Scenario, seed: int) -> SimulationResult:
-    """Play a scenario with a seed."""
+    """Simulate a scenario; the same seed gives the same result."""
     return run_in_virtual_time(Fleet(scenario, seed).simulate())
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -7,7 +7,7 @@
 
 SERVICE = "engines"
 MODEL = "m"
-# Time that a datagram takes, and a request or an answer between host and engine.
+# One-way delay of datagrams between hosts, and of requests to targets, in seconds.
 ONE_WAY_SECONDS = 0.002
 
 
@@ -20,7 +20,7 @@
     prompt_spread, events_spread: coefficients of variation of these.
     max_events: upper bound of the events of a stream.
     restart_at: time at which all hosts stop, None for never.
-    away: time from that stop until the hosts start again; callers that arrive
+    outage_seconds: time from that stop until the hosts start again; callers that arrive
         meanwhile wait and are served as the hosts start.
     replacement_interval: seconds after which one group closes and an empty one opens.
     uses_dispatcher: whether a dispatcher grants slots; otherwise each host chooses
--- a/mallowpond/emulator/tests/test_virtual_time.py
+++ b/mallowpond/emulator/tests/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""Time that jumps: nothing waits, and nothing is skipped."""
+"""Timers of the virtual-time loop fire in order and without real waiting."""
 
 import asyncio
 import time
--- a/mallowpond/emulator/virtual_time.py
+++ b/mallowpond/emulator/virtual_time.py
@@ -1,4 +1,4 @@
-"""Run coroutines on a clock that jumps to the next timer instead of waiting."""
+"""Event loop on virtual time, which advances to the next timer instead of waiting."""
 
 import asyncio
 import selectors
@@ -9,11 +9,11 @@
 
 
 class NoPendingTimerError(RuntimeError):
-    """Everything waits for something that no timer brings about."""
+    """Raised when every task waits and no timer is pending, which is a deadlock."""
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Move the loop's clock on by the time that it would wait."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Selector that advances the virtual time by the timeout of each call."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,7 +22,7 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return no events; `timeout` seconds have passed then."""
+        """Advance the time by `timeout` seconds and return no events."""
         if timeout is None:
             raise NoPendingTimerError
         self.seconds += max(0.0, timeout)
@@ -30,30 +30,30 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Schedule by virtual time; nothing outside the loop can wake it."""
+    """Event loop on virtual time; sockets and other threads cannot wake it."""
 
     def __init__(self) -> None:
-        self._jumps = _JumpingSelector()
-        super().__init__(self._jumps)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumps.seconds
+        return self._virtual_selector.seconds
 
 
 class VirtualClock:
-    """Tell the virtual time of the running loop."""
+    """Clock that reads the virtual time of the running loop."""
 
     def now(self) -> float:
-        """Return the time in seconds."""
+        """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep for a virtual time."""
+        """Sleep for `seconds` of virtual time."""
         await asyncio.sleep(seconds)
 
 
 def run_in_virtual_time(main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine in virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
