--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the product's decisions, each against a baseline in one run."""
+"""Measurements of the decision functions, most of them against a baseline."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run measurements by name."""
+"""Command line that runs measurements by name."""
 
 from enum import Enum
 from importlib import import_module
@@ -6,12 +6,12 @@
 
 import typer
 
-from bench.report import json_of, save, text_of
+from bench.report import format_json, format_text, save
 
-BENCHES = {
+MEASUREMENTS = {
     "planning": "Group downtime and stranded accelerators under failures.",
     "formation": "Capacity that groups keep while engines die or are replaced.",
-    "placing": "Streams late, lost and beyond slots by how places are given.",
+    "placing": "Late and lost streams and use beyond slots by slot assignment.",
     "routing": "Queueing tail, prefix hits and stragglers by routing policy.",
     "limits": "Goodput, refusals, retries, fairness and quota under overload.",
     "claims": "Claim latency and transactions, alone and grouped.",
@@ -23,7 +23,7 @@
 
 
 class Size(str, Enum):
-    """Choose how much a measurement does."""
+    """Size of a measurement; SMALLEST only checks that it runs."""
 
     SMALLEST = "smallest"
     FULL = "full"
@@ -31,24 +31,32 @@
 
 def main(
     name: Annotated[str, typer.Argument(help="A measurement, or 'all'.")] = "",
-    list_all: Annotated[bool, typer.Option("--list", help="Name them.")] = False,
-    size: Annotated[Size, typer.Option(help="How much to do.")] = Size.FULL,
+    list_all: Annotated[
+        bool, typer.Option("--list", help="List the measurements.")
+    ] = False,
+    size: Annotated[Size, typer.Option(help="Amount of work.")] = Size.FULL,
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Run one measurement and print its figures."""
+    """Run one measurement, or all, and print the results."""
     if list_all or not name:
-        for one, about in BENCHES.items():
-            typer.echo(f"{one:14} {about}")
+        for measurement, description in MEASUREMENTS.items():
+            typer.echo(f"{measurement:14} {description}")
         return
-    chosen = list(BENCHES) if name == "all" else [name]
-    for one in chosen:
-        if one not in BENCHES:
-            typer.echo(f"No measurement {one!r}; see --list.", err=True)
+    names = list(MEASUREMENTS) if name == "all" else [name]
+    for measurement in names:
+        if measurement not in MEASUREMENTS:
+            typer.echo(f"No measurement {measurement!r}; see --list.", err=True)
             raise typer.Exit(2)
-        reports = import_module(f"bench.{one}").run(smallest=size is Size.SMALLEST)
-        save(one, reports)
-        shown = json_of(one, reports) if as_json else "\n\n".join(map(text_of, reports))
-        typer.echo(shown + "\n")
+        reports = import_module(f"bench.{measurement}").run(
+            smallest=size is Size.SMALLEST
+        )
+        save(measurement, reports)
+        output = (
+            format_json(measurement, reports)
+            if as_json
+            else "\n\n".join(map(format_text, reports))
+        )
+        typer.echo(output + "\n")
 
 
 typer.run(main)
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -1,4 +1,4 @@
-"""Measure how long faults and changes take to be answered, on real processes."""
+"""Measure the reaction times to faults and changes on real processes."""
 
 import tempfile
 import time
@@ -8,67 +8,70 @@
 from bench.report import Report
 from mallowpond.programs.tests.cluster import DECLARATION, Cluster, http
 
-READY = b'mallowpond_groups{deployment="meteor",state="ready"} '
+READY_METRIC = b'mallowpond_groups{deployment="meteor",state="ready"} '
 
 
-def until(cluster: Cluster, reached: Callable[[], object]) -> float:
-    """Return the seconds until something holds."""
+def seconds_until(cluster: Cluster, condition: Callable[[], object]) -> float:
+    """Wait for a condition; return the seconds until it held."""
     start = time.perf_counter()
-    cluster.wait_for(reached)
+    cluster.wait_for(condition)
     return time.perf_counter() - start
 
 
 def ready_groups(cluster: Cluster) -> int:
-    """Return how many groups the controllers count as ready."""
+    """Return the number of ready groups, the minimum over all controllers."""
     counts = []
     for name in cluster.names("controller"):
         if cluster.processes[name].poll() is None:
             page = http("GET", cluster.url(name, "/metrics")).body
             counts += [
-                int(float(line[len(READY) :]))
+                int(float(line[len(READY_METRIC) :]))
                 for line in page.splitlines()
-                if line.startswith(READY)
+                if line.startswith(READY_METRIC)
             ]
     return min(counts, default=0)
 
 
-def table(cluster: Cluster, controller: str, statement: str) -> list[list]:
-    """Return the rows that a query shows."""
+def query_rows(cluster: Cluster, controller: str, statement: str) -> list[list]:
+    """Return the result rows of a query statement."""
     url = cluster.url(controller, "/v1/statement")
     return http("POST", url, statement.encode()).json["rows"]
 
 
-def holder(cluster: Cluster, controller: str) -> str:
-    """Return who wrote the last orders."""
-    rows = table(cluster, controller, "show orders order by fence desc")
+def orders_holder(cluster: Cluster, controller: str) -> str:
+    """Return the controller that wrote the orders with the highest fence."""
+    rows = query_rows(cluster, controller, "show orders order by fence desc")
     return rows[0][3] if rows else ""
 
 
-def lost_host(engines: int, replicas: int) -> tuple[float, float]:
-    """Kill a member; return seconds to the group's exclusion and to its return."""
+def measure_host_loss(engines: int, replicas: int) -> tuple[float, float]:
+    """Kill a member; return the seconds until its group is excluded, then restored.
+
+    With 8 engines there is no spare, so that the killed host is restarted.
+    """
     declaration = DECLARATION.replace("replicas = 2", f"replicas = {replicas}")
-    with started(engines, declaration) as cluster:
+    with running_cluster(engines, declaration) as cluster:
         cluster.wait_for(lambda: ready_groups(cluster) == replicas)
-        (first, *_) = table(cluster, "controller0", "show groups order by group")
+        (first, *_) = query_rows(cluster, "controller0", "show groups order by group")
         victim = first[4].split()[1]
         cluster.kill(victim)
-        out = until(cluster, lambda: ready_groups(cluster) < replicas)
+        excluded = seconds_until(cluster, lambda: ready_groups(cluster) < replicas)
         if engines == 8:
             text = (cluster.folder / f"{victim}.toml").read_text()
             path = cluster.folder / f"{victim}.toml"
             path.write_text(text + 'incarnation = "2"\n')
             cluster.start(victim)
-        back = until(cluster, lambda: ready_groups(cluster) == replicas)
-        return out, back
+        restored = seconds_until(cluster, lambda: ready_groups(cluster) == replicas)
+        return excluded, restored
 
 
-def started(engines: int, declaration: str):
-    """Return a context that runs a layout with a declaration in force."""
-    return _Started(engines, declaration)
+def running_cluster(engines: int, declaration: str):
+    """Return a context manager for a cluster that serves by a declaration."""
+    return _RunningCluster(engines, declaration)
 
 
-class _Started:
-    """Run a cluster in a folder of its own."""
+class _RunningCluster:
+    """Context manager that runs a cluster in a temporary folder."""
 
     def __init__(self, engines: int, declaration: str) -> None:
         self._folder = tempfile.TemporaryDirectory()
@@ -87,25 +90,25 @@
         self._folder.cleanup()
 
 
-def takeover() -> float:
-    """Kill the planner; return seconds until another writes orders."""
-    with started(8, DECLARATION) as cluster:
+def measure_takeover() -> float:
+    """Kill the planner; return the seconds until another writes orders."""
+    with running_cluster(8, DECLARATION) as cluster:
         cluster.wait_for(lambda: ready_groups(cluster) == 2)
-        owner = holder(cluster, "controller0")
-        (other,) = [n for n in cluster.names("controller") if n != owner]
-        cluster.kill(owner)
+        planner = orders_holder(cluster, "controller0")
+        (other,) = [n for n in cluster.names("controller") if n != planner]
+        cluster.kill(planner)
         body = b'{"name": "engine0", "state": "leaving"}'
         http("POST", cluster.url("platform", "/standin/host"), body)
-        return until(cluster, lambda: holder(cluster, other) == other)
+        return seconds_until(cluster, lambda: orders_holder(cluster, other) == other)
 
 
-def leaving() -> float:
-    """Let a host leave; return seconds until gateways send its group nothing."""
-    with started(8, DECLARATION) as cluster:
+def measure_leaving() -> float:
+    """Let a host leave; return the seconds until its group gets no requests."""
+    with running_cluster(8, DECLARATION) as cluster:
         cluster.wait_for(lambda: ready_groups(cluster) == 2)
         body = b'{"name": "engine0", "state": "leaving"}'
         http("POST", cluster.url("platform", "/standin/host"), body)
-        return until(cluster, lambda: _is_avoided(cluster, "engine0"))
+        return seconds_until(cluster, lambda: _is_avoided(cluster, "engine0"))
 
 
 def _is_avoided(cluster: Cluster, engine: str) -> bool:
@@ -118,9 +121,9 @@
     return count() == before
 
 
-def in_force() -> float:
-    """Accept a change; return seconds until both gateways serve by it."""
-    with started(8, DECLARATION) as cluster:
+def measure_change() -> float:
+    """Apply a change; return the seconds until both gateways serve by it."""
+    with running_cluster(8, DECLARATION) as cluster:
         changed = DECLARATION.replace('model = "meteor-7b"', 'model = "meteor-8b"')
         cluster.apply(changed, expect=1)
 
@@ -128,24 +131,24 @@
             answers = [cluster.complete("x", g) for g in cluster.names("gateway")]
             return all(a.status == 404 for a in answers)
 
-        return until(cluster, refused_everywhere)
+        return seconds_until(cluster, refused_everywhere)
 
 
 def run(*, smallest: bool) -> list[Report]:
     """Measure every bound once, or one of them at the smallest size."""
     if smallest:
-        rows = [("acceptance to in force", in_force())]
+        rows = [("acceptance to in force", measure_change())]
     else:
-        spare_out, spare_back = lost_host(10, 2)
-        out, back = lost_host(8, 2)
+        spare_excluded, spare_restored = measure_host_loss(10, 2)
+        excluded, restored = measure_host_loss(8, 2)
         rows = [
-            ("kill of a member to its group's exclusion", spare_out),
-            ("the same, second layout", out),
-            ("exclusion to serving again, with a spare", spare_back),
-            ("exclusion to serving again, host restarted", back),
-            ("leaving to no new work", leaving()),
-            ("kill of the planner to another's orders", takeover()),
-            ("acceptance to in force at both gateways", in_force()),
+            ("kill of a member to its group's exclusion", spare_excluded),
+            ("the same, second layout", excluded),
+            ("exclusion to serving again, with a spare", spare_restored),
+            ("exclusion to serving again, host restarted", restored),
+            ("leaving to no new work", measure_leaving()),
+            ("kill of the planner to another's orders", measure_takeover()),
+            ("acceptance to in force at both gateways", measure_change()),
         ]
     notes = (
         "Test timings: heartbeat 0.2, lease 1.5, watch 0.2, silent 1.0, host list",
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,4 +1,4 @@
-"""Commit claims alone and in groups against a table that takes its time."""
+"""Measure single and grouped commits of claims on a table with latency."""
 
 import asyncio
 import random
@@ -19,30 +19,34 @@
 
 @dataclass(kw_only=True)
 class SlowTable(MemoryTable):
-    """Answer as late as a table service across data centres."""
+    """In-memory table with the latency of a table service across data centres."""
 
     keys: set[str] = field(default_factory=set)
 
     async def read(self, key: str) -> Row | None | Unavailable:
-        """Read a row after the time of a round trip."""
+        """Read a row after a round trip."""
         await asyncio.sleep(READ_SECONDS)
         return await super().read(key)
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Commit after the time of a durable write."""
+        """Commit after the latency of a durable write."""
         await asyncio.sleep(COMMIT_SECONDS)
         return await super().commit(transaction)
 
 
-async def offer(rate: float, seconds: float, grouped: bool) -> tuple[float, ...]:
-    """Offer claims at a rate; return latencies and transactions a second."""
+async def run_load(rate: float, seconds: float, grouped: bool) -> tuple[float, ...]:
+    """Submit claims at a rate.
+
+    Return the mean and p99 latency in ms, then commits, reads and finished claims per
+    second.
+    """
     rng = random.Random(3)
     table = SlowTable()
     committers = [_committer(table, rng, n) for n in range(1 if grouped else 64)]
-    loops = [asyncio.create_task(c.run()) for c in committers]
+    committer_tasks = [asyncio.create_task(c.run()) for c in committers]
     latencies: list[float] = []
 
-    async def one(number: int) -> None:
+    async def submit_claim(number: int) -> None:
         row = ClaimRow(
             workspace="w",
             key=f"k{number}",
@@ -59,18 +63,18 @@
     tasks = []
     for number in range(int(rate * seconds)):
         await asyncio.sleep(max(0.0, started + number / rate - perf_counter()))
-        tasks.append(asyncio.create_task(one(number)))
+        tasks.append(asyncio.create_task(submit_claim(number)))
     await asyncio.gather(*tasks)
-    took = perf_counter() - started
-    for loop in loops:
-        loop.cancel()
+    elapsed = perf_counter() - started
+    for task in committer_tasks:
+        task.cancel()
     ordered = sorted(latencies)
     return (
         statistics.mean(ordered) * 1e3,
         ordered[int(len(ordered) * 0.99)] * 1e3,
-        table.commits / took,
-        table.reads / took,
-        len(ordered) / took,
+        table.commits / elapsed,
+        table.reads / elapsed,
+        len(ordered) / elapsed,
     )
 
 
@@ -90,8 +94,8 @@
     rows = []
     for rate in rates:
         for grouped in (False, True):
-            figures = asyncio.run(offer(rate, seconds, grouped))
-            rows.append((rate, "grouped" if grouped else "alone", *figures))
+            results = asyncio.run(run_load(rate, seconds, grouped))
+            rows.append((rate, "grouped" if grouped else "alone", *results))
     columns = (
         "claims/s offered",
         "way",
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""Measure what control costs a controller process and a gateway process."""
+"""Measure the cost of idle controller and gateway processes."""
 
 import tempfile
 import time
@@ -8,11 +8,11 @@
 from bench.request_path import cpu_seconds, resident_kb
 from mallowpond.programs.tests.cluster import DECLARATION, Cluster
 
-WATCHES_PER_SECOND = 5.0
+POLLS_PER_SECOND = 5.0
 
 
-def at_rest(engines: int, seconds: float) -> tuple[float, float, float, float]:
-    """Return the planner's share of a core and MB, and the gateway's."""
+def measure_idle(engines: int, seconds: float) -> tuple[float, float, float, float]:
+    """Return cores used and resident MB of the planner, then of the gateway."""
     declaration = DECLARATION.replace("replicas = 2", f"replicas = {engines // 4}")
     with tempfile.TemporaryDirectory() as folder:
         layout = Cluster(
@@ -32,10 +32,10 @@
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Measure processes at rest in front of more and more engines."""
+    """Measure idle processes with increasing numbers of engines."""
     sizes = (8,) if smallest else (8, 16, 32)
     seconds = 1.0 if smallest else 5.0
-    rows = [(size, *at_rest(size, seconds)) for size in sizes]
+    rows = [(size, *measure_idle(size, seconds)) for size in sizes]
     columns = (
         "engines",
         "controller (cores)",
@@ -49,7 +49,7 @@
     ]
     if len(rows) > 1:
         first, last = rows[0], rows[-1]
-        polls = (last[0] - first[0]) * WATCHES_PER_SECOND
+        polls = (last[0] - first[0]) * POLLS_PER_SECOND
         slope = (last[1] - first[1]) / polls * 1e6
         notes.append(f"Slope: {slope:.0f} us of processor for each status report.")
     report = Report(
--- a/bench/formation.py
+++ b/bench/formation.py
@@ -1,9 +1,9 @@
-"""Replay losses of engines on the planner of groups, in virtual time.
+"""Simulate losses and replacements of engines for the formation planner.
 
-The pattern: of some fifty engines in domains of eight or nine, two that stand in groups
-die every three seconds; empty ones are added, or half are replaced in turn. Nothing is
-modelled but engines, their weights and their groups; orders take effect after a fixed
-delay.
+Of some fifty engines in domains of eight or nine, two group members die every three
+seconds, and empty engines are added; or half of the engines are replaced in turn. The
+model covers only engines, their weights and their groups; orders take effect after a
+fixed delay, in virtual time.
 """
 
 import random
@@ -37,7 +37,7 @@
 def profile_of(
     large: int, large_share: float, small: int, small_share: float
 ) -> EngineProfile:
-    """Declare engines that serve a model of each size."""
+    """Return a profile of engines that serve a large and a small model."""
     models = (
         ModelSpec(
             name="large",
@@ -65,82 +65,82 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Shape:
-    """Describe a site: two domains in each of three data centres.
+class Site:
+    """A site with two domains in each of three data centres.
 
-    `needed` are the groups that carry each model's traffic: with fewer, streams wait
-    and come late.
+    `needed` is the number of groups that can carry the traffic of each model; with
+    fewer, streams are delayed.
     """
 
     name: str
-    domain: int
+    domain_size: int
     profile: EngineProfile
     needed: dict[str, float]
 
 
-SHAPES = (
-    Shape(
+SITES = (
+    Site(
         name="domains of 9, sizes 4 and 3",
-        domain=9,
+        domain_size=9,
         profile=profile_of(4, 0.57, 3, 0.43),
         needed={"large": 4.0, "small": 4.0},
     ),
-    Shape(
+    Site(
         name="domains of 8, sizes 4 and 2",
-        domain=8,
+        domain_size=8,
         profile=profile_of(4, 0.67, 2, 0.33),
         needed={"large": 5.0, "small": 3.5},
     ),
 )
 DATA_CENTRES = "abc"
 DOMAINS_EACH = 2
-TICK = 0.1
-LEAD_SECONDS = 12.0
+TICK_SECONDS = 0.1
+WARM_UP_SECONDS = 12.0
 DAY_SECONDS = 44.0
-# Time from the death of a member until the planner knows of it, in seconds.
-DETECTED_SECONDS = 0.8
+# Time from the death of a member until the planner detects it, in seconds.
+DETECTION_SECONDS = 0.8
 UNLISTED_SECONDS = 3.6
 STALL_SECONDS = 4.0
-SURVIVOR_SECONDS = 0.5
+REJOIN_SECONDS = 0.5
 OPENING_SECONDS = 0.5
 DRAINING_SECONDS = 1.5
 LEAVING_SECONDS = 3.0
-# Time that a leaving member stays at most while its group's head has work.
-WORKING_SECONDS = 10.0
+# Maximum time for which a leaving member stays while its group has work, in seconds.
+MAX_BUSY_STAY_SECONDS = 10.0
 ORDER_SECONDS = 0.2
 
 
 @dataclass(kw_only=True)
 class Engine:
-    """Hold one engine's state."""
+    """State of one engine; times are seconds of virtual time."""
 
     name: str
     domain: str
     died_at: float = float("inf")
-    told_at: float = float("inf")
+    stop_announced_at: float = float("inf")
     leaves_at: float = float("inf")
     staged: str = ""
     model: str = ""
     staging: str = ""
     staged_at: float = 0.0
-    place: Membership | None = None
+    membership: Membership | None = None
     ready_at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Pattern:
-    """Describe what happens to the engines in one day."""
+    """Losses, additions and replacements of engines in one simulated day."""
 
     name: str
     pairs_lost: int = 0
     pairs_added: int = 0
-    domain_dark: bool = False
+    loses_domain: bool = False
     replaced: int = 0
 
 
 PATTERNS = (
     Pattern(name="pairs die", pairs_lost=9, pairs_added=7),
-    Pattern(name="pairs die, domain dark", pairs_lost=9, pairs_added=6, domain_dark=1),
+    Pattern(name="pairs die, domain dark", pairs_lost=9, pairs_added=6, loses_domain=1),
     Pattern(name="engines replaced", replaced=27),
     Pattern(name="both", pairs_lost=6, pairs_added=4, replaced=14),
 )
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """Hold the served share by model, and loads and orders given."""
+    """Mean served share by model, mean number of groups across domains, and counts."""
 
     served: dict[str, float]
     far: float
@@ -158,15 +158,15 @@
 
 @dataclass(kw_only=True)
 class Replay:
-    """Run the planner over one pattern."""
+    """Simulation of one pattern with the planner."""
 
     pattern: Pattern
-    shape: Shape
+    site: Site
     seed: int
     weights: tuple[float, float] = (0.5, 0.5)
     engines: dict[str, Engine] = field(default_factory=dict)
     events: list = field(default_factory=list)
-    now: float = -LEAD_SECONDS
+    now: float = -WARM_UP_SECONDS
     epoch: int = 1
     formations: dict = field(default_factory=dict)
     first_seen: dict = field(default_factory=dict)
@@ -179,27 +179,27 @@
     orders: int = 0
 
     def run(self) -> Result:
-        """Replay the day."""
+        """Simulate the warm-up and the day."""
         rng = random.Random(self.seed)
-        domain = self.shape.domain
+        domain = self.site.domain_size
         for data_centre in DATA_CENTRES:
             for number in range(DOMAINS_EACH * domain):
-                self._add(f"{data_centre}{number // domain}")
-        self._draw(rng, DATA_CENTRES)
+                self._add_engine(f"{data_centre}{number // domain}")
+        self._draw_events(rng, DATA_CENTRES)
         served = defaultdict(list)
         far = []
         while self.now < DAY_SECONDS:
             while self.events and self.events[0][0] <= self.now:
                 _, kind, where = self.events.pop(0)
-                self._happen(kind, where, rng)
+                self._apply_event(kind, where, rng)
             self._advance()
             capacity = self._capacity()
             if self.now >= 0:
-                for name, need in self.shape.needed.items():
+                for name, need in self.site.needed.items():
                     served[name].append(min(1.0, capacity[name] / need))
                 far.append(capacity["far"])
             self._plan(capacity)
-            self.now += TICK
+            self.now += TICK_SECONDS
         return Result(
             served={name: mean(values) for name, values in served.items()},
             far=mean(far),
@@ -207,37 +207,37 @@
             orders=self.orders,
         )
 
-    def _add(self, domain: str) -> None:
+    def _add_engine(self, domain: str) -> None:
         name = f"e{len(self.engines):03}"
         self.engines[name] = Engine(name=name, domain=domain)
 
-    def _draw(self, rng: random.Random, zones: str) -> None:
-        at, turn = 2.0 + rng.random(), rng.randrange(3)
+    def _draw_events(self, rng: random.Random, zones: str) -> None:
+        at, offset = 2.0 + rng.random(), rng.randrange(3)
         for number in range(self.pattern.pairs_lost):
             kind = "lose"
-            if self.pattern.domain_dark and number == 3:
+            if self.pattern.loses_domain and number == 3:
                 kind = "dark"
-            self.events.append((at, kind, zones[(turn + number) % 3]))
+            self.events.append((at, kind, zones[(offset + number) % 3]))
             at += 2.0 + 2.0 * rng.random()
         at = 11.0 + rng.random()
         for number in range(self.pattern.pairs_added):
-            self.events.append((at, "add", zones[(turn + number) % 3]))
+            self.events.append((at, "add", zones[(offset + number) % 3]))
             at += 2.0 + 2.0 * rng.random()
         for number in range(self.pattern.replaced):
             self.events.append((2.0 + number * 0.85, "replace", ""))
         self.events.sort()
 
-    def _happen(self, kind: str, where: str, rng: random.Random) -> None:
+    def _apply_event(self, kind: str, where: str, rng: random.Random) -> None:
         alive = [e for e in self.engines.values() if e.died_at > self.now]
-        mine = [e for e in alive if e.domain.startswith(where)]
+        in_zone = [e for e in alive if e.domain.startswith(where)]
         match kind:
             case "lose":
-                joined = [e for e in mine if e.place] or mine
+                joined = [e for e in in_zone if e.membership] or in_zone
                 for engine in rng.sample(joined, 2):
                     engine.died_at = self.now
             case "dark":
                 domain = rng.choice([f"{where}0", f"{where}1"])
-                for engine in mine:
+                for engine in in_zone:
                     if engine.domain != domain:
                         continue
                     engine.died_at = self.now
@@ -245,18 +245,18 @@
                     self.events.append(back)
                 self.events.sort(key=lambda event: event[0])
             case "back":
-                self._add(where[0])
+                self._add_engine(where[0])
                 list(self.engines.values())[-1].staged = where[1]
             case "add":
                 domain = rng.choice([f"{where}0", f"{where}1"])
                 for _ in range(2):
-                    self._add(domain)
+                    self._add_engine(domain)
             case "replace":
                 old = [e for e in alive if e.leaves_at == float("inf") and e.staged]
                 if old:
                     engine = rng.choice(old)
-                    self._add(engine.domain)
-                    engine.told_at = self.now
+                    self._add_engine(engine.domain)
+                    engine.stop_announced_at = self.now
                     engine.leaves_at = self.now + LEAVING_SECONDS
 
     def _groups(self) -> dict[tuple[str, int], Group]:
@@ -274,7 +274,7 @@
                 domain=e.domain,
                 model=e.model,
                 staged=(e.staged,) if e.staged else (),
-                membership=e.place,
+                membership=e.membership,
             )
             for e in self.engines.values()
             if self.now < e.died_at + (UNLISTED_SECONDS if e.leaves_at > 99 else 0.0)
@@ -282,56 +282,62 @@
 
     def _advance(self) -> None:
         for engine in self.engines.values():
-            if engine.leaves_at <= self.now and not self._must_stay(engine):
+            if engine.leaves_at <= self.now and not self._is_kept_by_work(engine):
                 engine.died_at = min(engine.died_at, self.now)
             if engine.staging and engine.staged_at <= self.now:
                 engine.staged, engine.staging = engine.staging, ""
-            place = engine.place
-            if place and place.phase is GroupPhase.JOINING:
+            membership = engine.membership
+            if membership and membership.phase is GroupPhase.JOINING:
                 if engine.ready_at <= self.now:
-                    engine.place = replace(place, phase=GroupPhase.READY)
+                    engine.membership = replace(membership, phase=GroupPhase.READY)
         for key, until in list(self.closing_until.items()):
             if until <= self.now:
                 del self.closing_until[key]
                 self._set_phase(key, GroupPhase.CLOSING, GroupPhase.READY)
         for key, group in self._groups().items():
-            whole = self._is_whole(group)
-            if group.phase in (GroupPhase.OPEN, GroupPhase.CLOSING) and not whole:
-                since = self.broken_at.setdefault(key, self.now)
-                if self.now - since > STALL_SECONDS:
+            is_whole = self._is_whole(group)
+            if group.phase in (GroupPhase.OPEN, GroupPhase.CLOSING) and not is_whole:
+                broken_since = self.broken_at.setdefault(key, self.now)
+                if self.now - broken_since > STALL_SECONDS:
                     self._set_phase(key, group.phase, GroupPhase.BROKEN)
 
-    def _must_stay(self, engine: Engine) -> bool:
-        """Tell whether a leaving member stays because its head has work."""
-        if engine.place is None or engine.place.rank == 0:
+    def _is_kept_by_work(self, engine: Engine) -> bool:
+        """Return whether a leaving member has to stay because its group has work."""
+        if engine.membership is None or engine.membership.rank == 0:
             return False
-        group = self._groups().get((engine.place.group, engine.place.epoch))
-        works = group is not None and group.phase in (
+        group = self._groups().get((engine.membership.group, engine.membership.epoch))
+        is_working = group is not None and group.phase in (
             GroupPhase.OPEN,
             GroupPhase.CLOSING,
         )
-        return works and self.now - engine.told_at < WORKING_SECONDS
+        return (
+            is_working and self.now - engine.stop_announced_at < MAX_BUSY_STAY_SECONDS
+        )
 
     def _set_phase(self, key, before: GroupPhase, after: GroupPhase) -> None:
         for engine in self.engines.values():
-            place = engine.place
-            if place and (place.group, place.epoch) == key and place.phase is before:
-                engine.place = replace(place, phase=after)
+            membership = engine.membership
+            if (
+                membership
+                and (membership.group, membership.epoch) == key
+                and membership.phase is before
+            ):
+                engine.membership = replace(membership, phase=after)
 
     def _is_whole(self, group: Group) -> bool:
-        size = self.shape.profile.model(group.model).size
+        size = self.site.profile.model(group.model).size
         members = [self.engines[member.id] for member in group.members]
         return len(members) == size and all(e.died_at > self.now for e in members)
 
     def _capacity(self) -> dict[str, float]:
-        found = {"large": 0.0, "small": 0.0, "far": 0.0, "open": defaultdict(int)}
+        results = {"large": 0.0, "small": 0.0, "far": 0.0, "open": defaultdict(int)}
         for group in self._groups().values():
             if group.phase is GroupPhase.OPEN and self._is_whole(group):
-                far = self.shape.profile.cross_domain_factor
-                found[group.model] += 1.0 / far if group.spans_domains else 1.0
-                found["far"] += group.spans_domains
-                found["open"][group.model] += 1
-        return found
+                far = self.site.profile.cross_domain_factor
+                results[group.model] += 1.0 / far if group.spans_domains else 1.0
+                results["far"] += group.spans_domains
+                results["open"][group.model] += 1
+        return results
 
     def _plan(self, capacity: dict) -> None:
         groups = self._groups()
@@ -344,7 +350,7 @@
             if key in groups or self.now - known.ordered_at < STALL_SECONDS
         }
         utilization, running = {}, {}
-        profile, needed = self.shape.profile, self.shape.needed
+        profile, needed = self.site.profile, self.site.needed
         for model in profile.models:
             full = min(1.08, 0.9 * needed[model.name] / max(0.1, capacity[model.name]))
             utilization[model.name] = full
@@ -365,35 +371,35 @@
             lost=frozenset(
                 e.name
                 for e in self.engines.values()
-                if e.died_at + DETECTED_SECONDS < self.now
+                if e.died_at + DETECTION_SECONDS < self.now
             ),
             busy=frozenset(n for n, at in self.busy.items() if at > self.now),
             formations=self.formations,
             first_seen=self.first_seen,
             closed=frozenset(self.closed),
             leaving_since={
-                e.name: e.told_at
+                e.name: e.stop_announced_at
                 for e in self.engines.values()
-                if e.told_at < float("inf")
+                if e.stop_announced_at < float("inf")
             },
             loads_begun=tuple(self.loads_begun),
             loading={e.name: e.staging for e in self.engines.values() if e.staging},
             is_before_traffic=self.now < 0,
-            newest_target_at=-LEAD_SECONDS,
+            newest_target_at=-WARM_UP_SECONDS,
         )
         for step in plan_steps(view):
-            self._order(step)
+            self._carry_out(step)
 
-    def _order(self, step: Step) -> None:
+    def _carry_out(self, step: Step) -> None:
         engine = self.engines[step.target.id]
         self.orders += 1
         self.busy[engine.name] = self.now + ORDER_SECONDS
         if isinstance(step, Join):
-            self._remember(step)
+            self._record_formation(step)
         if engine.died_at <= self.now:
             return
-        if isinstance(step, Open | Close) and engine.place is None:
-            # It has left since the plan was made.
+        if isinstance(step, Open | Close) and engine.membership is None:
+            # The engine left its group after the plan was made.
             return
         match step:
             case Join():
@@ -401,18 +407,18 @@
             case Open():
                 key = (step.group, step.epoch)
                 self._set_phase(key, GroupPhase.READY, GroupPhase.READY)
-                engine.place = replace(engine.place, phase=GroupPhase.OPEN)
+                engine.membership = replace(engine.membership, phase=GroupPhase.OPEN)
             case Close():
                 self.closed.add((step.group, step.epoch))
-                engine.place = replace(engine.place, phase=GroupPhase.CLOSING)
+                engine.membership = replace(engine.membership, phase=GroupPhase.CLOSING)
                 seconds = 0.1 if step.evict else DRAINING_SECONDS
                 self.closing_until[(step.group, step.epoch)] = self.now + seconds
             case Leave():
-                engine.place = None
+                engine.membership = None
             case Stage():
                 self._load(engine, step.model)
 
-    def _remember(self, step: Join) -> None:
+    def _record_formation(self, step: Join) -> None:
         self.epoch = max(self.epoch, step.epoch + 1)
         self.formations.setdefault(
             (step.group, step.epoch),
@@ -426,8 +432,8 @@
         )
 
     def _join(self, engine: Engine, step: Join) -> None:
-        spec = self.shape.profile.model(step.model)
-        seconds = SURVIVOR_SECONDS
+        spec = self.site.profile.model(step.model)
+        seconds = REJOIN_SECONDS
         if engine.model != step.model:
             seconds = spec.warm_seconds + 0.3
             if engine.staged != step.model:
@@ -435,7 +441,7 @@
                 seconds += max(0.0, engine.staged_at - self.now)
         engine.model = step.model
         engine.ready_at = self.now + seconds + OPENING_SECONDS
-        engine.place = Membership(
+        engine.membership = Membership(
             group=step.group,
             epoch=step.epoch,
             rank=step.members.index(engine.name),
@@ -446,7 +452,7 @@
         share = 0.1 if self.now < 0 else 1.0
         engine.staging = model
         engine.staged_at = (
-            self.now + share * self.shape.profile.model(model).load_seconds
+            self.now + share * self.site.profile.model(model).load_seconds
         )
         if self.now >= 0:
             self.loads += 1
@@ -454,28 +460,28 @@
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Return the served share for each shape and pattern."""
+    """Measure the served share for each site and pattern."""
     seeds = range(1 if smallest else 20)
     patterns = PATTERNS[:1] if smallest else PATTERNS
-    return [_report(shape, patterns, seeds) for shape in SHAPES]
+    return [_report(site, patterns, seeds) for site in SITES]
 
 
-def _report(shape: Shape, patterns: tuple[Pattern, ...], seeds: range) -> Report:
+def _report(site: Site, patterns: tuple[Pattern, ...], seeds: range) -> Report:
     rows = []
     for pattern in patterns:
-        found = [Replay(pattern=pattern, shape=shape, seed=s).run() for s in seeds]
+        results = [Replay(pattern=pattern, site=site, seed=s).run() for s in seeds]
         rows.append(
             (
                 pattern.name,
-                round(mean(r.served["large"] for r in found), 3),
-                round(mean(r.served["small"] for r in found), 3),
-                round(mean(r.far for r in found), 2),
-                round(mean(r.loads for r in found), 1),
-                round(mean(r.orders for r in found)),
+                round(mean(r.served["large"] for r in results), 3),
+                round(mean(r.served["small"] for r in results), 3),
+                round(mean(r.far for r in results), 2),
+                round(mean(r.loads for r in results), 1),
+                round(mean(r.orders for r in results)),
             )
         )
     return Report(
-        title=f"Capacity for the traffic while engines die, {shape.name}",
+        title=f"Capacity for the traffic while engines die, {site.name}",
         columns=("pattern", "large", "small", "far groups", "loads", "orders"),
         rows=tuple(rows),
         notes=(f"1 is enough for all; {len(seeds)} seeds, six domains",),
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,4 +1,4 @@
-"""Offer more than the groups can serve, and count what is useful."""
+"""Simulate overload and measure goodput, fairness and quota by admission policy."""
 
 import heapq
 import random
@@ -11,90 +11,94 @@
 from mallowpond.state.quota import Chunk, chunk_size, grantable_units
 from mallowpond.state.retry import RetryBudget
 
-PLACES = 64
+SLOTS = 64
 SERVICE_SECONDS = 0.5
 DEADLINE_SECONDS = 3.0
-SECONDS = 60.0
+DURATION_SECONDS = 60.0
 LARGE_SHARE = 0.6
-BACK_OFF_SECONDS = 1.0
-MAX_TRIES = 4
+BACKOFF_SECONDS = 1.0
+MAX_ATTEMPTS = 4
 WORKSPACES = 10
 
 
 @dataclass(kw_only=True)
-class Outcome:
-    """Count what became of the requests of one trial."""
+class Counts:
+    """Counts of the requests of one trial by outcome.
+
+    `useful` requests ended before their deadline, `late` ones after it.
+    `worst_small_share` is the lowest useful share among the small workspaces.
+    """
 
     useful: int = 0
     late: int = 0
     refused: int = 0
     sent: int = 0
-    tries: int = 0
-    fresh: int = 0
-    worst_small: float = 1.0
+    attempts: int = 0
+    first_attempts: int = 0
+    worst_small_share: float = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ask:
-    """Hold one try of one request."""
+class Attempt:
+    """One attempt of a request; `number` starts at 1."""
 
     workspace: int
-    tries: int
+    number: int
     deadline: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Served:
-    """Hold a request that was sent and how long it took."""
+    """Event: the end of an attempt that was served for `seconds`."""
 
-    ask: Ask
-    took: float
+    attempt: Attempt
+    seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
-class LoseGroups:
-    """Take a third of the places away."""
+class GroupLoss:
+    """Event: a third of the slots is lost."""
 
 
 @dataclass(kw_only=True)
 class Trial:
-    """Replay one offered load through one admission policy."""
+    """Simulation of one offered load with one admission policy."""
 
     policy: str
     rng: random.Random
-    slots: int = PLACES
-    free: int = PLACES
-    out: Outcome = field(default_factory=Outcome)
+    slots: int = SLOTS
+    free: int = SLOTS
+    counts: Counts = field(default_factory=Counts)
     _queue: FairQueue = field(default_factory=FairQueue)
-    _waiting: dict[int, Ask] = field(default_factory=dict)
-    _fifo: deque[Ask] = field(default_factory=deque)
+    _waiting: dict[int, Attempt] = field(default_factory=dict)
+    _fifo: deque[Attempt] = field(default_factory=deque)
     _service: ServiceTime = field(
         default_factory=lambda: ServiceTime(seconds=SERVICE_SECONDS)
     )
     _budget: RetryBudget = field(default_factory=RetryBudget)
     _events: list = field(default_factory=list)
-    _numbers: count = field(default_factory=count)
-    _asked: list[int] = field(default_factory=lambda: [0] * WORKSPACES)
+    _sequence: count = field(default_factory=count)
+    _offered: list[int] = field(default_factory=lambda: [0] * WORKSPACES)
     _served: list[int] = field(default_factory=lambda: [0] * WORKSPACES)
 
-    def run(self, offered: float, seconds: float, lose_third: bool) -> Outcome:
-        """Offer a multiple of the capacity and return what became of it."""
-        self._draw_arrivals(offered * PLACES / SERVICE_SECONDS, seconds)
+    def run(self, offered: float, seconds: float, lose_third: bool) -> Counts:
+        """Offer a multiple of the capacity and return the counts."""
+        self._draw_arrivals(offered * SLOTS / SERVICE_SECONDS, seconds)
         if lose_third:
-            self._push(seconds / 2, LoseGroups())
+            self._push(seconds / 2, GroupLoss())
         while self._events:
             now, _, event = heapq.heappop(self._events)
             match event:
-                case LoseGroups():
-                    self.slots -= PLACES // 3
-                    self.free -= PLACES // 3
-                case Ask():
-                    self._take_in(event, now)
+                case GroupLoss():
+                    self.slots -= SLOTS // 3
+                    self.free -= SLOTS // 3
+                case Attempt():
+                    self._admit(event, now)
                 case Served():
-                    self._end(event, now)
-        shares = [s / a for s, a in zip(self._served, self._asked, strict=True) if a]
-        self.out.worst_small = min(shares[1:], default=1.0)
-        return self.out
+                    self._finish(event, now)
+        shares = [s / a for s, a in zip(self._served, self._offered, strict=True) if a]
+        self.counts.worst_small_share = min(shares[1:], default=1.0)
+        return self.counts
 
     def _draw_arrivals(self, rate: float, seconds: float) -> None:
         at = 0.0
@@ -103,80 +107,85 @@
             is_large = self.rng.random() < LARGE_SHARE
             workspace = 0 if is_large else self.rng.randrange(1, WORKSPACES)
             deadline = at + DEADLINE_SECONDS
-            self._push(at, Ask(workspace=workspace, tries=1, deadline=deadline))
+            self._push(at, Attempt(workspace=workspace, number=1, deadline=deadline))
 
-    def _push(self, at: float, event: Ask | Served | LoseGroups) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), event))
+    def _push(self, at: float, event: Attempt | Served | GroupLoss) -> None:
+        heapq.heappush(self._events, (at, next(self._sequence), event))
 
-    def _take_in(self, ask: Ask, now: float) -> None:
-        self.out.tries += 1
-        if ask.tries == 1:
-            self.out.fresh += 1
-            self._asked[ask.workspace] += 1
+    def _admit(self, attempt: Attempt, now: float) -> None:
+        self.counts.attempts += 1
+        if attempt.number == 1:
+            self.counts.first_attempts += 1
+            self._offered[attempt.workspace] += 1
             self._budget.record_request()
         if self.free > 0:
-            self._send(ask, now)
-        elif self._is_refused(ask, now):
-            self._refuse(ask, now)
+            self._send(attempt, now)
+        elif self._is_refused(attempt, now):
+            self._refuse(attempt, now)
         else:
-            self._wait(ask)
+            self._wait(attempt)
 
-    def _is_refused(self, ask: Ask, now: float) -> bool:
+    def _is_refused(self, attempt: Attempt, now: float) -> bool:
         match self.policy:
             case "ours":
                 refused = refuse_if_late(
-                    ahead=self._queue.ahead_of(str(ask.workspace), 1.0),
+                    ahead=self._queue.ahead_of(str(attempt.workspace), 1.0),
                     slots=self.slots,
                     service_seconds=self._service.upper_bound,
-                    remaining=ask.deadline - now,
+                    remaining=attempt.deadline - now,
                 )
                 return refused is not None
             case "fixed limit":
-                return len(self._fifo) >= PLACES
+                return len(self._fifo) >= SLOTS
         return False
 
-    def _refuse(self, ask: Ask, now: float) -> None:
-        self.out.refused += 1
-        # Retries of ours are held to their budget; the baselines' callers just retry.
+    def _refuse(self, attempt: Attempt, now: float) -> None:
+        self.counts.refused += 1
+        # Only the policy "ours" limits retries to a budget.
         may_retry = self.policy != "ours" or self._budget.try_spend()
-        if ask.tries < MAX_TRIES and may_retry:
-            at = now + BACK_OFF_SECONDS * self.rng.random()
+        if attempt.number < MAX_ATTEMPTS and may_retry:
+            at = now + BACKOFF_SECONDS * self.rng.random()
             deadline = at + DEADLINE_SECONDS
-            self._push(at, replace(ask, tries=ask.tries + 1, deadline=deadline))
+            self._push(
+                at, replace(attempt, number=attempt.number + 1, deadline=deadline)
+            )
 
-    def _wait(self, ask: Ask) -> None:
+    def _wait(self, attempt: Attempt) -> None:
         if self.policy != "ours":
-            self._fifo.append(ask)
+            self._fifo.append(attempt)
             return
         ticket = self._queue.push(
-            workspace=str(ask.workspace), share=1.0, deadline=ask.deadline
+            workspace=str(attempt.workspace), share=1.0, deadline=attempt.deadline
         )
-        self._waiting[ticket.number] = ask
+        self._waiting[ticket.number] = attempt
 
-    def _send(self, ask: Ask, now: float) -> None:
+    def _send(self, attempt: Attempt, now: float) -> None:
         self.free -= 1
-        self.out.sent += 1
-        took = self.rng.expovariate(1 / SERVICE_SECONDS)
-        self._push(now + took, Served(ask=ask, took=took))
+        self.counts.sent += 1
+        seconds = self.rng.expovariate(1 / SERVICE_SECONDS)
+        self._push(now + seconds, Served(attempt=attempt, seconds=seconds))
 
-    def _end(self, served: Served, now: float) -> None:
+    def _finish(self, served: Served, now: float) -> None:
         self.free += 1
-        self._service.record(served.took)
-        if now <= served.ask.deadline:
-            self.out.useful += 1
-            self._served[served.ask.workspace] += 1
+        self._service.record(served.seconds)
+        if now <= served.attempt.deadline:
+            self.counts.useful += 1
+            self._served[served.attempt.workspace] += 1
         else:
-            self.out.late += 1
+            self.counts.late += 1
         while self.free > 0:
-            ask = self._next()
-            if ask is None:
+            attempt = self._next()
+            if attempt is None:
                 return
-            if self.policy == "ours" and now + self._service.upper_bound > ask.deadline:
-                self.out.refused += 1
+            if (
+                self.policy == "ours"
+                and now + self._service.upper_bound > attempt.deadline
+            ):
+                self.counts.refused += 1
             else:
-                self._send(ask, now)
+                self._send(attempt, now)
 
-    def _next(self) -> Ask | None:
+    def _next(self) -> Attempt | None:
         if self.policy != "ours":
             return self._fifo.popleft() if self._fifo else None
         ticket = self._queue.pop()
@@ -184,8 +193,8 @@
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Measure goodput and fairness by policy, and quota overshoot."""
-    seconds = 5.0 if smallest else SECONDS
+    """Measure goodput and fairness by policy, and the overshoot of quotas."""
+    seconds = 5.0 if smallest else DURATION_SECONDS
     loads = (2.0,) if smallest else (0.5, 1.0, 2.0, 5.0)
     reports = [_goodput(f"Offered {x} of capacity", x, seconds, False) for x in loads]
     reports.append(_goodput("Offered 0.9, a third of groups lost", 0.9, seconds, True))
@@ -197,15 +206,15 @@
     rows = []
     for policy in ("no limit", "fixed limit", "ours"):
         trial = Trial(policy=policy, rng=random.Random(11))
-        out = trial.run(offered, seconds, lose)
-        capacity = PLACES / SERVICE_SECONDS * seconds
+        counts = trial.run(offered, seconds, lose)
+        capacity = SLOTS / SERVICE_SECONDS * seconds
         row = (
             policy,
-            out.useful / capacity,
-            out.late / max(1, out.sent),
-            out.refused / max(1, out.tries),
-            out.tries / max(1, out.fresh) - 1,
-            out.worst_small,
+            counts.useful / capacity,
+            counts.late / max(1, counts.sent),
+            counts.refused / max(1, counts.attempts),
+            counts.attempts / max(1, counts.first_attempts) - 1,
+            counts.worst_small_share,
         )
         rows.append(row)
     columns = (
@@ -220,7 +229,7 @@
 
 
 def _quota(nodes: tuple[int, ...]) -> Report:
-    """Spend a budget through chunks on many nodes; a tenth of them crash."""
+    """Spend a budget through leased chunks; a node crashes every 10,000 steps."""
     rows = []
     for size in nodes:
         rng = random.Random(5)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,4 +1,4 @@
-"""Count what membership and configuration cost each node, and what moves."""
+"""Measure the cost of membership and configuration, and the ownership that moves."""
 
 import asyncio
 import random
@@ -38,7 +38,7 @@
 
 @dataclass(kw_only=True)
 class CountingTable(MemoryTable):
-    """Count reads, writes and the bytes of both as JSON on the wire."""
+    """In-memory table that counts scans and the bytes of reads and writes as JSON."""
 
     read_bytes: int = 0
     write_bytes: int = 0
@@ -46,26 +46,26 @@
     keys: set[str] = field(default_factory=set)
 
     async def scan(self, prefix: str, since: int = 0) -> Scanned | Unavailable:
-        """Scan and count."""
+        """Scan rows and count the scan and its bytes."""
         found = await super().scan(prefix, since)
         self.scans += 1
         self.read_bytes += len(to_json(found))
         return found
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Commit and count."""
+        """Commit a transaction and count its bytes."""
         self.write_bytes += len(to_json(transaction))
         return await super().commit(transaction)
 
     async def read(self, key: str) -> Row | None | Unavailable:
-        """Read and count."""
+        """Read a row and count its bytes."""
         row = await super().read(key)
         self.read_bytes += len(to_json(row))
         return row
 
 
-async def cell_of(count: int) -> tuple[CountingTable, list, FakeClock]:
-    """Return a settled cell of this many controllers."""
+async def settled_cell(count: int) -> tuple[CountingTable, list, FakeClock]:
+    """Return a cell in which all `count` controllers are members, or nearly."""
     table, clock = CountingTable(), FakeClock()
     nodes = [make_controller(f"n{i:03}", table, clock) for i in range(count)]
     for _ in range(count + 20):
@@ -78,9 +78,12 @@
     return table, nodes, clock
 
 
-async def cost(count: int) -> tuple[float, ...]:
-    """Return reads, writes, bytes a node and second, and steps to be in force."""
-    table, nodes, clock = await cell_of(count)
+async def measure_cost(count: int) -> tuple[float, ...]:
+    """Return scans, commits, and bytes read and written per node and second.
+
+    The last figure is the time in seconds until a configuration is applied everywhere.
+    """
+    table, nodes, clock = await settled_cell(count)
     before = (table.scans, table.commits, table.read_bytes, table.write_bytes)
     for _ in range(ROUNDS):
         for node in nodes:
@@ -89,12 +92,12 @@
     after = (table.scans, table.commits, table.read_bytes, table.write_bytes)
     unit = ROUNDS * HEARTBEAT_SECONDS * count
     per_node = [(b - a) / unit for a, b in zip(before, after, strict=True)]
-    steps = await _steps_to_force(nodes, clock)
+    steps = await _heartbeats_until_applied(nodes, clock)
     return (*per_node, steps * HEARTBEAT_SECONDS)
 
 
-async def _steps_to_force(nodes: list, clock: FakeClock) -> int:
-    """Count heartbeats from the proposal until every node applied it."""
+async def _heartbeats_until_applied(nodes: list, clock: FakeClock) -> int:
+    """Return the heartbeats from a proposal until every node has applied it."""
     node = nodes[0].configuration
     await node.propose(
         text=configuration_text(), expect_version=node.applied.version, author="bench"
@@ -108,8 +111,8 @@
     return 100
 
 
-def moved(members: int, change: str) -> tuple[float, float]:
-    """Return the share of 10,000 names that change owner: rendezvous, modulo."""
+def moved_shares(members: int, change: str) -> tuple[float, float]:
+    """Return the shares of names that change owner with rendezvous and modulo."""
     rng = random.Random(2)
     names = [f"name-{rng.random()}" for _ in range(2_000)]
     before = [f"n{i}" for i in range(members)]
@@ -123,17 +126,17 @@
 
 
 def hash_of(name: str) -> int:
-    """Return a stable number for a name."""
+    """Return a number that depends only on the name."""
     return random.Random(name).getrandbits(48)
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Measure the cost of cells of several sizes, and ownership moved."""
+    """Measure the cost of cells of several sizes, and the share of moved ownership."""
     sizes = (3, 7) if smallest else (3, 7, 15, 30)
     rows = []
     for size in sizes:
-        scans, commits, read, written, force = asyncio.run(cost(size))
-        rows.append((size, scans, commits, read, written, force))
+        scans, commits, read, written, applied_after = asyncio.run(measure_cost(size))
+        rows.append((size, scans, commits, read, written, applied_after))
     costs = Report(
         title="Cost of a node in a cell, heartbeats each 0.5 s",
         columns=(
@@ -147,7 +150,7 @@
         rows=tuple(rows),
     )
     moves = [
-        (count, change, *moved(count, change))
+        (count, change, *moved_shares(count, change))
         for count in ((7,) if smallest else (7, 30, 380))
         for change in ("join", "loss")
     ]
@@ -156,19 +159,19 @@
         columns=("members", "change", "rendezvous", "modulo"),
         rows=tuple(moves),
     )
-    return [costs, ownership, _fleet_sized((43,) if smallest else (430, 4300))]
+    return [costs, ownership, _costs_by_fleet_size((43,) if smallest else (430, 4300))]
 
 
-def _fleet_sized(sizes: tuple[int, ...]) -> Report:
-    """Measure what grows with the hosts: a look at their rows, an answer of routes."""
+def _costs_by_fleet_size(sizes: tuple[int, ...]) -> Report:
+    """Measure a scan of the host rows and the size of route answers by fleet size."""
     rows = []
     for hosts in sizes:
         view = _view_of(hosts)
         view.with_prefix(HOSTS, HostRow)
-        look = best_seconds(lambda v=view: v.with_prefix(HOSTS, HostRow))
-        answer = len(encode(_answer_at_rest()))
-        changed = len(encode(_answer_at_rest(_groups_of(hosts // 8))))
-        rows.append((hosts, look * 1e3, answer, changed))
+        scan_seconds = best_seconds(lambda v=view: v.with_prefix(HOSTS, HostRow))
+        idle_bytes = len(encode(_routes_answer()))
+        full_bytes = len(encode(_routes_answer(_groups_of(hosts // 8))))
+        rows.append((hosts, scan_seconds * 1e3, idle_bytes, full_bytes))
     columns = (
         "hosts",
         "one look at their rows (ms)",
@@ -218,7 +221,7 @@
     )
 
 
-def _answer_at_rest(groups: tuple[GroupRow, ...] | None = None) -> Routes:
+def _routes_answer(groups: tuple[GroupRow, ...] | None = None) -> Routes:
     return Routes(
         sequence=123456,
         config_version=4000,
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,4 +1,4 @@
-"""Play loads on the placing of streams in virtual time, by the ways that there are."""
+"""Simulate the slot assignment of streams with and without a dispatcher."""
 
 import logging
 from concurrent.futures import ProcessPoolExecutor
@@ -28,22 +28,22 @@
 )
 
 
-def _play(scenario: Scenario, seed: int) -> SimulationResult:
+def _simulate(scenario: Scenario, seed: int) -> SimulationResult:
     silent = structlog.make_filtering_bound_logger(logging.CRITICAL)
     structlog.configure(wrapper_class=silent)
     return simulate(scenario, seed)
 
 
 def run(smallest: bool = False) -> list[Report]:
-    """Compare placing by news with one host that counts places, on the same seeds."""
+    """Compare slot assignment by load reports and by a dispatcher on the same seeds."""
     scenarios = SCENARIOS[:1] if smallest else SCENARIOS
     if smallest:
         scenarios = tuple(replace(scenario, seconds=4.0) for scenario in scenarios)
     seeds = range(1 if smallest else SEEDS)
     with ProcessPoolExecutor(PROCESSES) as pool:
-        plays = {
+        futures = {
             (scenario.name, uses_dispatcher, seed): pool.submit(
-                _play, replace(scenario, uses_dispatcher=uses_dispatcher), seed
+                _simulate, replace(scenario, uses_dispatcher=uses_dispatcher), seed
             )
             for scenario in scenarios
             for uses_dispatcher in (False, True)
@@ -54,7 +54,7 @@
                 scenario.name,
                 uses_dispatcher,
                 [
-                    plays[scenario.name, uses_dispatcher, seed].result()
+                    futures[scenario.name, uses_dispatcher, seed].result()
                     for seed in seeds
                 ],
             )
@@ -73,17 +73,17 @@
 
 
 def _row(
-    name: str, uses_dispatcher: bool, plays: list[SimulationResult]
+    name: str, uses_dispatcher: bool, results: list[SimulationResult]
 ) -> tuple[str | int | float, ...]:
-    streams = sum(figures.streams for figures in plays)
+    streams = sum(result.streams for result in results)
     return (
         name,
         "counted" if uses_dispatcher else "by news",
         streams,
-        round(100 * sum(figures.late for figures in plays) / streams, 2),
-        round(100 * sum(figures.unserved for figures in plays) / streams, 2),
-        round(sum(figures.excess_seconds for figures in plays) / len(plays), 1),
+        round(100 * sum(result.late for result in results) / streams, 2),
+        round(100 * sum(result.unserved for result in results) / streams, 2),
+        round(sum(result.excess_seconds for result in results) / len(results), 1),
         round(
-            sum(figures.avoidable_excess_seconds for figures in plays) / len(plays), 1
+            sum(result.avoidable_excess_seconds for result in results) / len(results), 1
         ),
     )
--- a/bench/planning.py
+++ b/bench/planning.py
@@ -1,4 +1,4 @@
-"""Replay host failures on the group planner."""
+"""Simulate host failures for the group planner and a baseline."""
 
 import heapq
 import random
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fleet:
-    """Describe hosts, what runs on them, and how they fail (mean seconds)."""
+    """Hosts, their deployments, and the mean seconds between and of failures."""
 
     domains: int
     hosts_per_domain: int
@@ -44,13 +44,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """Hold group-seconds of downtime and accelerator-seconds stranded.
+    """Downtime in group-seconds and stranded capacity in accelerator-seconds.
 
-    `heavy` is the downtime of the first deployment alone, `downtime` of all.
+    `large_downtime` is the downtime of the first deployment alone, `downtime` of all.
+    `bound` is the least downtime that any planner could reach.
     """
 
     downtime: float
-    heavy: float
+    large_downtime: float
     stranded: float
     bound: float
     plans: int
@@ -58,7 +59,7 @@
 
 @dataclass(kw_only=True)
 class Replay:
-    """Drive a planner with an event list; nothing else is modelled."""
+    """Discrete event simulation of a fleet with one planner."""
 
     fleet: Fleet
     planner: Planner
@@ -68,33 +69,38 @@
     warm: dict[str, str] = field(default_factory=dict)
     events: list = field(default_factory=list)
     ready_at: dict[str, float] = field(default_factory=dict)
-    slots: list[float] = field(default_factory=list)
-    down_until: dict[str, float] = field(default_factory=dict)
-    names: int = 0
+    loader_free_at: list[float] = field(default_factory=list)
+    outage_counts: dict[str, float] = field(default_factory=dict)
+    sequence: int = 0
 
     def run(self) -> Result:
-        """Replay the whole trace."""
-        self._prepare()
-        now = downtime = heavy = idle = bound = 0.0
+        """Simulate all events and return the result."""
+        self._draw_events()
+        now = downtime = large_downtime = idle = bound = 0.0
         plans = 0
         while self.events and self.events[0][0] <= self.fleet.seconds:
             at = self.events[0][0]
-            # The first loads of every group are not what planners differ in.
+            # Planners do not differ in the first loads of the groups, so that the
+            # warm-up is not counted.
             span = max(0.0, at - max(now, WARM_UP_SECONDS))
             downtime += span * self._missing(self.fleet.deployments)
-            heavy += span * self._missing(self.fleet.deployments[:1])
+            large_downtime += span * self._missing(self.fleet.deployments[:1])
             idle += span * self._stranded()
             bound += span * self._least_missing()
             now = at
             while self.events and self.events[0][0] == at:
                 _, _, kind, name = heapq.heappop(self.events)
                 self._apply_event(kind, name, now)
-            plans += self._plan_to_rest(now)
+            plans += self._plan_until_stable(now)
         return Result(
-            downtime=downtime, heavy=heavy, stranded=idle, bound=bound, plans=plans
+            downtime=downtime,
+            large_downtime=large_downtime,
+            stranded=idle,
+            bound=bound,
+            plans=plans,
         )
 
-    def _prepare(self) -> None:
+    def _draw_events(self) -> None:
         rng = random.Random(self.seed)
         fleet = self.fleet
         for domain in range(fleet.domains):
@@ -104,9 +110,9 @@
                     name=name, domain=f"d{domain:03}", accelerators=8
                 )
                 self._draw_failures(rng, name, fleet.host_mtbf, fleet.host_down)
-            dark = f"d{domain:03}"
-            self._draw_failures(rng, dark, fleet.domain_mtbf, fleet.domain_down)
-        self.slots = [0.0] * fleet.loading_slots
+            domain_name = f"d{domain:03}"
+            self._draw_failures(rng, domain_name, fleet.domain_mtbf, fleet.domain_down)
+        self.loader_free_at = [0.0] * fleet.loading_slots
         self._push(0.0, "start", "")
 
     def _draw_failures(
@@ -120,27 +126,27 @@
             at = back + rng.expovariate(1 / mtbf)
 
     def _push(self, at: float, kind: str, name: str) -> None:
-        heapq.heappush(self.events, (at, len(self.events) + self.names, kind, name))
-        self.names += 1
+        heapq.heappush(self.events, (at, len(self.events) + self.sequence, kind, name))
+        self.sequence += 1
 
     def _apply_event(self, kind: str, name: str, now: float) -> None:
         match kind:
             case "down" | "up":
                 step = 1 if kind == "down" else -1
-                for host in self._named(name):
-                    self._count_down(host, step)
+                for host in self._hosts_of(name):
+                    self._count_outage(host, step)
             case "ready" if self.ready_at.get(name) == now:
                 self.groups[name] = replace(self.groups[name], serving=True)
 
-    def _named(self, name: str) -> list[str]:
+    def _hosts_of(self, name: str) -> list[str]:
         if name in self.hosts:
             return [name]
         return [h.name for h in self.hosts.values() if h.domain == name]
 
-    def _count_down(self, host: str, step: int) -> None:
-        causes = self.down_until.get(host, 0) + step
-        self.down_until[host] = causes
-        self.hosts[host] = replace(self.hosts[host], usable=causes == 0)
+    def _count_outage(self, host: str, step: int) -> None:
+        outages = self.outage_counts.get(host, 0) + step
+        self.outage_counts[host] = outages
+        self.hosts[host] = replace(self.hosts[host], usable=outages == 0)
         if step == 1:
             self.warm.pop(host, None)
             for group in self.groups.values():
@@ -150,7 +156,7 @@
                     self.ready_at.pop(group.name, None)
                     return
 
-    def _plan_to_rest(self, now: float) -> int:
+    def _plan_until_stable(self, now: float) -> int:
         for count in range(1, 6):
             actions = self.planner(
                 hosts=self._bound_hosts(),
@@ -158,7 +164,7 @@
                 groups=list(self.groups.values()),
             )
             for action in actions:
-                self._carry_out(action, now)
+                self._apply_action(action, now)
             if not actions:
                 return count
         return count
@@ -167,7 +173,7 @@
         bound = {h: g.name for g in self.groups.values() for h in g.hosts}
         return [replace(h, group=bound.get(h.name)) for h in self.hosts.values()]
 
-    def _carry_out(self, action: Action, now: float) -> None:
+    def _apply_action(self, action: Action, now: float) -> None:
         match action:
             case Dissolve(group=name):
                 self.groups.pop(name)
@@ -175,19 +181,19 @@
             case Repair(group=name, hosts=hosts):
                 self._start(name, self.groups[name].deployment, hosts, now)
             case Form(deployment=deployment, hosts=hosts):
-                self.names += 1
-                self._start(f"g{self.names}", deployment, hosts, now)
+                self.sequence += 1
+                self._start(f"g{self.sequence}", deployment, hosts, now)
 
     def _start(
         self, name: str, deployment: str, hosts: tuple[str, ...], now: float
     ) -> None:
-        """Load weights where they are cold, as fast as the weight store allows."""
+        """Start a group; cold hosts load the weights, limited by slots."""
         ready = now + REGROUP_SECONDS
         for host in hosts:
             if self.warm.get(host) == deployment:
                 continue
-            begin = max(now, heapq.heappop(self.slots))
-            heapq.heappush(self.slots, begin + LOAD_SECONDS)
+            begin = max(now, heapq.heappop(self.loader_free_at))
+            heapq.heappush(self.loader_free_at, begin + LOAD_SECONDS)
             ready = max(ready, begin + LOAD_SECONDS)
             self.warm[host] = deployment
         self.groups[name] = PlanGroup(
@@ -209,10 +215,10 @@
         )
 
     def _least_missing(self) -> int:
-        """Return the groups that no planner could form, even loading at once.
+        """Return the least number of missing groups that any planner could reach.
 
-        Tried over every count of the first deployment's groups; the others are taken
-        to be of single hosts.
+        It assumes instant loads, tries every number of groups of the first deployment,
+        and takes the groups of the others as single hosts.
         """
         free: dict[str, int] = {}
         for host in self.hosts.values():
@@ -227,7 +233,7 @@
 
 
 def dissolve_and_first_fit(*, hosts, deployments, groups) -> tuple[Action, ...]:
-    """Plan as the baseline does: drop broken groups, form anew wherever it fits."""
+    """Plan as a baseline: dissolve broken groups and form new ones by first fit."""
     hosts = list(hosts)
     usable = {h.name for h in hosts if h.usable}
     broken = [g for g in groups if g.lost or not usable.issuperset(g.hosts)]
@@ -239,8 +245,8 @@
         if host.usable and host.name not in bound:
             free.setdefault(host.domain, []).append(host.name)
     for one in deployments:
-        held = sum(g.deployment == one.name for g in kept)
-        for _ in range(one.replicas - held):
+        existing = sum(g.deployment == one.name for g in kept)
+        for _ in range(one.replicas - existing):
             fitting = [d for d in free if len(free[d]) >= one.hosts_per_group]
             if not fitting:
                 break
@@ -252,7 +258,7 @@
 
 
 def deployment(name: str, replicas: int, size: int, weights: Weights) -> Deployment:
-    """Declare one deployment of a fleet."""
+    """Return a deployment of groups of `size` hosts."""
     return Deployment(
         name=name,
         model=name,
@@ -263,8 +269,8 @@
     )
 
 
-def site(weights: Weights, replicas: int, seconds: float) -> Fleet:
-    """Return a user's site of today: 50 engines, a large and a small model."""
+def current_site(weights: Weights, replicas: int, seconds: float) -> Fleet:
+    """Return a fleet of today's size: 50 engines, a large and a small model."""
     return Fleet(
         domains=5,
         hosts_per_domain=10,
@@ -277,8 +283,8 @@
     )
 
 
-def two_years(weights: Weights, replicas: int, seconds: float) -> Fleet:
-    """Return the fleet of the two-year size."""
+def two_year_site(weights: Weights, replicas: int, seconds: float) -> Fleet:
+    """Return a fleet of the size that is expected in two years."""
     return Fleet(
         domains=134,
         hosts_per_domain=32,
@@ -290,7 +296,7 @@
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Measure planners on the same traces."""
+    """Compare planners on the same failures."""
     seeds = (1,) if smallest else (1, 2, 3)
     seconds = 4 * 3600.0 if smallest else 2 * DAY
     reports = [_compare("Site of today, 9 large groups wanted", 9, seeds, seconds)]
@@ -310,9 +316,9 @@
     ]
     rows = []
     for name, planner, weights in cases:
-        fleet = site(weights, replicas, seconds)
+        fleet = current_site(weights, replicas, seconds)
         results = [Replay(fleet=fleet, planner=planner, seed=s).run() for s in seeds]
-        rows.append((name, *_sums(results)))
+        rows.append((name, *_totals(results)))
     return Report(title=title, columns=_COLUMNS, rows=tuple(rows))
 
 
@@ -326,10 +332,10 @@
 )
 
 
-def _sums(results: list[Result]) -> tuple[float, float, float, float, int]:
+def _totals(results: list[Result]) -> tuple[float, float, float, float, int]:
     return (
         sum(r.downtime for r in results) / 3600,
-        sum(r.heavy for r in results) / 3600,
+        sum(r.large_downtime for r in results) / 3600,
         sum(r.bound for r in results) / 3600,
         sum(r.stranded for r in results) / 3600,
         sum(r.plans for r in results),
@@ -340,10 +346,10 @@
     rows = []
     planners = (("dissolve, first fit", dissolve_and_first_fit), ("ours", plan))
     for name, planner in planners:
-        large = two_years(SKYFALL, 130, WARM_UP_SECONDS + 3600.0)
+        large = two_year_site(SKYFALL, 130, WARM_UP_SECONDS + 3600.0)
         fleet = replace(large, domains=34, loading_slots=64)
         result = Replay(fleet=fleet, planner=planner, seed=1).run()
-        rows.append((name, *_sums([result])))
+        rows.append((name, *_totals([result])))
     title = "1,088 hosts in 34 domains, 130 groups of 8, an hour"
     return Report(title=title, columns=_COLUMNS, rows=tuple(rows))
 
@@ -351,7 +357,7 @@
 def _planner_time(smallest: bool) -> Report:
     rows = []
     for domains in (2, 8) if smallest else (2, 13, 34, 134):
-        fleet = replace(two_years(SKYFALL, domains * 4 - 1, 60.0), domains=domains)
+        fleet = replace(two_year_site(SKYFALL, domains * 4 - 1, 60.0), domains=domains)
         replay = Replay(fleet=fleet, planner=plan, seed=1)
         replay.run()
         name = next(iter(replay.groups))
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Print a measurement as a table and as JSON."""
+"""Format the reports of a measurement as tables and as JSON."""
 
 import json
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Report:
-    """Hold the rows of one measurement; times are in the units columns name."""
+    """A table of results; the names of the columns give the units."""
 
     title: str
     columns: tuple[str, ...]
@@ -19,7 +19,7 @@
     notes: tuple[str, ...] = ()
 
 
-def text_of(report: Report) -> str:
+def format_text(report: Report) -> str:
     """Return a report as an aligned table."""
     cells = [report.columns, *(tuple(map(_text, row)) for row in report.rows)]
     widths = [max(len(row[n]) for row in cells) for n in range(len(report.columns))]
@@ -31,7 +31,7 @@
     return "\n".join(lines)
 
 
-def json_of(name: str, reports: list[Report]) -> str:
+def format_json(name: str, reports: list[Report]) -> str:
     """Return the reports of a measurement as JSON."""
     tables = [
         {"title": r.title, "columns": r.columns, "rows": r.rows, "notes": r.notes}
@@ -41,15 +41,15 @@
 
 
 def save(name: str, reports: list[Report]) -> Path:
-    """Write the reports beside the tree and return where."""
+    """Write the reports below the working directory and return the path."""
     RESULTS.mkdir(exist_ok=True)
     path = RESULTS / f"{name}.json"
-    path.write_text(json_of(name, reports))
+    path.write_text(format_json(name, reports))
     return path
 
 
 def best_seconds(work, repeats: int = 5) -> float:
-    """Return the least time that `work` took; the least is the least disturbed."""
+    """Return the minimum duration of `work`, which is the least disturbed one."""
     best = float("inf")
     for _ in range(repeats):
         start = perf_counter()
--- a/bench/request_path.py
+++ b/bench/request_path.py
@@ -14,15 +14,15 @@
 from mallowpond.transport.http_client import CallFailed, Chunk, HttpClient
 
 CONCURRENCY = 8
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") / 1024
 AUTH = (("authorization", f"Bearer {API_KEY}"),)
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def resident_kb(pid: int) -> float:
@@ -30,16 +30,16 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_KB
 
 
-async def call(http, address, headers, **fields) -> tuple[float, int]:
-    """Make one completion; return seconds to the first byte and chunks."""
-    asked = {"model": "meteor-7b", "prompt": "p", "max_tokens": 1} | fields
+async def complete(http, address, headers, **fields) -> tuple[float, int]:
+    """Request one completion; return seconds to the first chunk and the events."""
+    fields_sent = {"model": "meteor-7b", "prompt": "p", "max_tokens": 1} | fields
     start = perf_counter()
     answer = await http.send(
         address,
         "POST",
         "/v1/completions",
         headers=headers,
-        body=json.dumps(asked).encode(),
+        body=json.dumps(fields_sent).encode(),
     )
     assert not isinstance(answer, CallFailed), answer
     assert answer.status == 200, answer.status
@@ -52,25 +52,27 @@
     return first, chunks
 
 
-async def many(http, address, headers, count: int, **fields) -> list[tuple[float, int]]:
-    """Make calls, a few at a time."""
-    gate = asyncio.Semaphore(CONCURRENCY)
+async def complete_many(
+    http, address, headers, count: int, **fields
+) -> list[tuple[float, int]]:
+    """Request `count` completions, at most CONCURRENCY at a time."""
+    limiter = asyncio.Semaphore(CONCURRENCY)
 
-    async def one(number: int) -> tuple[float, int]:
-        async with gate:
-            return await call(http, address, headers, prompt=f"p{number}", **fields)
+    async def limited_call(number: int) -> tuple[float, int]:
+        async with limiter:
+            return await complete(http, address, headers, prompt=f"p{number}", **fields)
 
-    return await asyncio.gather(*(one(n) for n in range(count)))
+    return await asyncio.gather(*(limited_call(n) for n in range(count)))
 
 
 async def measure(cluster: Cluster, smallest: bool) -> list[Report]:
-    """Measure whole requests, chunks, idle streams and the latency added."""
+    """Measure whole requests, chunks, idle streams and the added latency."""
     scale = 1 if smallest else 10
     gateway = f"127.0.0.1:{cluster.ports['gateway0']}"
     pid = cluster.processes["gateway0"].pid
     http = HttpClient()
     try:
-        await many(http, gateway, AUTH, 40)
+        await complete_many(http, gateway, AUTH, 40)
         request = await _per_request(http, gateway, pid, 40 * scale)
         chunk = await _per_chunk(http, gateway, pid, 4 * scale, request)
         idle = await _idle_streams(http, gateway, cluster, pid, 6 * scale)
@@ -98,19 +100,22 @@
 
 async def _per_request(http, gateway, pid, count: int) -> float:
     before = cpu_seconds(pid)
-    await many(http, gateway, AUTH, count)
+    await complete_many(http, gateway, AUTH, count)
     return (cpu_seconds(pid) - before) / count
 
 
 async def _per_chunk(http, gateway, pid, count: int, request: float) -> float:
     before = cpu_seconds(pid)
-    done = await many(http, gateway, AUTH, count, stream=True, max_tokens=200)
+    done = await complete_many(http, gateway, AUTH, count, stream=True, max_tokens=200)
     used = cpu_seconds(pid) - before - request * count
     return used / sum(chunks for _, chunks in done)
 
 
 async def _idle_streams(http, gateway, cluster, pid, count) -> tuple[float, float]:
-    """Hold streams open whose engines speak once in ten seconds."""
+    """Measure open streams with one event in ten seconds.
+
+    Return processor seconds per second, and resident KB, for each stream.
+    """
     for name in cluster.names("engine"):
         cluster.set_faults(name, slow_factor=2000.0)
     await asyncio.sleep(0.5)
@@ -119,37 +124,37 @@
     at_rest = (cpu_seconds(pid) - rest) / 2.0
     memory = resident_kb(pid)
     tasks = [
-        asyncio.create_task(call(http, gateway, AUTH, stream=True, prompt=f"i{n}"))
+        asyncio.create_task(complete(http, gateway, AUTH, stream=True, prompt=f"i{n}"))
         for n in range(count)
     ]
     await asyncio.sleep(1.0)
     before = cpu_seconds(pid)
     await asyncio.sleep(4.0)
     used = (cpu_seconds(pid) - before) / 4.0 - at_rest
-    held = resident_kb(pid) - memory
+    grown = resident_kb(pid) - memory
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
     for name in cluster.names("engine"):
         cluster.set_faults(name)
     await asyncio.sleep(0.5)
-    return max(0.0, used) / count, held / count
+    return max(0.0, used) / count, grown / count
 
 
 async def _added_latency(http, gateway, cluster, count: int) -> tuple[float, float]:
-    """Alternate calls to an engine and through the gateway."""
-    leader = None
+    """Alternate calls to an engine and through the gateway; return median seconds."""
+    head = None
     for name in cluster.names("engine"):
         address = f"127.0.0.1:{cluster.ports[name]}"
         status = json.loads((await http.fetch(address, "GET", "/engine/status"))[1])
-        if status["whole"] and leader is None:
-            leader = (address, status)
-    address, status = leader
+        if status["whole"] and head is None:
+            head = (address, status)
+    address, status = head
     echo = dispatch_headers("direct", status["group"], status["generation"])
     direct, through = [], []
     for _ in range(count):
-        direct.append((await call(http, address, echo))[0])
-        through.append((await call(http, gateway, AUTH))[0])
+        direct.append((await complete(http, address, echo))[0])
+        through.append((await complete(http, gateway, AUTH))[0])
     return statistics.median(direct), statistics.median(through)
 
 
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,4 +1,4 @@
-"""Compare ways to choose a group, on lagging load reports."""
+"""Simulate policies that choose a group from delayed load reports."""
 
 import heapq
 import random
@@ -11,8 +11,8 @@
 SERVICE_SECONDS = 0.1
 SLOTS = 8
 PREFIXES = 200
-LOAD = 0.75
-HIT_SAVING = 0.3
+UTILIZATION = 0.75
+HIT_SAVED_SHARE = 0.3
 CACHED_PREFIXES = 30
 STRAGGLER_FACTOR = 5.0
 POLICIES = ("random", "round robin", "least reported", "two choices", "ours")
@@ -20,7 +20,7 @@
 
 @dataclass(kw_only=True)
 class Trial:
-    """Replay arrivals on groups that serve a few requests at once, first come first."""
+    """Simulation of arrivals at groups with a few slots and a FIFO queue each."""
 
     policy: str
     groups: int
@@ -30,10 +30,12 @@
     rng: random.Random
     waits: list[float] = field(default_factory=list)
     hits: int = 0
-    straggled: int = 0
+    straggler_requests: int = 0
 
     def run(self) -> tuple[float, float, float]:
-        """Return p99 wait in service times, prefix hit share, straggler's share."""
+        """Return the p99 wait in service times, the share of prefix hits, and the load
+        of the straggler relative to a fair share.
+        """
         names = [f"g{n}" for n in range(self.groups)]
         slots = {g: [0.0] * SLOTS for g in names}
         cached: dict[str, list[int]] = {g: [] for g in names}
@@ -41,7 +43,7 @@
         reported = dict.fromkeys(names, 0)
         balancer = Balancer(rng=self.rng)
         events: list = []
-        rate = LOAD * self.groups * SLOTS / SERVICE_SECONDS
+        rate = UTILIZATION * self.groups * SLOTS / SERVICE_SECONDS
         now, next_report, turn = 0.0, 0.0, 0
         for number in range(self.requests):
             now += self.rng.expovariate(rate)
@@ -60,12 +62,12 @@
             service = self.rng.expovariate(1 / SERVICE_SECONDS)
             if prefix in cached[group]:
                 self.hits += 1
-                service *= 1 - HIT_SAVING
+                service *= 1 - HIT_SAVED_SHARE
                 cached[group].remove(prefix)
             cached[group] = [prefix, *cached[group][: CACHED_PREFIXES - 1]]
             if self.straggler and group == "g0":
                 service *= STRAGGLER_FACTOR
-                self.straggled += number > self.requests // 2
+                self.straggler_requests += number > self.requests // 2
             begin = max(now, heapq.heappop(slots[group]))
             heapq.heappush(slots[group], begin + service)
             self.waits.append(begin - now)
@@ -75,7 +77,7 @@
         return (
             ordered[int(len(ordered) * 0.99)] / SERVICE_SECONDS,
             self.hits / self.requests,
-            self.straggled / (self.requests / 2) * self.groups,
+            self.straggler_requests / (self.requests / 2) * self.groups,
         )
 
     def _choose(self, names, reported, balancer, prefix, turn, now) -> str:
@@ -94,7 +96,7 @@
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Measure each policy over lags, with a straggler, and over sizes."""
+    """Compare the policies by report lag, with a straggler, and by number of groups."""
     requests = 2_000 if smallest else 20_000
     lags = (0.5,) if smallest else (0.1, 0.5, 2.0)
     reports = [
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -101,7 +101,7 @@
     """A store, engines and nodes as processes, and the proxies between them."""
 
     folder: Path
-    free_ports: Iterator[int] = field(default_factory=free_ports)
+    unused_ports: Iterator[int] = field(default_factory=free_ports)
     shape: FleetShape = FleetShape()
     nodes: list[ManagedProcess] = field(default_factory=list)
     engines: list[ManagedProcess] = field(default_factory=list)
@@ -123,7 +123,7 @@
         Raises TimeoutError if the store or the groups do not come up in time.
         """
         self._stack.push_async_callback(self._http.close)
-        self._store_port = next(self.free_ports)
+        self._store_port = next(self.unused_ports)
         address = f"127.0.0.1:{self._store_port}"
         self._operator = ObservatoryOperator(http=self._http, address=address)
         options = {"host": "127.0.0.1", "port": self._store_port}
@@ -234,7 +234,7 @@
             await asyncio.sleep(0.1)
 
     async def _add_engine(self, number: int) -> None:
-        port = next(self.free_ports)
+        port = next(self.unused_ports)
         link = await self._add_link(port)
         store_link = await self._add_link(self._store_port)
         is_plain = number >= self.grouped_engine_count
@@ -263,7 +263,7 @@
         self.engine_store_links.append(store_link)
 
     async def _add_node(self, number: int) -> None:
-        callers, readiness, peers = islice(self.free_ports, 3)
+        callers, readiness, peers = islice(self.unused_ports, 3)
         link = await self._add_link(self._store_port)
         path = self.folder / f"node{number}.toml"
         path.write_text(
