--- a/bench/placing.py
+++ b/bench/placing.py
@@ -19,7 +19,11 @@
     Scenario(name="tight, 195 hosts", hosts=195, groups=66, rate=418.0),
     Scenario(name="tight, 380 hosts", hosts=380, groups=130, rate=820.0),
     Scenario(
-        name="groups replaced", hosts=74, groups=36, rate=222.0, replaced_every=0.5
+        name="groups replaced",
+        hosts=74,
+        groups=36,
+        rate=222.0,
+        replacement_interval=0.5,
     ),
     Scenario(name="hosts start anew", hosts=74, groups=40, rate=230.0, restart_at=4.0),
     Scenario(name="overload, 7 hosts", hosts=7, groups=4, rate=44.0),
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -10,7 +10,7 @@
 import structlog
 
 from mallowpond.standins.observatory_engine import FATAL_BODY, new_engine_id
-from mallowpond.standins.observatory_operator import NO_IDS, foreign_values
+from mallowpond.standins.observatory_operator import INVALID_IDS, foreign_values
 from soak.callers import Callers
 from soak.fleet import Fleet, ManagedProcess
 from soak.judge import BACKOFF_KIND, RATE_LIMIT_KIND
@@ -321,7 +321,7 @@
         entries = await self.fleet.engine_entries()
         if not entries:
             return
-        key = NO_IDS[fault.draw % len(NO_IDS)]
+        key = INVALID_IDS[fault.draw % len(INVALID_IDS)]
         if engine is not None:
             key = engine.id
         elif fault.draw % 3:
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -224,7 +224,7 @@
 
     async def _is_serving(self) -> bool:
         groups = self.shape.engines_per_domain // GROUP_SIZE * self.shape.domains
-        return await self._operator.open_groups() >= groups
+        return await self._operator.count_open_groups() >= groups
 
     async def _wait_for(self, condition: Any, what: str, seconds: float = 90.0) -> None:
         limit = time.monotonic() + seconds
