--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -14,9 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from mallowpond.standins.free_ports import free_ports
-
 from mallowpond.platform.early_listener import SETTINGS_VARIABLE
+from mallowpond.standins.free_ports import free_ports
 from mallowpond.standins.observatory_engine import new_engine_id
 from mallowpond.standins.observatory_operator import (
     ObservatoryOperator,
--- a/soak/tests/test_fleet.py
+++ b/soak/tests/test_fleet.py
@@ -8,7 +8,6 @@
     FIRST_PORT,
     free_ports,
 )
-
 from soak.fleet import Fleet, ManagedProcess
 
 
