--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -170,7 +170,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     async def _publish_totals(self) -> None:
-        """Report the hosts' loads to a reader in rounds, and send all of them its totals."""
+        """Report the hosts' loads to a reader in rounds, and give all its totals."""
         while True:
             for round_number in range(REPORT_ROUNDS):
                 hosts = self.hosts
--- a/mallowpond/standins/__init__.py
+++ b/mallowpond/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform and the engines, for tests and trials."""
+"""Stand-ins for the platform and its engines, for tests and experiments."""
 
 __all__ = [
     "engine",
--- a/mallowpond/standins/engine.py
+++ b/mallowpond/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine or a plain service, with faults on request."""
+"""Stand-in for a model engine or a plain service, with fault injection."""
 
 import asyncio
 import json
@@ -31,7 +31,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineFaults:
-    """Say what goes wrong in an engine."""
+    """Faults to inject into an engine.
+
+    paused: new requests wait and running streams pause.
+    slow_factor: factor on the time per token.
+    late_seconds: delay before a completion starts.
+    cut_after_tokens: number of tokens after which the connection closes.
+    cut_before_head: the request runs, and the connection closes without an answer.
+    swap_answers: answers carry the id of another request.
+    ignore_fencing: orders are accepted regardless of their fencing number.
+    refuse_start: completions are refused.
+    fatal_prompt: prompt that crashes the engine that runs it, empty for none.
+    """
 
     paused: bool = False
     slow_factor: float = 1.0
@@ -41,20 +52,19 @@
     swap_answers: bool = False
     ignore_fencing: bool = False
     refuse_start: bool = False
-    # A prompt that ends the process which runs it, empty for none.
     fatal_prompt: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Placement:
-    """Hold the place in a group that the last order gave."""
+class Assignment:
+    """The last accepted order, and whether its weights are loaded."""
 
     order: Order
     loaded: bool = False
 
 
 class EngineStandin:
-    """Serve completions for the group that the last order named."""
+    """Engine that serves completions for the group of the last accepted order."""
 
     def __init__(
         self,
@@ -68,93 +78,95 @@
         self._incarnation = incarnation
         self._checks_fencing = checks_fencing
         self._step_seconds = step_seconds
-        self._placement: Placement | None = None
+        self._assignment: Assignment | None = None
         self._highest_fence = 0
-        self._whole = False
+        self._is_group_whole = False
         self._in_flight = 0
         self._faults = EngineFaults()
         self._runs: list[str] = []
         self._http = HttpClient(connect_seconds=0.5)
         self._peers = EngineClient(http=self._http, timeout=0.5)
-        self._load: asyncio.Task[None] | None = None
-        self._peer_check: asyncio.Task[None] | None = None
+        self._load_task: asyncio.Task[None] | None = None
+        self._monitor_task: asyncio.Task[None] | None = None
         self.server = HttpServer(handler=self._handle)
 
     @property
     def runs(self) -> tuple[str, ...]:
-        """Return the ids of the requests that were started here."""
+        """Ids of the requests that were started here."""
         return tuple(self._runs)
 
     def set_faults(self, faults: EngineFaults) -> None:
-        """Replace what goes wrong."""
+        """Replace the faults to inject."""
         self._faults = faults
 
     async def start(self, host: str, port: int) -> None:
-        """Listen and watch the other members."""
+        """Listen, and start to monitor the other members of the group."""
         await self.server.start(host, port)
-        self._peer_check = asyncio.create_task(self._watch_peers())
+        self._monitor_task = asyncio.create_task(self._monitor_peers())
 
     async def close(self) -> None:
         """Stop at once, as a killed process would."""
-        for task in (self._load, self._peer_check):
+        for task in (self._load_task, self._monitor_task):
             if task is not None:
                 task.cancel()
         await self.server.close()
         await self._http.close()
 
     def status(self) -> EngineStatus:
-        """Report what this engine holds."""
-        placed = self._placement
-        if placed is None:
+        """Return the status that this engine reports."""
+        assignment = self._assignment
+        if assignment is None:
             return EngineStatus(host=self._host, incarnation=self._incarnation)
-        order = placed.order
+        order = assignment.order
         return EngineStatus(
             host=self._host,
             incarnation=self._incarnation,
             group=order.group,
             generation=order.generation,
             order=order.order,
-            loaded=placed.loaded,
-            whole=self._whole,
+            loaded=assignment.loaded,
+            whole=self._is_group_whole,
             in_flight=self._in_flight,
         )
 
-    def take_order(self, order: Order) -> str | None:
-        """Carry out an order; return why it is refused."""
+    def apply_order(self, order: Order) -> str | None:
+        """Apply an order; return the reason if it is refused."""
         ignores = self._faults.ignore_fencing or not self._checks_fencing
         if order.fence < self._highest_fence and not ignores:
             return f"fence {order.fence} is older than {self._highest_fence}"
         self._highest_fence = max(self._highest_fence, order.fence)
-        if self._load is not None:
-            self._load.cancel()
-        self._whole = False
+        if self._load_task is not None:
+            self._load_task.cancel()
+        self._is_group_whole = False
         if order.action is OrderAction.UNLOAD:
-            self._placement = Placement(order=replace(order, group="", generation=0))
+            self._assignment = Assignment(order=replace(order, group="", generation=0))
             return None
-        held = self._placement
-        is_warm = held is not None and held.loaded and held.order.model == order.model
-        self._placement = Placement(order=order)
+        old = self._assignment
+        is_warm = old is not None and old.loaded and old.order.model == order.model
+        self._assignment = Assignment(order=order)
         seconds = 0.0 if is_warm else order.load_seconds
-        self._load = asyncio.create_task(self._load_weights(order, seconds))
+        self._load_task = asyncio.create_task(self._load_weights(order, seconds))
         return None
 
     async def _load_weights(self, order: Order, seconds: float) -> None:
         await asyncio.sleep(seconds)
-        self._placement = Placement(order=order, loaded=True)
+        self._assignment = Assignment(order=order, loaded=True)
 
-    async def _watch_peers(self) -> None:
+    async def _monitor_peers(self) -> None:
         while True:
-            placed = self._placement
-            if placed is not None and placed.order.members:
-                whole = await self._is_whole(placed)
-                self._whole = whole and placed is self._placement
+            assignment = self._assignment
+            if assignment is not None and assignment.order.members:
+                whole = await self._check_members(assignment)
+                self._is_group_whole = whole and assignment is self._assignment
             await asyncio.sleep(PEER_CHECK_SECONDS)
 
-    async def _is_whole(self, placed: Placement) -> bool:
-        others = (m for m in placed.order.members if m.host != self._host)
-        asked = (self._peers.status(m.address) for m in others)
-        answers = await asyncio.gather(*asked)
-        return placed.loaded and all(_is_beside(a, placed.order) for a in answers)
+    async def _check_members(self, assignment: Assignment) -> bool:
+        others = (m for m in assignment.order.members if m.host != self._host)
+        queries = (self._peers.status(m.address) for m in others)
+        answers = await asyncio.gather(*queries)
+        return assignment.loaded and all(
+            _is_loaded_member(a, assignment.order) for a in answers
+        )
 
     async def _handle(self, request: HttpRequest, exchange: Exchange) -> None:
         if request.path == "/standin/faults":
@@ -169,15 +181,17 @@
             case "/engine/status":
                 await exchange.respond(200, to_json(self.status()))
             case "/engine/order":
-                refused = self.take_order(from_json(request.body, Order))
+                refused = self.apply_order(from_json(request.body, Order))
                 status = 409 if refused else 200
                 await exchange.respond(status, (refused or "").encode())
             case "/v1/completions" | "/v1/chat/completions":
                 await self._complete(request, exchange)
             case _:
-                await self._serve_plainly(request, exchange)
+                await self._serve_plain_request(request, exchange)
 
-    async def _serve_plainly(self, request: HttpRequest, exchange: Exchange) -> None:
+    async def _serve_plain_request(
+        self, request: HttpRequest, exchange: Exchange
+    ) -> None:
         self._runs.append(request.headers.get(REQUEST_HEADER, ""))
         if self._faults.cut_before_head:
             return
@@ -186,27 +200,33 @@
         await exchange.respond(200, json.dumps(seen).encode(), echo)
 
     async def _complete(self, request: HttpRequest, exchange: Exchange) -> None:
-        placed = self._placement
-        named = (
+        assignment = self._assignment
+        requested = (
             request.headers.get(GROUP_HEADER),
             request.headers.get(GENERATION_HEADER),
         )
-        if placed is None or not self._may_start(placed, named):
+        if assignment is None or not self._can_start(assignment, requested):
             not_started = ((OUTCOME_HEADER, NOT_STARTED),)
             await exchange.respond(409, b"not in this group", not_started)
             return
         self._runs.append(request.headers.get(REQUEST_HEADER, ""))
         self._in_flight += 1
         try:
-            await self._answer(request, exchange, placed.order)
+            await self._send_completion(request, exchange, assignment.order)
         finally:
             self._in_flight -= 1
 
-    def _may_start(self, placed: Placement, named: tuple[str | None, ...]) -> bool:
-        held = (placed.order.group, str(placed.order.generation))
-        return self._whole and held == named and not self._faults.refuse_start
+    def _can_start(
+        self, assignment: Assignment, requested: tuple[str | None, ...]
+    ) -> bool:
+        assigned = (assignment.order.group, str(assignment.order.generation))
+        return (
+            self._is_group_whole
+            and assigned == requested
+            and not self._faults.refuse_start
+        )
 
-    async def _answer(
+    async def _send_completion(
         self, request: HttpRequest, exchange: Exchange, order: Order
     ) -> None:
         faults = self._faults
@@ -215,24 +235,24 @@
         if faults.cut_before_head:
             return
         headers = self._answer_headers(request, order)
-        asked = json.loads(request.body)
-        if faults.fatal_prompt and asked.get("prompt") == faults.fatal_prompt:
+        parameters = json.loads(request.body)
+        if faults.fatal_prompt and parameters.get("prompt") == faults.fatal_prompt:
             await self._crash()
-        words = _words(asked, int(request.headers.get(RESUME_HEADER, "0")))
+        words = _words(parameters, int(request.headers.get(RESUME_HEADER, "0")))
         is_chat = request.path.endswith("chat/completions")
-        if not asked.get("stream"):
-            spoken = [word async for word in self._speak(words, order)]
-            text = "".join(spoken)
-            document = _whole_document(order.model, text, len(spoken), is_chat)
+        if not parameters.get("stream"):
+            generated = [word async for word in self._generate(words, order)]
+            text = "".join(generated)
+            document = _completion_document(order.model, text, len(generated), is_chat)
             await exchange.respond(200, json.dumps(document).encode(), headers)
             return
         head = (("content-type", "text/event-stream"), *headers)
         await exchange.start(200, head)
-        async for word in self._speak(words, order):
+        async for word in self._generate(words, order):
             await exchange.send(
-                _event(_part_document(order.model, word, is_chat, None))
+                _event(_chunk_document(order.model, word, is_chat, None))
             )
-        last = _part_document(order.model, "", is_chat, "stop")
+        last = _chunk_document(order.model, "", is_chat, "stop")
         await exchange.send(_event(last) + b"data: [DONE]\n\n")
         await exchange.end()
 
@@ -250,26 +270,30 @@
         )
 
     async def _crash(self) -> None:
-        """Lose the place in the group, and all that runs there, as a crash does."""
+        """Lose the group and all running requests, as in a crash of the process."""
         await asyncio.sleep(self._step_seconds)
-        self._placement = None
-        self._whole = False
-        raise ConnectionAbortedError("the process ended")
-
-    async def _speak(self, words: Iterator[str], order: Order):
-        for spoken, word in enumerate(words):
-            if self._faults.cut_after_tokens == spoken:
-                raise ConnectionAbortedError("told to cut")
+        self._assignment = None
+        self._is_group_whole = False
+        raise ConnectionAbortedError("the engine process crashed")
+
+    async def _generate(self, words: Iterator[str], order: Order):
+        for count, word in enumerate(words):
+            if self._faults.cut_after_tokens == count:
+                raise ConnectionAbortedError("cut off by fault injection")
             while self._faults.paused:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(self._step_seconds * self._faults.slow_factor)
-            placed = self._placement
-            if placed is None or placed.order is not order or not self._whole:
-                raise ConnectionAbortedError("the group broke")
+            assignment = self._assignment
+            if (
+                assignment is None
+                or assignment.order is not order
+                or not self._is_group_whole
+            ):
+                raise ConnectionAbortedError("the group is broken")
             yield word
 
 
-def _is_beside(status: EngineStatus | Unavailable, order: Order) -> bool:
+def _is_loaded_member(status: EngineStatus | Unavailable, order: Order) -> bool:
     if isinstance(status, Unavailable):
         return False
     listed = {(m.host, m.incarnation) for m in order.members}
@@ -277,20 +301,20 @@
     return status.loaded and same_place and (status.host, status.incarnation) in listed
 
 
-def _words(asked: dict, skip: int) -> Iterator[str]:
-    """Answer each prompt with words that name the prompt and their own place."""
-    prompt = asked.get("prompt")
+def _words(parameters: dict, skip: int) -> Iterator[str]:
+    """Return the words of an answer: each names the prompt and its own index."""
+    prompt = parameters.get("prompt")
     if prompt is None:
-        prompt = asked["messages"][-1]["content"]
-    count = int(asked.get("max_tokens") or DEFAULT_TOKENS)
-    return (f"{prompt}.{place} " for place in range(skip, count))
+        prompt = parameters["messages"][-1]["content"]
+    count = int(parameters.get("max_tokens") or DEFAULT_TOKENS)
+    return (f"{prompt}.{index} " for index in range(skip, count))
 
 
 def _event(document: dict) -> bytes:
     return b"data: " + json.dumps(document).encode() + b"\n\n"
 
 
-def _whole_document(model: str, text: str, tokens: int, is_chat: bool) -> dict:
+def _completion_document(model: str, text: str, tokens: int, is_chat: bool) -> dict:
     choice: dict = {"index": 0, "finish_reason": "stop", "logprobs": None}
     if is_chat:
         choice["message"] = {"role": "assistant", "content": text}
@@ -310,7 +334,7 @@
     }
 
 
-def _part_document(model: str, word: str, is_chat: bool, finish: str | None) -> dict:
+def _chunk_document(model: str, word: str, is_chat: bool, finish: str | None) -> dict:
     choice: dict = {"index": 0, "finish_reason": finish, "logprobs": None}
     if is_chat:
         choice["delta"] = {"content": word}
--- a/mallowpond/standins/free_ports.py
+++ b/mallowpond/standins/free_ports.py
@@ -1,4 +1,4 @@
-"""Draw ports for processes that tests start, where nothing else will take them."""
+"""Ports for processes that tests start, outside the ephemeral range."""
 
 import os
 import socket
@@ -6,21 +6,21 @@
 from itertools import cycle
 
 FIRST_PORT = 10000
-# From here on the kernel gives ports to connections: one of these that was free when it
-# was drawn was taken by a connection before its process listened on it.
+# The kernel assigns ports from here on to outgoing connections. Such a port can be free
+# when it is chosen and taken by a connection before the process listens on it.
 FIRST_EPHEMERAL_PORT = 32768
-# Ports of one process that starts others: more than a fleet of a hundred uses.
-PORTS_A_PROCESS = 400
+# Size of the block of ports of one test process; a fleet of a hundred uses fewer.
+PORTS_PER_PROCESS = 400
 
 
 def free_ports() -> Iterator[int]:
-    """Yield ports that nothing listens on, from a part that is this process's own."""
-    blocks = (FIRST_EPHEMERAL_PORT - FIRST_PORT) // PORTS_A_PROCESS
-    first = FIRST_PORT + os.getpid() % blocks * PORTS_A_PROCESS
-    for port in cycle(range(first, first + PORTS_A_PROCESS)):
-        with socket.socket() as one:
+    """Yield ports on which nothing listens, from a block chosen by the process id."""
+    blocks = (FIRST_EPHEMERAL_PORT - FIRST_PORT) // PORTS_PER_PROCESS
+    first = FIRST_PORT + os.getpid() % blocks * PORTS_PER_PROCESS
+    for port in cycle(range(first, first + PORTS_PER_PROCESS)):
+        with socket.socket() as probe:
             try:
-                one.bind(("127.0.0.1", port))
+                probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
         yield port
--- a/mallowpond/standins/observatory_operator.py
+++ b/mallowpond/standins/observatory_operator.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's operator: write configurations, look at the engines."""
+"""Stand-in for the platform's operator: writes configurations, reads entries."""
 
 import base64
 import json
@@ -13,9 +13,9 @@
 from mallowpond.transport.http_client import CallFailed, HttpClient
 
 CALL_SECONDS = 1.0
-# Fields without which an entry names no engine.
-NEEDED_FIELDS = ("service", "address", "zone", "slots", "state", "born")
-WRONG_FIELDS: tuple[dict[str, Any], ...] = (
+# Fields without which an entry does not describe an engine.
+REQUIRED_FIELDS = ("service", "address", "zone", "slots", "state", "born")
+INVALID_FIELDS: tuple[dict[str, Any], ...] = (
     {"service": 7},
     {"service": None},
     {"service": "nowhere"},
@@ -37,39 +37,39 @@
     {"group": {"name": "g", "epoch": 1, "rank": 0, "state": "melted"}},
 )
 UNREADABLE = (b"", b"\xff\xfe{", b'{"service": "engi', b"\x00" * 40)
-# Keys that no engine has.
+# Keys that are no valid id of an engine.
 INVALID_IDS = ("", " ", "i-", "no id", "i-\u2603", "../op/config", "x" * 200)
 
 
 class ObservatoryOperator:
-    """Write to a store's stand-in what only the operator may write."""
+    """Client of the store's stand-in with the operator's write permissions."""
 
     def __init__(self, *, http: HttpClient, address: str) -> None:
         self._http = http
         self._address = address
 
     async def configure(self, document: dict[str, Any]) -> bool:
-        """Write a configuration; tell whether the store accepted it."""
+        """Write a configuration; return whether the store accepted it."""
         row = {"table": "op", "part": "", "key": "config", "value": pack(document)}
         return await self._post("/-/rows-tx", {"writes": [row]})
 
     async def drop_history(self) -> bool:
-        """Let the store forget its changes."""
+        """Let the store discard its history of changes; return whether it did."""
         return await self._post("/standin/drop-history", {})
 
     async def write_foreign(self, key: str, value: bytes, seconds: float) -> bool:
-        """Let the store hold an engine's entry of another writer for a time."""
+        """Let the store replace an engine's entry by a foreign value for `seconds`."""
         packed = base64.b64encode(value).decode()
         document = {"key": key, "value": packed, "seconds": seconds}
         return await self._post("/standin/foreign", document)
 
     async def count_open_groups(self) -> int:
-        """Return how many engines say that their group is open; 0 without an answer."""
+        """Return how many engines report an open group, 0 if the read fails."""
         entries = (await self.entries()).values()
         return sum((e.get("group") or {}).get("state") == "open" for e in entries)
 
     async def entries(self) -> dict[str, dict[str, Any]]:
-        """Return each engine's own entry by its id; nothing without an answer."""
+        """Return the engines' own entries by id, none if the read fails."""
         answer = await self._http.fetch(
             self._address,
             "GET",
@@ -78,8 +78,8 @@
         )
         if isinstance(answer, CallFailed) or answer[0] != 200:
             return {}
-        found = {r["key"]: unpack(r["value"]) for r in json.loads(answer[1])["rows"]}
-        return {key: e for key, e in found.items() if _is_own(e)}
+        decoded = {r["key"]: unpack(r["value"]) for r in json.loads(answer[1])["rows"]}
+        return {key: e for key, e in decoded.items() if _is_own(e)}
 
     async def _post(self, target: str, document: dict[str, Any]) -> bool:
         answer = await self._http.fetch(
@@ -94,16 +94,20 @@
 
 
 def _is_own(entry: Any) -> bool:
-    """Tell whether an engine wrote an entry: each of them says its group, or none."""
+    """Return whether an engine wrote an entry: its group is an object or null."""
     return isinstance(entry, dict) and isinstance(entry.get("group", 0), dict | None)
 
 
 def foreign_values(entry: dict[str, Any]) -> tuple[bytes, ...]:
-    """Return entries of other writers that look like this one, and name no engine."""
-    wrong = [{k: v for k, v in entry.items() if k != name} for name in NEEDED_FIELDS]
-    wrong += [{**entry, **change} for change in WRONG_FIELDS]
-    unlike = [None, 7, "star", [], {}]
-    documents = tuple(json.dumps(document).encode() for document in (*wrong, *unlike))
+    """Return values that resemble this entry and do not describe an engine."""
+    invalid = [
+        {k: v for k, v in entry.items() if k != name} for name in REQUIRED_FIELDS
+    ]
+    invalid += [{**entry, **change} for change in INVALID_FIELDS]
+    other_types = [None, 7, "star", [], {}]
+    documents = tuple(
+        json.dumps(document).encode() for document in (*invalid, *other_types)
+    )
     return (*documents, *UNREADABLE)
 
 
@@ -114,7 +118,10 @@
     load_seconds: float,
     workspaces: dict[str, str | None],
 ) -> dict[str, Any]:
-    """Write a configuration with a route of each kind; a workspace may have no key."""
+    """Return a configuration with a route of each kind.
+
+    workspaces: API key of each workspace by its name, None for no key.
+    """
     engine = {
         "slots": 8,
         "stride": 7,
--- a/mallowpond/standins/observatory_store.py
+++ b/mallowpond/standins/observatory_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store: rows, feeds and the list of live engines."""
+"""Stand-in for the platform's store: rows, change feeds and the engines' entries."""
 
 import asyncio
 import base64
@@ -12,19 +12,20 @@
 
 ENGINES_TABLE = "servers"
 READ_ONLY_TABLES = ("op", ENGINES_TABLE)
-# Header by which engines and the operator are told from the system that is tested.
+# Header that only engines and the operator send; the system under test does not.
 WRITER_HEADER = "x-standin-writer"
 PAGE_ROWS = 500
-# Silence after which an engine's entry is dropped, in seconds.
+# Time after an engine's last write until its entry is removed, in seconds.
 EXPIRY_SECONDS = 1.5
-EXPIRY_LOOK_SECONDS = 0.2
+EXPIRY_CHECK_SECONDS = 0.2
 
-Place = tuple[str, str, str]
+# Table, part and key of a row.
+RowKey = tuple[str, str, str]
 
 
 @dataclass(frozen=True, kw_only=True)
 class StoreOptions:
-    """Say where the store listens."""
+    """Address on which the store listens."""
 
     host: str
     port: int
@@ -32,15 +33,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StoredRow:
-    """Hold one version of a row; `value` is None where it was removed."""
+    """One version of a row; `value` is None if the row was removed."""
 
-    place: Place
+    row_key: RowKey
     value: str | None
     version: int
 
     def as_document(self) -> dict[str, Any]:
-        """Return the row as the protocol writes it."""
-        table, part, key = self.place
+        """Return the row as encoded in the protocol."""
+        table, part, key = self.row_key
         document = {"table": table, "part": part, "key": key, "ver": self.version}
         if self.value is None:
             return {**document, "removed": True}
@@ -49,7 +50,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ForeignEntry:
-    """Hold an entry that is written anew after each write of its engine, for a time."""
+    """A foreign entry that replaces each value which its engine writes.
+
+    until: end of that, on the monotonic clock.
+    """
 
     value: str
     until: float
@@ -57,51 +61,51 @@
 
 @dataclass(kw_only=True)
 class ObservatoryStore:
-    """Serve the platform's store calls from memory."""
+    """In-memory server of the platform's store protocol."""
 
     version: int = 0
-    _rows: dict[Place, StoredRow] = field(default_factory=dict)
+    _rows: dict[RowKey, StoredRow] = field(default_factory=dict)
     _history: list[StoredRow] = field(default_factory=list)
-    _kept_from: int = 0
-    _heard_at: dict[Place, float] = field(default_factory=dict)
-    _foreign: dict[Place, ForeignEntry] = field(default_factory=dict)
+    _compacted_version: int = 0
+    _last_write_at: dict[RowKey, float] = field(default_factory=dict)
+    _foreign: dict[RowKey, ForeignEntry] = field(default_factory=dict)
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
         self.server = HttpServer(handler=self._answer)
 
     async def run_expiry(self) -> None:
-        """Drop the entries of silent engines until cancelled."""
+        """Remove the entries of engines that stopped writing, until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRY_LOOK_SECONDS)
+            await asyncio.sleep(EXPIRY_CHECK_SECONDS)
             limit = time.monotonic() - EXPIRY_SECONDS
-            silent = [p for p, at in self._heard_at.items() if at < limit]
-            if silent:
-                self._apply({}, silent)
+            expired = [p for p, at in self._last_write_at.items() if at < limit]
+            if expired:
+                self._apply({}, expired)
 
     def drop_history(self) -> None:
-        """Forget the changes so far, as a compaction does."""
+        """Discard the history of changes, as a compaction does."""
         self._history.clear()
-        self._kept_from = self.version
+        self._compacted_version = self.version
 
     def write_foreign(self, key: str, value: str, seconds: float) -> None:
-        """Write an engine's entry as another writer does, and keep it for a time."""
-        place = (ENGINES_TABLE, "", key)
+        """Replace an engine's entry by a foreign value for `seconds`."""
+        row_key = (ENGINES_TABLE, "", key)
         until = time.monotonic() + seconds
-        self._foreign[place] = ForeignEntry(value=value, until=until)
-        self._apply({place: value}, [])
+        self._foreign[row_key] = ForeignEntry(value=value, until=until)
+        self._apply({row_key: value}, [])
 
     async def _answer(self, request: HttpRequest, exchange: Exchange) -> None:
         path, _, query = request.target.partition("?")
-        asked = {name: values[0] for name, values in parse_qs(query).items()}
+        query_fields = {name: values[0] for name, values in parse_qs(query).items()}
         match (request.method, path):
             case ("POST", "/-/rows-tx"):
                 is_platform = WRITER_HEADER in request.headers
                 status, document = self._commit(json.loads(request.body), is_platform)
             case ("GET", "/-/rows-get"):
-                status, document = self._read(asked)
+                status, document = self._read(query_fields)
             case ("GET", "/-/rows-feed"):
-                status, document = await self._feed(asked)
+                status, document = await self._feed(query_fields)
             case ("POST", "/standin/drop-history"):
                 self.drop_history()
                 status, document = 200, {}
@@ -115,93 +119,96 @@
     def _commit(
         self, body: dict[str, Any], is_platform: bool
     ) -> tuple[int, dict[str, Any]]:
-        writes = {_place(row): row["value"] for row in body.get("writes") or ()}
-        removed = [_place(row) for row in body.get("delete") or ()]
-        touched = [*writes, *removed]
-        if not is_platform and any(p[0] in READ_ONLY_TABLES for p in touched):
+        writes = {_row_key(row): row["value"] for row in body.get("writes") or ()}
+        removed = [_row_key(row) for row in body.get("delete") or ()]
+        affected = [*writes, *removed]
+        if not is_platform and any(p[0] in READ_ONLY_TABLES for p in affected):
             return 403, {}
-        expected = [(_place(row), row["ver"]) for row in body.get("expected") or ()]
-        if any(self._version_of(place) != version for place, version in expected):
+        expected = [(_row_key(row), row["ver"]) for row in body.get("expected") or ()]
+        if any(self._version_of(row_key) != version for row_key, version in expected):
             rows = [self._rows[p].as_document() for p, _ in expected if p in self._rows]
-            return 412, {"rows": rows, **self._stamp()}
+            return 412, {"rows": rows, **self._version_and_time()}
         self._apply(writes, removed)
-        return 200, self._stamp()
+        return 200, self._version_and_time()
 
-    def _apply(self, writes: dict[Place, str], removed: list[Place]) -> None:
+    def _apply(self, writes: dict[RowKey, str], removed: list[RowKey]) -> None:
         self.version += 1
-        for place, value in writes.items():
-            if place[0] == ENGINES_TABLE:
-                self._heard_at[place] = time.monotonic()
-                value = self._foreign_value(place) or value
-            known = self._rows.get(place)
+        for row_key, value in writes.items():
+            if row_key[0] == ENGINES_TABLE:
+                self._last_write_at[row_key] = time.monotonic()
+                value = self._foreign_value(row_key) or value
+            known = self._rows.get(row_key)
             if known is not None and _is_heartbeat(known.value, value):
-                # Only its number changed: readers of the feed are not told.
-                row = StoredRow(place=place, value=value, version=known.version)
-                self._rows[place] = row
+                # Only the sequence number changed, which the feed does not publish.
+                row = StoredRow(row_key=row_key, value=value, version=known.version)
+                self._rows[row_key] = row
                 continue
-            row = StoredRow(place=place, value=value, version=self.version)
-            self._rows[place] = row
+            row = StoredRow(row_key=row_key, value=value, version=self.version)
+            self._rows[row_key] = row
             self._history.append(row)
-        for place in removed:
-            if self._foreign_value(place) is not None:
+        for row_key in removed:
+            if self._foreign_value(row_key) is not None:
                 continue
-            self._heard_at.pop(place, None)
-            if self._rows.pop(place, None) is not None:
-                gone = StoredRow(place=place, value=None, version=self.version)
-                self._history.append(gone)
+            self._last_write_at.pop(row_key, None)
+            if self._rows.pop(row_key, None) is not None:
+                tombstone = StoredRow(row_key=row_key, value=None, version=self.version)
+                self._history.append(tombstone)
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _foreign_value(self, place: Place) -> str | None:
-        held = self._foreign.get(place)
-        if held is not None and held.until < time.monotonic():
-            del self._foreign[place]
+    def _foreign_value(self, row_key: RowKey) -> str | None:
+        entry = self._foreign.get(row_key)
+        if entry is not None and entry.until < time.monotonic():
+            del self._foreign[row_key]
             return None
-        return held and held.value
+        return entry and entry.value
 
-    def _version_of(self, place: Place) -> int:
-        row = self._rows.get(place)
+    def _version_of(self, row_key: RowKey) -> int:
+        row = self._rows.get(row_key)
         return 0 if row is None else row.version
 
-    def _read(self, asked: dict[str, str]) -> tuple[int, dict[str, Any]]:
-        table, start = asked.get("table", ""), asked.get("from", "")
-        limit = min(PAGE_ROWS, int(asked.get("limit", PAGE_ROWS)))
+    def _read(self, query_fields: dict[str, str]) -> tuple[int, dict[str, Any]]:
+        table, start = query_fields.get("table", ""), query_fields.get("from", "")
+        limit = min(PAGE_ROWS, int(query_fields.get("limit", PAGE_ROWS)))
         found = [
             row
-            for place, row in sorted(self._rows.items())
-            if place[0] == table and place[2] >= start
+            for row_key, row in sorted(self._rows.items())
+            if row_key[0] == table and row_key[2] >= start
         ]
         document = {
             "rows": [row.as_document() for row in found[:limit]],
             "more_pages": len(found) > limit,
         }
-        return 200, {**document, **self._stamp()}
-
-    async def _feed(self, asked: dict[str, str]) -> tuple[int, dict[str, Any]]:
-        table, since = asked.get("table", ""), int(asked.get("since_rev", 0))
-        deadline = time.monotonic() + int(asked.get("wait_ms", 0)) / 1000.0
+        return 200, {**document, **self._version_and_time()}
+
+    async def _feed(self, query_fields: dict[str, str]) -> tuple[int, dict[str, Any]]:
+        table, since = (
+            query_fields.get("table", ""),
+            int(query_fields.get("since_rev", 0)),
+        )
+        deadline = time.monotonic() + int(query_fields.get("wait_ms", 0)) / 1000.0
         while True:
-            if since < self._kept_from:
+            if since < self._compacted_version:
                 return 410, {}
             rows = [
                 row.as_document()
                 for row in self._history
-                if row.version > since and row.place[0] == table
+                if row.version > since and row.row_key[0] == table
             ]
             left = deadline - time.monotonic()
             if rows or left <= 0:
-                return 200, {"rows": rows, **self._stamp()}
+                return 200, {"rows": rows, **self._version_and_time()}
             try:
                 async with asyncio.timeout(left):
                     await self._changed.wait()
             except TimeoutError:
                 continue
 
-    def _stamp(self) -> dict[str, Any]:
+    def _version_and_time(self) -> dict[str, Any]:
         return {"ver": self.version, "now_ms": int(time.monotonic() * 1000)}
 
 
-def _place(row: dict[str, Any]) -> Place:
+def _row_key(row: dict[str, Any]) -> RowKey:
     return (row["table"], row.get("part", ""), row["key"])
 
 
@@ -215,12 +222,12 @@
 
 
 def pack(document: Any) -> str:
-    """Return a document as the store keeps values."""
+    """Encode a document as a value of the store."""
     return base64.b64encode(json.dumps(document).encode()).decode()
 
 
 def unpack(value: str) -> Any:
-    """Return the document in a kept value, None where no document can be read."""
+    """Decode the document in a value of the store, None if that fails."""
     try:
         return json.loads(base64.b64decode(value, validate=True))
     except ValueError:
--- a/mallowpond/standins/platform.py
+++ b/mallowpond/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: table service and host list, with faults on request."""
+"""Stand-in for the platform: table service and host list with fault injection."""
 
 import asyncio
 import json
@@ -24,7 +24,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformFaults:
-    """Say what goes wrong; `lost_answers` counts commits whose answer is lost."""
+    """Faults to inject.
+
+    down: every call fails.
+    delay_seconds: delay of every call over HTTP.
+    lost_answers: number of next commits that take effect without an answer.
+    stale_hosts: the host list no longer changes.
+    """
 
     down: bool = False
     delay_seconds: float = 0.0
@@ -34,7 +40,7 @@
 
 @dataclass(kw_only=True)
 class MemoryTable:
-    """Keep rows in memory behind the `TableService` port."""
+    """In-memory implementation of the `TableService` port."""
 
     faults: PlatformFaults = PlatformFaults()
     version: int = 0
@@ -44,29 +50,29 @@
     _deleted: dict[str, int] = field(default_factory=dict)
 
     async def read(self, key: str) -> Row | None | Unavailable:
-        """Return the row, None when it is absent."""
+        """Return the row, or None if it does not exist."""
         self.reads += 1
         if self.faults.down:
             return Unavailable(reason="down")
         return self._rows.get(key)
 
     async def scan(self, prefix: str, since: int = 0) -> Scanned | Unavailable:
-        """Return the rows below `prefix` changed after table version `since`."""
+        """Return rows under `prefix` that changed after table version `since`."""
         self.reads += 1
         if self.faults.down:
             return Unavailable(reason="down")
         rows = (r for k, r in self._rows.items() if k.startswith(prefix))
-        gone = (
+        deleted = (
             k for k, v in self._deleted.items() if k.startswith(prefix) and v > since
         )
         return Scanned(
             rows=tuple(row for row in rows if row.version > since),
-            deleted=tuple(gone),
+            deleted=tuple(deleted),
             version=self.version,
         )
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Apply a transaction; the answer is lost when the fault says so."""
+        """Apply a transaction; return `Unknown` if the fault drops the answer."""
         if self.faults.down:
             return Unavailable(reason="down")
         outcome = self.apply(transaction)
@@ -77,11 +83,13 @@
         return outcome
 
     def apply(self, transaction: Transaction) -> Committed | Conflict:
-        """Change the rows at once when every check holds."""
+        """Apply the changes atomically if every check holds."""
         self.commits += 1
-        broken = [c.key for c in transaction.checks if self._at(c.key) != c.version]
-        if broken:
-            return Conflict(keys=tuple(broken))
+        conflicts = [
+            c.key for c in transaction.checks if self._version_of(c.key) != c.version
+        ]
+        if conflicts:
+            return Conflict(keys=tuple(conflicts))
         self.version += 1
         for put in transaction.puts:
             self._put(put, transaction.transaction)
@@ -90,7 +98,7 @@
             self._deleted[key] = self.version
         return Committed(version=self.version)
 
-    def _at(self, key: str) -> int:
+    def _version_of(self, key: str) -> int:
         row = self._rows.get(key)
         return row.version if row else 0
 
@@ -105,7 +113,7 @@
 
 
 class PlatformStandin:
-    """Serve a `MemoryTable` and a host list over HTTP."""
+    """Server of a `MemoryTable` and a host list over HTTP."""
 
     def __init__(self, *, hosts: tuple[Host, ...]) -> None:
         self.table = MemoryTable()
@@ -114,7 +122,7 @@
         self.server = HttpServer(handler=self._handle)
 
     async def hosts(self) -> tuple[Host, ...] | Unavailable:
-        """Return the hosts, as they were when the list went stale."""
+        """Return the hosts; under `stale_hosts`, as they were before that fault."""
         if self.table.faults.down:
             return Unavailable(reason="down")
         if not self.table.faults.stale_hosts:
@@ -126,7 +134,7 @@
         self._hosts[host.name] = host
 
     def remove_host(self, name: str) -> None:
-        """Take a host off the list."""
+        """Remove a host from the list."""
         self._hosts.pop(name, None)
 
     async def _handle(self, request: HttpRequest, exchange: Exchange) -> None:
@@ -148,8 +156,8 @@
                     200, to_json(await self.table.read(query["key"]))
                 )
             case "/table/scan":
-                found = await self.table.scan(query["prefix"], int(query["since"]))
-                await exchange.respond(200, to_json(found))
+                scanned = await self.table.scan(query["prefix"], int(query["since"]))
+                await exchange.respond(200, to_json(scanned))
             case "/table/commit":
                 outcome = await self.table.commit(from_json(request.body, Transaction))
                 await _answer_commit(outcome, exchange)
@@ -192,5 +200,5 @@
         case Unavailable(reason=reason):
             await exchange.respond(503, reason.encode())
         case Unknown():
-            # Nothing is answered: the connection closes with the change in effect.
+            # No answer: the connection closes although the change took effect.
             return
