--- a/mallowpond/standins/observatory_engine.py
+++ b/mallowpond/standins/observatory_engine.py
@@ -1,7 +1,7 @@
-"""Stand in for an engine of the platform: group orders, streams, and plain calls.
+"""Stand-in for an engine of the platform: group orders, streams and plain calls.
 
-Each run and each change of its group goes to a journal file, one JSON line each, so
-that a test can tell afterwards what really ran where.
+The engine appends each run and each change of its group to a journal file, as one JSON
+object per line. From it a test determines afterwards which engine ran which request.
 """
 
 import asyncio
@@ -32,23 +32,35 @@
 PING_TIMEOUT_SECONDS = 0.15
 JOIN_SECONDS = 0.1
 OPEN_SECONDS = 0.1
-# Time after which a head whose member is gone says that its group broke.
+# Time after which a head that misses a member marks its group as broken, in seconds.
 STALL_SECONDS = 1.0
 CALL_SECONDS = 0.03
 STORE_SECONDS = 1.0
 NOT_RUN = ((names.NOT_RUN, "1"),)
-# A request whose body begins like this ends the process that runs it, and how long
-# after the run began, in seconds.
+# A request whose body starts with FATAL_BODY crashes the process that runs it,
+# FATAL_SECONDS after the run starts.
 FATAL_BODY = b"fatal "
 FATAL_SECONDS = 0.1
 
 
 @dataclass(frozen=True, kw_only=True)
 class EngineOptions:
-    """Say what an engine is; `models` maps each name to its load time in seconds.
-
-    A process has the given `id`, or a new one. What it staged outlives it only in
-    `staged_file`, which stands for the storage of its host.
+    """Options of an engine.
+
+    advertised: address that the engine publishes in its entry.
+    store: address of the store.
+    journal: path of the journal file.
+    id: instance id of the process, empty for a random one.
+    staged_file: file that keeps the staged model across restarts, as the storage of a
+        host does; empty for none.
+    models: load time in seconds by the name of the model; empty for a plain service.
+    slots, stride: values that the engine's profile declares.
+    event_seconds: time per event of a stream.
+    drain_seconds: time for which an engine still serves after announcing its drain.
+    unannounced_seconds: time for which a draining engine signals it in its answers
+        only, before its entry does.
+    rate_limit: requests per second that it advertises while the limit is on.
+    backoff_seconds: backoff that it requests from a host when it refuses a request.
     """
 
     host: str
@@ -66,17 +78,14 @@
     stride: int = 7
     event_seconds: float = 0.02
     drain_seconds: float = 2.0
-    # Time for which only its answers tell that it stops, before its entry does.
     unannounced_seconds: float | None = None
-    # Requests a second that it names as its limit while it is in need.
     rate_limit: float = 1.0
-    # Time for which it wants no request of a host that it turns away, in seconds.
     backoff_seconds: float = 3.0
 
 
 @dataclass(kw_only=True)
-class Place:
-    """Hold an engine's place in a group."""
+class GroupMembership:
+    """Membership of an engine in a group."""
 
     group: str
     epoch: int
@@ -86,7 +95,7 @@
 
 
 class ObservatoryEngine:
-    """Serve requests and orders, and keep an entry in the store."""
+    """Engine that serves requests and orders, and publishes its entry in the store."""
 
     def __init__(self, *, options: EngineOptions) -> None:
         self._options = options
@@ -94,58 +103,58 @@
         self._born = int(time.time() * 1000)
         self._http = HttpClient(connect_seconds=PING_TIMEOUT_SECONDS)
         self._journal: TextIO = Path(options.journal).open("a", buffering=1)
-        self._place: Place | None = None
+        self._membership: GroupMembership | None = None
         self._model = ""
         self._staged = _read_staged(options.staged_file)
-        self._orders = 0
-        self._fence = 0
+        self._order_count = 0
+        self._highest_fence = 0
         self._highest_epoch = 0
-        self._beats = 0
-        self._running = 0
+        self._entry_sequence = 0
+        self._running_requests = 0
         self._draining = False
         self._is_announced = False
-        self._is_in_need = False
+        self._advertises_limit = False
         self._is_shedding = False
         self._stalled_at: float | None = None
-        self._peers: dict[str, str] = {}
-        self._changed = asyncio.Event()
+        self._member_addresses: dict[str, str] = {}
+        self._entry_changed = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        self.server = HttpServer(handler=self._answer)
+        self.server = HttpServer(handler=self._handle)
 
     async def start(self) -> None:
-        """Listen, and tell the store."""
+        """Listen, and start to publish the entry and to monitor the group."""
         await self.server.start(self._options.host, self._options.port)
-        self._note("start", address=self._options.advertised)
-        for work in (self._run_heartbeats(), self._run_pings()):
-            self._tasks.append(asyncio.create_task(work))
+        self._write_journal("start", address=self._options.advertised)
+        for coroutine in (self._run_heartbeats(), self._monitor_group()):
+            self._tasks.append(asyncio.create_task(coroutine))
 
     async def drain(self) -> None:
-        """Announce the end, serve on for the agreed time, then stop."""
+        """Announce the shutdown, serve for the drain time, then remove the entry."""
         self._draining = True
-        self._note("draining")
+        self._write_journal("draining")
         await asyncio.sleep(self._options.unannounced_seconds or 0.0)
         self._is_announced = True
         accepted_at = await self._announce_until_accepted()
         await asyncio.sleep(
             accepted_at + self._options.drain_seconds - time.monotonic()
         )
-        while self._running:
+        while self._running_requests:
             await asyncio.sleep(HEARTBEAT_SECONDS)
         await self._write_entry(remove=True)
 
     def toggle_rate_limit(self) -> None:
-        """Name a rate limit in all answers from now on, or no more."""
-        self._is_in_need = not self._is_in_need
-        limit = self._options.rate_limit if self._is_in_need else None
-        self._note("rate limit", limit=limit)
+        """Start or stop to advertise the rate limit in every answer."""
+        self._advertises_limit = not self._advertises_limit
+        limit = self._options.rate_limit if self._advertises_limit else None
+        self._write_journal("rate limit", limit=limit)
 
     def toggle_shedding(self) -> None:
-        """Turn every request away from now on, or no more."""
+        """Start or stop to refuse every request with a backoff."""
         self._is_shedding = not self._is_shedding
-        self._note("shedding", on=self._is_shedding)
+        self._write_journal("shedding", on=self._is_shedding)
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop all tasks and close the server and the journal."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -158,22 +167,22 @@
     async def _announce_until_accepted(self) -> None:
         while not await self._write_entry():
             await asyncio.sleep(HEARTBEAT_SECONDS)
-        self._note("draining accepted")
+        self._write_journal("draining accepted")
 
     async def _run_heartbeats(self) -> None:
         while True:
             await self._write_entry()
-            self._changed.clear()
+            self._entry_changed.clear()
             try:
                 async with asyncio.timeout(HEARTBEAT_SECONDS):
-                    await self._changed.wait()
+                    await self._entry_changed.wait()
             except TimeoutError:
                 continue
 
     async def _write_entry(self, *, remove: bool = False) -> bool:
-        self._beats += 1
+        self._entry_sequence += 1
         row = {"table": ENGINES_TABLE, "part": "", "key": self._id}
-        entry = {**self._describe(), "sequence": self._beats}
+        entry = {**self._entry_document(), "sequence": self._entry_sequence}
         change = {"writes": [{**row, "value": pack(entry)}]}
         if remove:
             change = {"delete": [row]}
@@ -187,15 +196,15 @@
         )
         return not isinstance(answer, CallFailed) and answer[0] == 200
 
-    def _describe(self) -> dict[str, Any]:
-        options, place = self._options, self._place
+    def _entry_document(self) -> dict[str, Any]:
+        options, membership = self._options, self._membership
         group = None
-        if place is not None:
+        if membership is not None:
             group = {
-                "name": place.group,
-                "epoch": place.epoch,
-                "rank": place.rank,
-                "state": place.state,
+                "name": membership.group,
+                "epoch": membership.epoch,
+                "rank": membership.rank,
+                "state": membership.state,
             }
         return {
             "service": options.service,
@@ -214,28 +223,34 @@
 
     # -- the group -----------------------------------------------------------
 
-    async def _run_pings(self) -> None:
-        """Watch the members of the group that this engine is the head of."""
+    async def _monitor_group(self) -> None:
+        """As the head of a group, ping its members and mark the group if one is gone."""
         while True:
             await asyncio.sleep(PING_SECONDS)
-            place = self._place
-            if place is None or place.rank or place.state not in ("open", "closing"):
+            membership = self._membership
+            if (
+                membership is None
+                or membership.rank
+                or membership.state not in ("open", "closing")
+            ):
                 self._stalled_at = None
                 continue
-            if await self._is_whole(place):
+            if await self._has_all_members(membership):
                 self._stalled_at = None
             elif self._stalled_at is None:
                 self._stalled_at = time.monotonic()
             elif time.monotonic() - self._stalled_at > STALL_SECONDS:
-                self._set_state(place, "broken")
+                self._set_state(membership, "broken")
 
-    async def _is_whole(self, place: Place) -> bool:
-        others = [m for m in place.members if m != self._id]
-        found = await asyncio.gather(*(self._stands_with(m, place) for m in others))
-        return all(found)
+    async def _has_all_members(self, membership: GroupMembership) -> bool:
+        others = [m for m in membership.members if m != self._id]
+        present = await asyncio.gather(
+            *(self._is_in_group(m, membership) for m in others)
+        )
+        return all(present)
 
-    async def _stands_with(self, member: str, place: Place) -> bool:
-        address = self._peers.get(member) or await self._look_up(member)
+    async def _is_in_group(self, member: str, membership: GroupMembership) -> bool:
+        address = self._member_addresses.get(member) or await self._find_address(member)
         if address is None:
             return False
         report = await self._http.fetch(
@@ -248,9 +263,12 @@
         if isinstance(report, CallFailed) or report[0] != 200:
             return False
         group = json.loads(report[1]).get("group") or {}
-        return (group.get("name"), group.get("epoch")) == (place.group, place.epoch)
+        return (group.get("name"), group.get("epoch")) == (
+            membership.group,
+            membership.epoch,
+        )
 
-    async def _look_up(self, member: str) -> str | None:
+    async def _find_address(self, member: str) -> str | None:
         answer = await self._http.fetch(
             self._options.store,
             "GET",
@@ -265,44 +283,44 @@
         entry = unpack(rows[0]["value"])
         address = entry.get("address") if isinstance(entry, dict) else None
         if not isinstance(address, str):
-            # Another writer's entry stands there; the member's own comes back.
+            # A foreign entry, which the member's own will replace.
             return None
-        self._peers[member] = address
+        self._member_addresses[member] = address
         return address
 
-    def _set_state(self, place: Place, state: str) -> None:
-        if self._place is place:
-            place.state = state
-            self._changed.set()
-            self._note(
+    def _set_state(self, membership: GroupMembership, state: str) -> None:
+        if self._membership is membership:
+            membership.state = state
+            self._entry_changed.set()
+            self._write_journal(
                 "state",
-                group=place.group,
-                epoch=place.epoch,
+                group=membership.group,
+                epoch=membership.epoch,
                 state=state,
-                members=place.members,
+                members=membership.members,
             )
 
     # -- orders --------------------------------------------------------------
 
-    def _order(self, body: dict[str, Any]) -> int:
+    def _apply_order(self, body: dict[str, Any]) -> int:
         fence, expected = body.get("fence"), body.get("expected")
-        if fence is not None and fence < self._fence:
+        if fence is not None and fence < self._highest_fence:
             return 412
-        if expected is not None and expected != self._orders:
+        if expected is not None and expected != self._order_count:
             return 409
         if fence is not None:
-            self._fence = max(self._fence, fence)
+            self._highest_fence = max(self._highest_fence, fence)
         match body.get("operation"):
             case "join":
                 status = self._join(body)
             case "open" | "close" | "leave":
-                status = self._change(body["operation"], body)
+                status = self._change_state(body["operation"], body)
             case "stage":
                 status = self._stage(body["model"])
             case _:
                 status = 400
-        # Leaving takes effect at once and still counts as an order.
-        self._orders += status == 202 or body.get("operation") == "leave"
+        # A leave order completes at once, without status 202, and still counts.
+        self._order_count += status == 202 or body.get("operation") == "leave"
         return status
 
     def _join(self, body: dict[str, Any]) -> int:
@@ -310,168 +328,191 @@
         if epoch < self._highest_epoch or self._id not in members:
             return 412
         self._highest_epoch = epoch
-        place = Place(
+        membership = GroupMembership(
             group=body["group"],
             epoch=epoch,
             members=members,
             rank=members.index(self._id),
             state="joining",
         )
-        before = self._place
-        self._note(
+        previous = self._membership
+        self._write_journal(
             "join",
-            group=place.group,
+            group=membership.group,
             epoch=epoch,
             members=members,
-            before=None if before is None else [before.group, before.epoch],
+            before=None if previous is None else [previous.group, previous.epoch],
         )
-        self._place = place
-        self._changed.set()
+        self._membership = membership
+        self._entry_changed.set()
         seconds = JOIN_SECONDS
         if body["model"] not in (self._model, self._staged):
             seconds += self._options.models.get(body["model"], 0.0)
         self._model = body["model"]
-        self._keep_staged(body["model"])
-        self._later(seconds, lambda: self._set_state(place, "ready"))
+        self._set_staged(body["model"])
+        self._call_later(seconds, lambda: self._set_state(membership, "ready"))
         return 202
 
-    def _change(self, operation: str, body: dict[str, Any]) -> int:
-        place = self._place
+    def _change_state(self, operation: str, body: dict[str, Any]) -> int:
+        membership = self._membership
         key = (body["group"], body["epoch"])
-        if place is None or (place.group, place.epoch) != key:
+        if membership is None or (membership.group, membership.epoch) != key:
             return 409
-        match (operation, place.state):
+        match (operation, membership.state):
             case ("leave", _):
-                self._note("leave", group=place.group, epoch=place.epoch)
-                self._place = None
-                self._changed.set()
+                self._write_journal(
+                    "leave", group=membership.group, epoch=membership.epoch
+                )
+                self._membership = None
+                self._entry_changed.set()
                 return 200
-            case ("open", "ready") if place.rank == 0:
-                self._later(OPEN_SECONDS, lambda: self._set_state(place, "open"))
+            case ("open", "ready") if membership.rank == 0:
+                self._call_later(
+                    OPEN_SECONDS, lambda: self._set_state(membership, "open")
+                )
                 return 202
             case ("open", "open") | ("close", "ready"):
                 return 200
             case ("close", "open"):
-                self._set_state(place, "closing")
-                self._tasks.append(asyncio.create_task(self._close(place)))
+                self._set_state(membership, "closing")
+                self._tasks.append(asyncio.create_task(self._close(membership)))
                 return 202
         return 409
 
-    async def _close(self, place: Place) -> None:
-        while self._running:
+    async def _close(self, membership: GroupMembership) -> None:
+        while self._running_requests:
             await asyncio.sleep(PING_SECONDS)
-        if place.state == "closing":
-            self._set_state(place, "ready")
+        if membership.state == "closing":
+            self._set_state(membership, "ready")
 
     def _stage(self, model: str) -> int:
         if model == self._staged:
             return 200
 
-        def done() -> None:
-            self._keep_staged(model)
-            self._changed.set()
+        def finish() -> None:
+            self._set_staged(model)
+            self._entry_changed.set()
 
-        self._later(self._options.models.get(model, 0.0), done)
+        self._call_later(self._options.models.get(model, 0.0), finish)
         return 202
 
-    def _keep_staged(self, model: str) -> None:
+    def _set_staged(self, model: str) -> None:
         self._staged = model
         if self._options.staged_file:
             Path(self._options.staged_file).write_text(model)
 
-    def _later(self, seconds: float, effect: Any) -> None:
-        asyncio.get_running_loop().call_later(seconds, effect)
+    def _call_later(self, seconds: float, callback: Any) -> None:
+        asyncio.get_running_loop().call_later(seconds, callback)
 
     # -- requests ------------------------------------------------------------
 
-    async def _answer(self, request: HttpRequest, exchange: Exchange) -> None:
-        echo = ((names.INSTANCE, self._id),)
+    async def _handle(self, request: HttpRequest, exchange: Exchange) -> None:
+        common_headers = ((names.INSTANCE, self._id),)
         attempt = request.headers.get(names.ATTEMPT)
         if attempt:
-            echo += ((names.ATTEMPT, attempt),)
-            self._note("arrival", attempt=attempt)
+            common_headers += ((names.ATTEMPT, attempt),)
+            self._write_journal("arrival", attempt=attempt)
         if self._draining:
-            echo += ((names.LEAVING, "1"),)
-        if self._is_in_need:
-            echo += ((names.RATE_LIMIT, str(self._options.rate_limit)),)
-        wanted = request.headers.get(names.EXPECT_INSTANCE, self._id)
-        if wanted != self._id:
-            self._note("misdirected", wanted=wanted)
-            await exchange.respond(421, headers=(*echo, *NOT_RUN))
+            common_headers += ((names.LEAVING, "1"),)
+        if self._advertises_limit:
+            common_headers += ((names.RATE_LIMIT, str(self._options.rate_limit)),)
+        expected_id = request.headers.get(names.EXPECT_INSTANCE, self._id)
+        if expected_id != self._id:
+            self._write_journal("misdirected", wanted=expected_id)
+            await exchange.respond(421, headers=(*common_headers, *NOT_RUN))
         elif request.path == "/healthz":
-            await exchange.respond(503 if self._draining else 200, headers=echo)
+            await exchange.respond(
+                503 if self._draining else 200, headers=common_headers
+            )
         elif request.path == "/-/report":
-            report = {**self._describe(), "sequence": self._orders, "busy": False}
-            await exchange.respond(200, json.dumps(report).encode(), echo)
+            report = {
+                **self._entry_document(),
+                "sequence": self._order_count,
+                "busy": False,
+            }
+            await exchange.respond(200, json.dumps(report).encode(), common_headers)
         elif request.path == "/-/order":
-            await exchange.respond(self._order(json.loads(request.body)), b"{}", echo)
+            await exchange.respond(
+                self._apply_order(json.loads(request.body)), b"{}", common_headers
+            )
         elif attempt is None:
-            await exchange.respond(400, headers=(*echo, *NOT_RUN))
+            await exchange.respond(400, headers=(*common_headers, *NOT_RUN))
         else:
-            await self._serve(request, exchange, attempt, echo)
+            await self._serve(request, exchange, attempt, common_headers)
 
     async def _serve(
-        self, request: HttpRequest, exchange: Exchange, attempt: str, echo: Any
+        self,
+        request: HttpRequest,
+        exchange: Exchange,
+        attempt: str,
+        common_headers: Any,
     ) -> None:
         if self._is_shedding:
             seconds = self._options.backoff_seconds
-            self._note("turned away", attempt=attempt, seconds=seconds)
+            self._write_journal("turned away", attempt=attempt, seconds=seconds)
             backoff = (names.RETRY_AFTER, str(seconds))
-            await exchange.respond(503, headers=(*echo, *NOT_RUN, backoff))
+            await exchange.respond(503, headers=(*common_headers, *NOT_RUN, backoff))
             return
-        place = self._place
+        membership = self._membership
         if self._options.models:
-            if place is None or place.rank:
-                await exchange.respond(421, headers=(*echo, *NOT_RUN))
+            if membership is None or membership.rank:
+                await exchange.respond(421, headers=(*common_headers, *NOT_RUN))
                 return
-            if place.state != "open":
-                await exchange.respond(503, headers=(*echo, *NOT_RUN))
+            if membership.state != "open":
+                await exchange.respond(503, headers=(*common_headers, *NOT_RUN))
                 return
-        self._running += 1
+        self._running_requests += 1
         try:
-            self._note(
+            self._write_journal(
                 "run",
                 attempt=attempt,
                 tenant=request.headers.get(names.WORKSPACE),
                 has_key=names.AUTHORIZATION in request.headers,
-                group=place and place.group,
-                epoch=place and place.epoch,
-                members=place and place.members,
+                group=membership and membership.group,
+                epoch=membership and membership.epoch,
+                members=membership and membership.members,
+            )
+            stamped_headers = (
+                (names.SERVER_STAMP, f"{self._id}.{attempt}"),
+                *common_headers,
             )
-            stamp = ((names.SERVER_STAMP, f"{self._id}.{attempt}"), *echo)
             is_fatal = request.body.startswith(FATAL_BODY)
             if is_fatal:
-                self._later(FATAL_SECONDS, lambda: self._crash(attempt))
-            if place is None:
+                self._call_later(FATAL_SECONDS, lambda: self._crash(attempt))
+            if membership is None:
                 await asyncio.sleep(2 * FATAL_SECONDS if is_fatal else CALL_SECONDS)
-                await exchange.respond(200, call_body(attempt), stamp)
+                await exchange.respond(200, call_body(attempt), stamped_headers)
             else:
-                await self._stream(request, exchange, attempt, stamp)
+                await self._stream(request, exchange, attempt, stamped_headers)
         finally:
-            self._running -= 1
+            self._running_requests -= 1
 
     async def _stream(
-        self, request: HttpRequest, exchange: Exchange, attempt: str, stamp: Any
+        self,
+        request: HttpRequest,
+        exchange: Exchange,
+        attempt: str,
+        stamped_headers: Any,
     ) -> None:
         tokens = int(request.headers.get(names.TOKEN_COUNTS, "0,7").partition(",")[2])
         first = int(request.headers.get(names.LAST_EVENT, 0)) + 1
         kind = (("content-type", "text/event-stream"),)
-        await exchange.start(200, (*kind, *stamp))
+        await exchange.start(200, (*kind, *stamped_headers))
         for number in range(first, -(-tokens // self._options.stride) + 1):
             await asyncio.sleep(self._options.event_seconds)
             while self._stalled_at is not None:
                 await asyncio.sleep(PING_SECONDS)
-            if self._place is None or self._place.state == "broken":
+            if self._membership is None or self._membership.state == "broken":
                 return
             await exchange.send(event_bytes(attempt, number))
         await exchange.end()
 
     def _crash(self, attempt: str) -> None:
-        """End the process as a crash does: every connection closes where it stands."""
-        self._note("crash", attempt=attempt)
+        """Exit at once, which cuts off every connection as a crash does."""
+        self._write_journal("crash", attempt=attempt)
         os._exit(1)
 
-    def _note(self, event: str, **values: Any) -> None:
+    def _write_journal(self, event: str, **values: Any) -> None:
         line = {
             "at": time.monotonic(),
             "engine": self._id,
@@ -483,7 +524,7 @@
 
 
 def new_engine_id() -> str:
-    """Draw the id of an engine."""
+    """Return a random instance id."""
     return f"i-{secrets.token_hex(5)}"
 
 
@@ -495,10 +536,10 @@
 
 
 def call_body(attempt: str) -> bytes:
-    """Return the body with which a plain service answers a request."""
+    """Return the body of a plain service's answer to an attempt."""
     return f"answer to {attempt}".encode()
 
 
 def event_bytes(attempt: str, number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return one encoded event of the stream that answers an attempt."""
     return f"id: {number}\ndata: {attempt} {number}\n\n".encode()
--- a/mallowpond/standins/tests/test_observatory.py
+++ b/mallowpond/standins/tests/test_observatory.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the platform's engines and store, as the fault soak uses them."""
+"""Stand-ins for the platform's engines and store, as used by the fault soak."""
 
 import asyncio
 import json
@@ -47,7 +47,7 @@
         await engine.close()
 
 
-def _options(store: str, tmp_path, **more) -> EngineOptions:
+def _options(store: str, tmp_path, **overrides) -> EngineOptions:
     return EngineOptions(
         host=LOOPBACK,
         port=0,
@@ -59,13 +59,13 @@
         journal=str(tmp_path / "journal"),
         id="i-fixed",
         models={"m": 0.0},
-        **more,
+        **overrides,
     )
 
 
-async def _until(holds) -> None:
+async def _until(condition) -> None:
     async with asyncio.timeout(5.0):
-        while not await holds():
+        while not await condition():
             await asyncio.sleep(0.01)
 
 
@@ -73,34 +73,34 @@
     return json.loads((await http.fetch(address, "GET", "/-/report"))[1])
 
 
-@pytest.mark.parametrize("keeps", [False, True])
-async def test_a_restarted_engine_holds_nothing_under_its_id(tmp_path, keeps):
+@pytest.mark.parametrize("keeps_staged", [False, True])
+async def test_a_restarted_engine_holds_nothing_under_its_id(tmp_path, keeps_staged):
     async with _store() as (store, operator, http):
         options = _options(store, tmp_path)
-        if keeps:
+        if keeps_staged:
             options = replace(options, staged_file=str(tmp_path / "staged"))
         async with _engine(options) as address:
             body = json.dumps(JOIN).encode()
             assert (await http.fetch(address, "POST", "/-/order", body=body))[0] == 202
 
-            async def tells_its_group() -> bool:
+            async def reports_ready_group() -> bool:
                 entry = (await operator.entries()).get("i-fixed", {})
                 return (entry.get("group") or {}).get("state") == "ready"
 
-            await _until(tells_its_group)
+            await _until(reports_ready_group)
             first = await _report(http, address)
             assert first == {**first, "sequence": 1, "staged": ["m"]}
         async with _engine(options) as address:
 
-            async def holds_nothing() -> bool:
+            async def reports_no_group() -> bool:
                 entry = (await operator.entries())["i-fixed"]
                 return entry["group"] is None and entry["born"] != first["born"]
 
-            await _until(holds_nothing)
-            later = await _report(http, address)
-            assert (later["sequence"], later["group"]) == (0, None)
-            assert isinstance(later["born"], int) and later["born"] > first["born"]
-            assert later["staged"] == (["m"] if keeps else [])
+            await _until(reports_no_group)
+            second = await _report(http, address)
+            assert (second["sequence"], second["group"]) == (0, None)
+            assert isinstance(second["born"], int) and second["born"] > first["born"]
+            assert second["staged"] == (["m"] if keeps_staged else [])
 
 
 async def test_a_foreign_entry_stands_until_its_time_and_then_the_own_one(tmp_path):
@@ -113,7 +113,7 @@
             await _until(is_own)
             assert await operator.write_foreign("i-fixed", b"\xff{", 1.0)
             for _ in range(9):
-                # The engine writes every 0.4 s; the other writer writes after it.
+                # The engine writes every 0.4 s, and the foreign value replaces its own.
                 assert not await is_own()
                 await asyncio.sleep(0.1)
             await _until(is_own)
