--- a/mallowpond/standins/observatory_engine.py
+++ b/mallowpond/standins/observatory_engine.py
@@ -224,7 +224,7 @@
     # -- the group -----------------------------------------------------------
 
     async def _monitor_group(self) -> None:
-        """As the head of a group, ping its members and mark the group if one is gone."""
+        """Ping the members of the group that this engine heads, and detect a loss."""
         while True:
             await asyncio.sleep(PING_SECONDS)
             membership = self._membership
