--- a/mallowpond/__main__.py
+++ b/mallowpond/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line, or a node without the command line's imports."""
+"""Run the command line, or a node without importing the command line."""
 
 import sys
 
@@ -7,7 +7,8 @@
         from mallowpond.platform.early_listener import listen_for_callers
 
         listener = listen_for_callers()
-        # A killed node is back sooner and smaller without the command line.
+        # Without the command line's imports a restarted node starts faster and uses less
+        # memory.
         from mallowpond.platform.program import main
 
         main(listener)
--- a/mallowpond/conftest.py
+++ b/mallowpond/conftest.py
@@ -1,11 +1,11 @@
-"""Run coroutine tests, each on a loop of its own."""
+"""Run tests that are coroutine functions, each on an event loop of its own."""
 
 import asyncio
 import inspect
 
 
 def pytest_pyfunc_call(pyfuncitem):
-    """Run a test that is a coroutine function to its end."""
+    """Run a coroutine test; leave other tests to pytest."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = pyfuncitem._fixtureinfo.argnames
--- a/mallowpond/protocol/__init__.py
+++ b/mallowpond/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Messages and documents, and how they are encoded."""
+"""Formats of messages, files and the query language, and their codecs."""
 
 __all__ = [
     "caller",
--- a/mallowpond/protocol/caller.py
+++ b/mallowpond/protocol/caller.py
@@ -1,4 +1,4 @@
-"""Read what callers send to the completions interface."""
+"""Parse callers' requests to the completions API."""
 
 import json
 from dataclasses import dataclass
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CompletionRequest:
-    """Hold what the gateway needs to know of a completion."""
+    """The fields of a completion request that the gateway uses.
+
+    `prefix` is a hash of the start of the prompt or of the first message; requests with
+    the same one may share a cached prefix.
+    """
 
     model: str
     stream: bool
@@ -29,7 +33,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerHeaders:
-    """Hold what the gateway needs to know of a caller's headers."""
+    """The headers of a request that the gateway uses; `timeout` is in seconds.
+
+    `kind` is the name of a request kind in the declaration.
+    """
 
     key_sha256: str | None
     idempotency_key: str | None
@@ -40,15 +47,17 @@
 def parse_headers(
     headers: dict[str, str], default_timeout: float
 ) -> CallerHeaders | Problem:
-    """Read the headers of a caller's request."""
+    """Parse the headers of a caller's request; return a problem if one is invalid."""
     key = headers.get(IDEMPOTENCY_HEADER)
     if key is not None and not _is_plain_key(key):
-        return _bad(
+        return _bad_request(
             "bad_idempotency_key", "An Idempotency-Key has 1 to 200 characters."
         )
     timeout = _timeout(headers.get(TIMEOUT_HEADER), default_timeout)
     if timeout is None:
-        return _bad("bad_timeout", f"{TIMEOUT_HEADER} is a number of seconds above 0.")
+        return _bad_request(
+            "bad_timeout", f"{TIMEOUT_HEADER} is a number of seconds above 0."
+        )
     return CallerHeaders(
         key_sha256=_key_hash(headers.get("authorization", "")),
         idempotency_key=key,
@@ -58,35 +67,37 @@
 
 
 def parse_completion(body: bytes, *, is_chat: bool) -> CompletionRequest | Problem:
-    """Read the body of a completion."""
+    """Parse the body of a completion request; return a problem if it is invalid."""
     try:
-        asked = json.loads(body)
+        document = json.loads(body)
     except (ValueError, RecursionError):
-        return _bad("malformed_json", "The body is not JSON.")
-    if not isinstance(asked, dict):
-        return _bad("malformed_json", "The body is not a JSON object.")
-    if not isinstance(asked.get("model"), str):
-        return _bad("bad_field", "'model' is a text.")
-    if not isinstance(asked.get("stream") or False, bool):
-        return _bad("bad_field", "'stream' is true or false.")
-    if asked.get("n") not in (None, 1):
-        return _bad("bad_field", "'n' above 1 is not served.")
-    tokens = _max_tokens(asked)
+        return _bad_request("malformed_json", "The body is not JSON.")
+    if not isinstance(document, dict):
+        return _bad_request("malformed_json", "The body is not a JSON object.")
+    if not isinstance(document.get("model"), str):
+        return _bad_request("bad_field", "'model' is a text.")
+    if not isinstance(document.get("stream") or False, bool):
+        return _bad_request("bad_field", "'stream' is true or false.")
+    if document.get("n") not in (None, 1):
+        return _bad_request("bad_field", "'n' above 1 is not served.")
+    tokens = _max_tokens(document)
     if tokens is None:
-        return _bad("bad_field", f"'max_tokens' is from 1 to {MAX_TOKENS_LIMIT}.")
-    prefix = _chat_prefix(asked) if is_chat else _prompt_prefix(asked)
+        return _bad_request(
+            "bad_field", f"'max_tokens' is from 1 to {MAX_TOKENS_LIMIT}."
+        )
+    prefix = _chat_prefix(document) if is_chat else _prompt_prefix(document)
     if prefix is None:
         field = "'messages' is a list of objects" if is_chat else "'prompt' is a text"
-        return _bad("bad_field", f"{field}, and not empty.")
+        return _bad_request("bad_field", f"{field}, and not empty.")
     return CompletionRequest(
-        model=asked["model"],
-        stream=bool(asked.get("stream")),
+        model=document["model"],
+        stream=bool(document.get("stream")),
         max_tokens=tokens,
         prefix=prefix,
     )
 
 
-def _bad(reason: str, detail: str) -> Problem:
+def _bad_request(reason: str, detail: str) -> Problem:
     return Problem(status=400, reason=reason, detail=detail)
 
 
@@ -101,7 +112,7 @@
         seconds = float(text)
     except ValueError:
         return None
-    # NaN compares false with everything, and so falls out here as well.
+    # NaN compares false with everything, so it is rejected here as well.
     return min(seconds, MAX_TIMEOUT_SECONDS) if seconds > 0 else None
 
 
@@ -112,8 +123,8 @@
     return sha256(token.strip().encode("latin-1", "replace")).hexdigest()
 
 
-def _max_tokens(asked: dict[str, Any]) -> int | None:
-    value = asked.get("max_completion_tokens", asked.get("max_tokens"))
+def _max_tokens(document: dict[str, Any]) -> int | None:
+    value = document.get("max_completion_tokens", document.get("max_tokens"))
     if value is None:
         return DEFAULT_MAX_TOKENS
     if isinstance(value, bool) or not isinstance(value, int):
@@ -121,22 +132,22 @@
     return value if 1 <= value <= MAX_TOKENS_LIMIT else None
 
 
-def _chat_prefix(asked: dict[str, Any]) -> str | None:
-    messages = asked.get("messages")
+def _chat_prefix(document: dict[str, Any]) -> str | None:
+    messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
         return None
     if not all(isinstance(m, dict) and "content" in m for m in messages):
         return None
-    return _digest(json.dumps(messages[0]))
+    return _prefix_digest(json.dumps(messages[0]))
 
 
-def _prompt_prefix(asked: dict[str, Any]) -> str | None:
-    prompt = asked.get("prompt")
+def _prompt_prefix(document: dict[str, Any]) -> str | None:
+    prompt = document.get("prompt")
     if not isinstance(prompt, str) or not prompt:
         return None
-    return _digest(prompt)
+    return _prefix_digest(prompt)
 
 
-def _digest(text: str) -> str:
+def _prefix_digest(text: str) -> str:
     start = text[:PREFIX_CHARACTERS].encode("utf-8", "replace")
     return blake2b(start, digest_size=8).hexdigest()
--- a/mallowpond/protocol/declaration_file.py
+++ b/mallowpond/protocol/declaration_file.py
@@ -1,4 +1,4 @@
-"""Read declarations from TOML and name every fault at once."""
+"""Parse declarations from TOML and report all faults at once."""
 
 import tomllib
 from collections.abc import Iterable, Iterator
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """Tell what is wrong at a path of a file, and what to do."""
+    """An error at a path inside a file, such as ``deployments[0].replicas``."""
 
     path: str
     message: str
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Faults:
-    """Hold every fault found in a file."""
+    """All faults found in a file."""
 
     faults: tuple[Fault, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Document:
-    """Hold an operator's file beside what operators changed by command.
+    """An operator's declaration file and the changes that operators made by command.
 
-    The changes by command stand apart from the file, so that applying the file again
-    does not bring a drained host back.
+    The changes are kept apart from the file, so that applying the file again does not
+    restore a drained host.
     """
 
     source: str = ""
@@ -41,17 +41,17 @@
     stopped_groups: tuple[str, ...] = ()
 
     def encode(self) -> str:
-        """Return the text that a configuration version keeps."""
+        """Return the text that is stored with a configuration version."""
         return to_json(self).decode()
 
 
 def decode_document(text: str) -> Document:
-    """Return the document of a kept configuration version."""
+    """Return the document of a stored configuration version."""
     return from_json(text.encode(), Document) if text else Document()
 
 
 def parse_document(text: str) -> Declaration | None:
-    """Return the declaration of a kept version, None when it has faults."""
+    """Return the declaration of a stored version, None if it has faults."""
     document = decode_document(text)
     parsed = parse_declaration(document.source)
     if isinstance(parsed, Faults):
@@ -64,7 +64,7 @@
 
 
 def parse_declaration(source: str) -> Declaration | Faults:
-    """Return the declaration written in a TOML text, or all its faults."""
+    """Return the declaration in a TOML text, or all its faults."""
     try:
         plain = tomllib.loads(source)
     except tomllib.TOMLDecodeError as error:
@@ -76,13 +76,13 @@
     try:
         declaration = strict_converter.structure(plain, Declaration)
     except Exception as error:
-        return Faults(faults=structure_faults(error))
+        return Faults(faults=faults_from_error(error))
     faults = tuple(_semantic_faults(declaration))
     return Faults(faults=faults) if faults else declaration
 
 
-def structure_faults(error: Exception) -> tuple[Fault, ...]:
-    """Turn a library's error into faults with paths."""
+def faults_from_error(error: Exception) -> tuple[Fault, ...]:
+    """Return the faults, with their paths, that a converter's error contains."""
     found = []
     for line in transform_error(error, path=""):
         message, _, path = line.rpartition(" @ ")
@@ -101,17 +101,17 @@
         yield from _duplicates(path, names)
     yield from _duplicates("deployments", [d.model for d in declaration.deployments])
     yield from _duplicates("workspaces", [w.key_sha256 for w in declaration.workspaces])
-    for place, deployment in enumerate(declaration.deployments):
-        yield from _deployment_faults(f"deployments[{place}]", deployment)
-    for place, workspace in enumerate(declaration.workspaces):
-        path = f"workspaces[{place}]"
+    for index, deployment in enumerate(declaration.deployments):
+        yield from _deployment_faults(f"deployments[{index}]", deployment)
+    for index, workspace in enumerate(declaration.workspaces):
+        path = f"workspaces[{index}]"
         yield from _at_least(path + ".share", workspace.share, 0.001)
         yield from _at_least(path + ".units_per_day", workspace.units_per_day, 1)
         if not _is_sha256(workspace.key_sha256):
             message = "write the SHA-256 of the key as 64 hexadecimal digits"
             yield Fault(path=path + ".key_sha256", message=message)
-    for place, service in enumerate(declaration.services):
-        path = f"services[{place}]"
+    for index, service in enumerate(declaration.services):
+        path = f"services[{index}]"
         if not service.path.startswith("/") or service.path.startswith("/v1/"):
             message = "start with '/', and leave '/v1/' to the models"
             yield Fault(path=path + ".path", message=message)
@@ -138,17 +138,17 @@
 
 def _duplicates(path: str, names: Iterable[str]) -> Iterator[Fault]:
     seen = set()
-    for place, name in enumerate(names):
+    for index, name in enumerate(names):
         if not name:
-            yield Fault(path=f"{path}[{place}]", message="a name is empty")
+            yield Fault(path=f"{path}[{index}]", message="a name is empty")
         if name in seen:
-            yield Fault(path=f"{path}[{place}]", message=f"{name!r} stands twice")
+            yield Fault(path=f"{path}[{index}]", message=f"{name!r} stands twice")
         seen.add(name)
 
 
-def _at_least(path: str, value: float, least: float) -> Iterator[Fault]:
-    if value < least:
-        yield Fault(path=path, message=f"{value} is below {least}")
+def _at_least(path: str, value: float, minimum: float) -> Iterator[Fault]:
+    if value < minimum:
+        yield Fault(path=path, message=f"{value} is below {minimum}")
 
 
 def _is_sha256(text: str) -> bool:
--- a/mallowpond/protocol/engine.py
+++ b/mallowpond/protocol/engine.py
@@ -1,4 +1,4 @@
-"""Headers and documents that gateways and engines exchange."""
+"""Headers that gateways and engines exchange."""
 
 REQUEST_HEADER = "mallowpond-request"
 GROUP_HEADER = "mallowpond-group"
@@ -13,7 +13,7 @@
 def dispatch_headers(
     request: str, group: str, generation: int
 ) -> tuple[tuple[str, str], ...]:
-    """Return the headers that an engine has to echo."""
+    """Return the headers that an engine copies into its response."""
     return (
         (REQUEST_HEADER, request),
         (GROUP_HEADER, group),
@@ -22,6 +22,6 @@
 
 
 def is_echo(headers: dict[str, str], request: str, group: str, generation: int) -> bool:
-    """Tell whether an answer belongs to this dispatch."""
+    """Return whether the headers of a response name this dispatch."""
     expected = dispatch_headers(request, group, generation)
     return all(headers.get(name) == value for name, value in expected)
--- a/mallowpond/protocol/peer.py
+++ b/mallowpond/protocol/peer.py
@@ -1,7 +1,7 @@
 """Messages between gateways and controllers, and among controllers.
 
-Ages travel instead of times: a receiver adds an age to the moment at which it
-asked, so no two hosts' clocks are ever compared.
+Messages carry ages instead of times: the receiver subtracts an age from the time at
+which it sent its question, so clocks of two hosts are never compared.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 class ClaimVerdict(str, Enum):
-    """Name what became of a claim, finish or void."""
+    """Result of a `ClaimAsk`, `FinishAsk` or `VoidAsk`."""
 
     GRANTED = "granted"
     SETTLED = "settled"
@@ -30,14 +30,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatewayHello:
-    """Introduce a gateway to the controller that it attaches to."""
+    """First message of a gateway to its controller."""
 
     gateway: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class RoutesAsk:
-    """Ask for the routes, naming what is known already."""
+    """Request the routes.
+
+    The `known_` fields are the versions of the configuration, routes and quarantine
+    records that the gateway has.
+    """
 
     sequence: int
     known_config: int
@@ -47,7 +51,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Sight:
-    """Say how long ago a group was last seen whole; None where it is not."""
+    """When all members of a group were last observed healthy.
+
+    `age` is in seconds, None if they were not.
+    """
 
     group: str
     generation: int
@@ -56,13 +63,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Routes:
-    """Answer `RoutesAsk`; texts and groups that are known already are left out.
-
-    `config_left` is for how many seconds more the controller is sure of the version in
-    force, counted from its answer; None while it is not sure. Every group was seen
-    whole at most `seen_age` seconds ago, but for the `exceptions`: naming each group in
-    each answer would by itself break the budget for control traffic. `held` tells of
-    the requests that are or were held back since they end their targets.
+    """Answer to `RoutesAsk`; what the gateway already has is None.
+
+    `config_left` is the time in seconds for which the controller is sure of the version
+    in force, counted from its answer; None if it is not sure. All members of each group
+    were observed healthy at most `seen_age` seconds ago, except for the `exceptions`:
+    an age for every group in every answer would exceed the budget for control traffic.
+    `held` holds the crash records of requests that are or were in quarantine because
+    targets end under them, and `held_version` is its version. `leaving` says that the
+    controller is about to stop.
     """
 
     sequence: int
@@ -81,7 +90,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimAsk:
-    """Ask to claim and charge a request that may not be repeated."""
+    """Request to claim a once-only request and charge `units` to its workspace."""
 
     call: int
     workspace: str
@@ -93,7 +102,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FinishAsk:
-    """Ask to mark a claimed request as done or, with `known` false, as unknown."""
+    """Request to mark a claimed request as done or, with `known` false, as unknown."""
 
     call: int
     workspace: str
@@ -104,7 +113,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VoidAsk:
-    """Ask to withdraw and refund an attempt of which nothing was sent."""
+    """Request to withdraw and refund an attempt of which nothing was sent."""
 
     call: int
     workspace: str
@@ -115,7 +124,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimAnswer:
-    """Answer a claim, finish or void."""
+    """Answer to the `ClaimAsk`, `FinishAsk` or `VoidAsk` with the same `call`."""
 
     call: int
     result: ClaimVerdict
@@ -123,7 +132,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QuotaAsk:
-    """Ask to lease units of a workspace's budget."""
+    """Request to lease units of a workspace's daily budget.
+
+    The controller leases `wanted` units if it can, and none if fewer than `needed` are
+    left.
+    """
 
     call: int
     workspace: str
@@ -134,7 +147,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QuotaAnswer:
-    """Answer `QuotaAsk`; `units` is 0 when the budget is spent, None if not known."""
+    """Answer to `QuotaAsk`.
+
+    `units` is 0 if the budget is spent, None if that is unknown. `period_left` is the
+    rest of the budget's period, in seconds.
+    """
 
     call: int
     period: int
@@ -144,7 +161,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SuspectGroup:
-    """Report a group whose leader failed a dispatch."""
+    """Report a group whose head failed a dispatch."""
 
     group: str
     generation: int
@@ -152,14 +169,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CrashReport:
-    """Report under which requests targets ended, or were answered since."""
+    """Report requests during which targets ended, and those answered since."""
 
     records: tuple[CrashRecord, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class PeerAsk:
-    """Ask another controller of the cell for its view."""
+    """Request another controller's view of the configuration and the cell."""
 
     sequence: int
     member: str
@@ -167,7 +184,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PeerView:
-    """Tell what a controller knows, with the age of each observation."""
+    """Answer to `PeerAsk`: what a controller knows of the cell and the configuration.
+
+    `read_age` is the age of its last read of the head row in seconds, None before the
+    first one. With `holds_newer` it has prepared a newer version than `head_version`.
+    """
 
     sequence: int
     member: str
@@ -199,7 +220,7 @@
 
 
 class BadMessage(Exception):
-    """A peer sent bytes that are no message of ours."""
+    """A peer sent bytes that are not a valid message."""
 
 
 def encode(message: Message) -> bytes:
@@ -208,7 +229,7 @@
 
 
 def decode(data: bytes) -> Message:
-    """Decode a message from CBOR."""
+    """Decode a message from CBOR; raise `BadMessage` if it is invalid."""
     try:
         return _converter.structure(cbor2.loads(data), Message)
     except Exception as error:
--- a/mallowpond/protocol/problems.py
+++ b/mallowpond/protocol/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as problem documents (RFC 9457) that say whether the request ran."""
+"""Refusals as problem documents (RFC 9457) that state whether the request ran."""
 
 import json
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Outcome(str, Enum):
-    """Say what is known of a refused request."""
+    """What is known of the execution of a refused request."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Problem:
-    """Refuse a request; `retry_after` is in seconds."""
+    """The refusal of a request; `retry_after` is in seconds."""
 
     status: int
     reason: str
@@ -28,7 +28,7 @@
     retry_after: float | None = None
 
     def body(self, request: str) -> bytes:
-        """Return the JSON document, in the shape that model clients also read."""
+        """Return the JSON document, with the `error` object that model clients read."""
         document = {
             "type": f"urn:mallowpond:{self.reason}",
             "title": self.reason.replace("_", " "),
@@ -46,12 +46,12 @@
         return json.dumps(document).encode()
 
     def headers(self, request: str) -> tuple[tuple[str, str], ...]:
-        """Return the headers that go with the document."""
+        """Return the headers that accompany the document."""
         headers = (
             ("mallowpond-request", request),
             ("mallowpond-outcome", self.outcome.value),
-            # Model clients retry by themselves unless told not to: a request whose
-            # outcome is unknown or known to have run must not be sent again.
+            # Model clients retry by default. A request that ran, or whose outcome is
+            # unknown, must not be sent again.
             ("x-should-retry", "true" if self._may_retry else "false"),
         )
         if self.retry_after is None:
--- a/mallowpond/protocol/query.py
+++ b/mallowpond/protocol/query.py
@@ -1,4 +1,4 @@
-"""Parse the operators' language and run queries over tables."""
+"""Parser of the operators' query and command language, and queries over tables."""
 
 import operator
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Table:
-    """Hold named columns and rows of cells."""
+    """A table of named columns."""
 
     name: str
     columns: tuple[str, ...]
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Condition:
-    """Keep rows whose cell compares so with a value."""
+    """Keeps the rows whose cell in `column` compares as true with `value`."""
 
     column: str
     operator: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Order:
-    """Sort rows by a column."""
+    """Sorts rows by a column."""
 
     column: str
     descending: bool = False
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Show:
-    """Show a table's rows."""
+    """Query: filter and sort the rows of a table."""
 
     table: str
     conditions: tuple[Condition, ...] = ()
@@ -57,28 +57,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DrainHost:
-    """Take a host out of every group, gracefully."""
+    """Command: take a host out of every group, gracefully."""
 
     host: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class StopGroup:
-    """Stop a group, gracefully; its replica is formed again elsewhere."""
+    """Command: stop a group, gracefully; its replica is formed again elsewhere."""
 
     group: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class RestoreHost:
-    """Let a drained host join groups again."""
+    """Command: let a drained host join groups again."""
 
     host: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class RestoreGroup:
-    """Forget that a group was stopped."""
+    """Command: revoke the stop of a group."""
 
     group: str
 
@@ -89,7 +89,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QueryFault:
-    """Tell where a statement is wrong and what was expected there."""
+    """A syntax error or an unknown column, and what was expected instead.
+
+    `column` is the position in the statement, from 1, or 0 for an unknown column.
+    """
 
     column: int
     found: str
@@ -97,7 +100,7 @@
 
     @property
     def message(self) -> str:
-        """Return the fault as one sentence."""
+        """Return the fault as one line of text."""
         expected = ", ".join(self.expected)
         return f"column {self.column}: found {self.found!r}, expected {expected}"
 
@@ -151,7 +154,7 @@
 
 
 def parse_statement(text: str) -> Statement | QueryFault:
-    """Parse one statement of the language."""
+    """Parse one statement."""
     try:
         return _Builder().transform(_parser().parse(text))
     except UnexpectedInput as error:
@@ -159,30 +162,30 @@
 
 
 def run_show(show: Show, table: Table) -> Table | QueryFault:
-    """Filter and sort a table."""
-    for column in _columns_named(show):
+    """Return the table filtered and sorted, or a fault for an unknown column."""
+    for column in _used_columns(show):
         if column not in table.columns:
             return QueryFault(column=0, found=column, expected=table.columns)
     rows = table.rows
     for condition in show.conditions:
-        place = table.columns.index(condition.column)
-        rows = tuple(row for row in rows if _holds(row[place], condition))
+        index = table.columns.index(condition.column)
+        rows = tuple(row for row in rows if _matches(row[index], condition))
     if show.order is not None:
-        place = table.columns.index(show.order.column)
+        index = table.columns.index(show.order.column)
         rows = tuple(
             sorted(
-                rows, key=lambda r: _sort_key(r[place]), reverse=show.order.descending
+                rows, key=lambda r: _sort_key(r[index]), reverse=show.order.descending
             )
         )
     return Table(name=table.name, columns=table.columns, rows=rows)
 
 
-def _columns_named(show: Show) -> list[str]:
-    named = [condition.column for condition in show.conditions]
-    return named + ([show.order.column] if show.order else [])
+def _used_columns(show: Show) -> list[str]:
+    used = [condition.column for condition in show.conditions]
+    return used + ([show.order.column] if show.order else [])
 
 
-def _holds(cell: Cell, condition: Condition) -> bool:
+def _matches(cell: Cell, condition: Condition) -> bool:
     compare = OPERATORS[condition.operator]
     if isinstance(cell, bool):
         return compare(str(cell).lower(), str(condition.value).lower())
@@ -205,11 +208,15 @@
     column = len(text) + 1 if is_end else max(1, error.column)
     found = "the end" if is_end else text[column - 1 :].split(" ")[0]
     names = getattr(error, "expected", None) or getattr(error, "allowed", None) or ()
-    expected = tuple(sorted(_readable(name) for name in names))
+    expected = tuple(sorted(_describe_terminal(name) for name in names))
     return QueryFault(column=column, found=found, expected=expected)
 
 
-def _readable(terminal: str) -> str:
-    words = {"NAME": "a name", "OPERATOR": "one of = != < <= > >=", "$END": "the end"}
-    words |= {"ESCAPED_STRING": "a quoted text", "SIGNED_NUMBER": "a number"}
-    return words.get(terminal, f"'{terminal.lower()}'")
+def _describe_terminal(terminal: str) -> str:
+    descriptions = {
+        "NAME": "a name",
+        "OPERATOR": "one of = != < <= > >=",
+        "$END": "the end",
+    }
+    descriptions |= {"ESCAPED_STRING": "a quoted text", "SIGNED_NUMBER": "a number"}
+    return descriptions.get(terminal, f"'{terminal.lower()}'")
--- a/mallowpond/protocol/strict.py
+++ b/mallowpond/protocol/strict.py
@@ -1,4 +1,4 @@
-"""Build data classes from what people wrote, and name every fault with its path."""
+"""Converter for hand-written files: rejects unknown keys and wrong types."""
 
 from typing import Any
 
--- a/mallowpond/protocol/tests/test_declaration_file.py
+++ b/mallowpond/protocol/tests/test_declaration_file.py
@@ -1,4 +1,4 @@
-"""Declarations: every fault at once, each with its path."""
+"""Declarations: all faults are reported at once, each with its path."""
 
 import pytest
 
--- a/mallowpond/protocol/tests/test_query.py
+++ b/mallowpond/protocol/tests/test_query.py
@@ -1,4 +1,4 @@
-"""The operators' language: statements, faults, and queries over tables."""
+"""The query and command language: statements, faults, queries over tables."""
 
 import pytest
 from hypothesis import given, settings
--- a/mallowpond/settings.py
+++ b/mallowpond/settings.py
@@ -1,4 +1,4 @@
-"""Settings of each program, read from TOML and checked as a whole."""
+"""Settings of each program: read from TOML, with all faults reported at once."""
 
 import tomllib
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from mallowpond.coordination.ports import Host
-from mallowpond.protocol.declaration_file import Fault, Faults, structure_faults
+from mallowpond.protocol.declaration_file import Fault, Faults, faults_from_error
 from mallowpond.protocol.strict import strict_converter
 
 T = TypeVar("T")
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LogSettings:
-    """Choose how logs are written: ``console`` or ``json``."""
+    """Format (``console`` or ``json``) and lowest level of the log lines."""
 
     format: str = "json"
     level: str = "info"
@@ -22,7 +22,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControllerTimings:
-    """Hold a controller's intervals and limits, in seconds."""
+    """Intervals and timeouts of a controller, in seconds.
+
+    Intervals: `heartbeat` of membership, table reads and planning, `watch` of engine
+    polls, `host_list` of reads of the host list. `lease` is the duration of the
+    membership lease. An engine without an answer for `silent` counts as lost. A
+    configuration version counts as current for `assurance` after the read that
+    confirmed it, and a proposal open for `abort` is withdrawn. A draining group drains
+    for at least `drain_settle`, in which the gateways learn of it, and for at most
+    `drain_limit`. `forming_limit` is the time in which a group's members must have
+    loaded. `table_timeout` and `engine_timeout` bound single calls.
+    """
 
     heartbeat: float = 0.5
     lease: float = 3.0
@@ -40,7 +50,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControllerSettings:
-    """Configure one controller; ports of 0 take any free one."""
+    """Settings of one controller; port 0 takes a free port."""
 
     name: str
     cell: str
@@ -56,7 +66,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatewayTimings:
-    """Hold a gateway's intervals and limits, in seconds."""
+    """Intervals and timeouts of a gateway, in seconds.
+
+    `routes` is the interval of route requests. A group may be sent work for `permit`
+    after it was last observed healthy. `request` is the default timeout of a caller's
+    request. A stopping gateway waits up to `drain_limit` for requests in progress.
+    `claim` bounds claim and quota calls, `connect` connecting, `first_byte` the wait
+    for a response's head and `between_chunks` gaps in its body.
+    """
 
     routes: float = 0.25
     permit: float = 4.0
@@ -70,7 +87,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatewaySettings:
-    """Configure one gateway; `controllers` are tried in their order."""
+    """Settings of one gateway; it tries `controllers` in the order given."""
 
     name: str
     controllers: tuple[str, ...]
@@ -85,7 +102,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformStandinSettings:
-    """Configure the platform's stand-in."""
+    """Settings of the stand-in for the platform."""
 
     hosts: tuple[Host, ...]
     address: str = "127.0.0.1"
@@ -94,7 +111,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineStandinSettings:
-    """Configure an engine's stand-in."""
+    """Settings of the stand-in for an engine."""
 
     host: str
     incarnation: str = "1"
@@ -105,7 +122,7 @@
 
 
 def parse_settings(text: str, kind: type[T]) -> T | Faults:
-    """Return the settings written in a TOML text, or all its faults."""
+    """Return the settings in a TOML text, or all its faults."""
     try:
         plain = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -113,13 +130,13 @@
     try:
         settings = strict_converter.structure(plain, kind)
     except Exception as error:
-        return Faults(faults=structure_faults(error))
+        return Faults(faults=faults_from_error(error))
     faults = tuple(_range_faults(settings, ""))
     return Faults(faults=faults) if faults else settings
 
 
 def load_settings(path: Path, kind: type[T]) -> T | Faults:
-    """Read settings from a file."""
+    """Return the settings in a TOML file, or all its faults."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
--- a/mallowpond/tests/test_settings.py
+++ b/mallowpond/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every fault at once, each with its path."""
+"""Settings: all faults are reported at once, each with its path."""
 
 import pytest
 
