--- a/mallowpond/programs/processes.py
+++ b/mallowpond/programs/processes.py
@@ -100,7 +100,7 @@
     engine = ObservatoryEngine(options=options)
     await engine.start()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGUSR1, engine.toggle_need)
+    loop.add_signal_handler(signal.SIGUSR1, engine.toggle_rate_limit)
     loop.add_signal_handler(signal.SIGUSR2, engine.toggle_shedding)
     await stop.wait()
     await engine.drain()
--- a/mallowpond/programs/tests/cluster.py
+++ b/mallowpond/programs/tests/cluster.py
@@ -13,9 +13,9 @@
 from itertools import islice
 from pathlib import Path
 
-from mallowpond.standins.own_ports import own_ports
+from mallowpond.standins.free_ports import free_ports
 
-PORTS = own_ports()
+PORTS = free_ports()
 API_KEY = "kurul-key"
 STARTUP_SECONDS = 30.0
 DECLARATION = f"""
