--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -118,7 +118,7 @@
         self.hosts = []
         for task in list(self.serving):
             task.cancel()
-        await asyncio.sleep(self.scenario.away)
+        await asyncio.sleep(self.scenario.outage_seconds)
         back = asyncio.create_task(self.start_hosts(START_SECONDS))
         await asyncio.sleep(FOUND_SECONDS)
         while self.waiting_callers:
@@ -208,7 +208,7 @@
                 self._draw(scenario.prompt_tokens, scenario.prompt_spread)
             ),
             answer_tokens=min(
-                scenario.most_events,
+                scenario.max_events,
                 max(1, round(self._draw(scenario.events, scenario.events_spread))),
             ),
         )
@@ -274,8 +274,8 @@
             open_groups = [self.groups[name] for name in self.listing.targets_now]
             beyond = sum(group.beyond for group in open_groups)
             free = sum(group.free for group in open_groups)
-            self.figures.beyond += beyond * LOOK_SECONDS
-            self.figures.beside += min(beyond, free) * LOOK_SECONDS
+            self.figures.excess_seconds += beyond * LOOK_SECONDS
+            self.figures.avoidable_excess_seconds += min(beyond, free) * LOOK_SECONDS
 
     async def simulate(self) -> SimulationResult:
         """Play the scenario to its end."""
--- a/mallowpond/emulator/scenario.py
+++ b/mallowpond/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""Describe loads on the placing of streams, and count what came of them."""
+"""Scenarios of the placement simulation, and the result of a run."""
 
 from dataclasses import dataclass
 
@@ -13,11 +13,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """Describe a load; rates are a second, times in seconds.
+    """Load and faults of one simulation run, with all times in seconds.
 
-    With `restart_at` all hosts are gone from then on for `away`; who came meanwhile
-    comes back while they start. With `replaced_every` a group closes and another one
-    opens empty, after each such time.
+    rate: arrivals of streams in the whole fleet, per second.
+    prompt_tokens, events: mean prompt length and mean number of events of a stream.
+    prompt_spread, events_spread: coefficients of variation of these.
+    max_events: upper bound of the events of a stream.
+    restart_at: time at which all hosts stop, None for never.
+    away: time from that stop until the hosts start again; callers that arrive
+        meanwhile wait and are served as the hosts start.
+    replaced_every: interval after which a group is closed and an empty one opened.
+    uses_dispatcher: whether a dispatcher grants slots; otherwise each host chooses
+        groups by the loads that the hosts report to each other.
     """
 
     name: str
@@ -29,9 +36,9 @@
     prompt_spread: float = 0.89
     events: float = 28.0
     events_spread: float = 0.7
-    most_events: int = 70
+    max_events: int = 70
     restart_at: float | None = None
-    away: float = 1.2
+    outage_seconds: float = 1.2
     replaced_every: float | None = None
     uses_dispatcher: bool = True
 
@@ -63,14 +70,20 @@
 
 @dataclass(kw_only=True)
 class SimulationResult:
-    """Count what became of the streams of one play."""
+    """Counts of the streams of one simulation run, by their outcome.
+
+    in_time: streams that met both latency objectives of the route.
+    late: streams whose first event missed its objective.
+    unserved: streams that were refused for good.
+    gaps: streams with a gap between events above its objective.
+    excess_seconds: stream-seconds of streams in excess of the slots of their group.
+    beside: the part of them during which another group had a free slot.
+    """
 
     streams: int = 0
     in_time: int = 0
     late: int = 0
     unserved: int = 0
     gaps: int = 0
-    # Stream-seconds beyond the slots of groups, and those of them beside which a slot
-    # was free on another group.
-    beyond: float = 0.0
-    beside: float = 0.0
+    excess_seconds: float = 0.0
+    avoidable_excess_seconds: float = 0.0
