--- a/mallowpond/__main__.py
+++ b/mallowpond/__main__.py
@@ -7,8 +7,8 @@
         from mallowpond.platform.early_listener import listen_for_callers
 
         listener = listen_for_callers()
-        # Without the imports of the command line, a restarted node starts faster and uses
-        # less memory.
+        # Without the imports of the command line a restarted node starts faster and
+        # uses less memory.
         from mallowpond.platform.program import main
 
         main(listener)
--- a/mallowpond/programs/__init__.py
+++ b/mallowpond/programs/__init__.py
@@ -1,4 +1,4 @@
-"""The command line, the settings, and how each program runs."""
+"""The command line and how each program runs."""
 
 __all__ = [
     "cli",
--- a/mallowpond/programs/cli.py
+++ b/mallowpond/programs/cli.py
@@ -78,7 +78,7 @@
 
 
 def print_faults(path: Path, faults: Faults) -> None:
-    """Print every fault of a file with its path inside it."""
+    """Print all faults of a file, each with its path inside the file."""
     for fault in faults.faults:
         where = f"{path}: {fault.path}" if fault.path else str(path)
         typer.echo(f"{where}: {fault.message}", err=True)
@@ -92,7 +92,7 @@
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        # A second signal sets the same event again: it cuts nothing off.
+        # A second signal sets the same event again and so interrupts nothing.
         loop.add_signal_handler(number, stop.set)
     await program(stop)
 
@@ -199,7 +199,7 @@
             controller, file, expect_version, author, quiet=as_json
         )
     )
-    _finish(reply, as_json)
+    _print_reply(reply, as_json)
 
 
 @app.command()
@@ -207,7 +207,7 @@
     controller: ControllerAddress = DEFAULT_CONTROLLER, as_json: AsJson = False
 ) -> None:
     """Show the accepted configuration versions, latest first."""
-    _say("show versions order by version desc", controller, as_json)
+    _run_statement("show versions order by version desc", controller, as_json)
 
 
 @app.command()
@@ -217,7 +217,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Run one statement of the query and command language."""
-    _say(statement, controller, as_json)
+    _run_statement(statement, controller, as_json)
 
 
 @app.command()
@@ -227,7 +227,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Take a host out of every group, gracefully."""
-    _say(f"drain host {host}", controller, as_json)
+    _run_statement(f"drain host {host}", controller, as_json)
 
 
 @app.command()
@@ -237,7 +237,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Stop a group, gracefully."""
-    _say(f"stop group {group}", controller, as_json)
+    _run_statement(f"stop group {group}", controller, as_json)
 
 
 @app.command()
@@ -248,14 +248,16 @@
     as_json: AsJson = False,
 ) -> None:
     """Take back a drain or a stop."""
-    _say(f"restore {kind} {name}", controller, as_json)
+    _run_statement(f"restore {kind} {name}", controller, as_json)
 
 
-def _say(statement: str, controller: str, as_json: bool) -> None:
-    _finish(asyncio.run(operator_commands.state(controller, statement)), as_json)
+def _run_statement(statement: str, controller: str, as_json: bool) -> None:
+    _print_reply(
+        asyncio.run(operator_commands.run_statement(controller, statement)), as_json
+    )
 
 
-def _finish(reply: operator_commands.Reply, as_json: bool) -> None:
+def _print_reply(reply: operator_commands.Reply, as_json: bool) -> None:
     match reply:
         case operator_commands.Unreachable(reason=reason):
             typer.echo(f"The controller cannot be reached: {reason}", err=True)
@@ -277,33 +279,35 @@
         ),
     ] = None,
     group: Annotated[str, typer.Option(help="A group's name, in place of ID.")] = "",
-    version: Annotated[int, typer.Option(help="A configuration's, for ID.")] = 0,
+    version: Annotated[
+        int, typer.Option(help="A configuration version, in place of ID.")
+    ] = 0,
     fingerprint: Annotated[
-        str, typer.Option(help="What a request shares with its returns, for ID.")
+        str, typer.Option(help="A request's fingerprint, in place of ID.")
     ] = "",
 ) -> None:
     """Tell what happened to a request, a group or a configuration, from logs."""
     names = list(words or ())
-    is_other = group or version or fingerprint
-    request = "" if is_other else names.pop(0) if names else ""
+    has_option = group or version or fingerprint
+    request = "" if has_option else names.pop(0) if names else ""
     if sum(map(bool, (request, group, version, fingerprint))) != 1:
         typer.echo("Say one of ID, --group, --version and --fingerprint.", err=True)
         raise typer.Exit(EXIT_USAGE)
     logs = _read_logs([Path(name) for name in names])
     if request:
-        story = explain_request(logs.lines, request)
+        explanation = explain_request(logs.lines, request)
     elif group:
-        story = explain_group(logs.lines, group)
+        explanation = explain_group(logs.lines, group)
     elif fingerprint:
-        story = explain_fingerprint(logs.lines, fingerprint)
+        explanation = explain_fingerprint(logs.lines, fingerprint)
     else:
-        story = explain_version(logs.lines, version)
+        explanation = explain_version(logs.lines, version)
     if logs.unreadable:
         typer.echo(f"{logs.unreadable} lines are no log lines.", err=True)
-    if story is None:
+    if explanation is None:
         typer.echo("No line names it.", err=True)
         raise typer.Exit(EXIT_REFUSED)
-    for line in render(story):
+    for line in render(explanation):
         typer.echo(line)
 
 
@@ -328,7 +332,7 @@
         typer.echo(f"No such file: {', '.join(missing)}", err=True)
         raise typer.Exit(EXIT_USAGE)
     if files:
-        return LogFiles.of(files)
+        return LogFiles.from_paths(files)
     logs = LogFiles()
     logs.read("-", sys.stdin)
     logs.sort()
--- a/mallowpond/programs/demo.py
+++ b/mallowpond/programs/demo.py
@@ -1,4 +1,4 @@
-"""Bring the whole system up, serve two requests, and stay up for the reader."""
+"""Demonstration: start a complete system, serve two requests and keep running."""
 
 import asyncio
 import json
@@ -29,26 +29,28 @@
 
 
 class DemoFailed(Exception):
-    """A step of the demonstration did not go as it should."""
+    """A step of the demonstration failed."""
 
 
 async def run_demo(*, once: bool, stop: asyncio.Event) -> None:
-    """Run the demonstration; with `once` end after the two requests."""
+    """Run the demonstration until `stop`, or with `once` for just the two requests."""
     async with Site() as site:
-        await _bring_up(site)
+        await _apply_and_wait(site)
         http = HttpClient()
         try:
-            await _show(http, site, "A streamed completion", stream=True)
-            await _show(http, site, "A request that may not be repeated", key="note-1")
+            await _send_and_print(http, site, "A streamed completion", stream=True)
+            await _send_and_print(
+                http, site, "A request that may not be repeated", key="note-1"
+            )
         finally:
             await http.close()
         if once:
             return
-        _print_lines_to_type(site)
+        _print_example_commands(site)
         await stop.wait()
 
 
-async def _bring_up(site: Site) -> None:
+async def _apply_and_wait(site: Site) -> None:
     try:
         async with asyncio.timeout(START_SECONDS):
             applied = await site.apply(DECLARATION)
@@ -62,7 +64,7 @@
         typer.echo(f"  {group.group}: {', '.join(group.hosts)}")
 
 
-async def _show(
+async def _send_and_print(
     http: HttpClient,
     site: Site,
     title: str,
@@ -70,17 +72,17 @@
     stream: bool = False,
     key: str | None = None,
 ) -> None:
-    asked = {"model": "meteor-7b", "prompt": "fireball", "max_tokens": 4}
+    fields = {"model": "meteor-7b", "prompt": "fireball", "max_tokens": 4}
     headers = [("authorization", f"Bearer {API_KEY}")]
     if key is not None:
         headers += [("idempotency-key", key), ("mallowpond-kind", "alert-note")]
-    before = _runs(site)
+    before = _started_requests(site)
     answer = await http.fetch(
         site.gateway_address,
         "POST",
         "/v1/completions",
         headers=tuple(headers),
-        body=json.dumps(asked | {"stream": stream}).encode(),
+        body=json.dumps(fields | {"stream": stream}).encode(),
         timeout=20.0,
     )
     if isinstance(answer, CallFailed):
@@ -88,24 +90,28 @@
     status, body = answer
     if status != 200:
         raise DemoFailed(f"{title}: status {status}: {body.decode()}")
-    (group,) = {g for g, count in _runs(site).items() if count > before.get(g, 0)}
+    (group,) = {
+        g for g, count in _started_requests(site).items() if count > before.get(g, 0)
+    }
     typer.echo(f"{title} was served by {group}:")
     typer.echo("  " + body.decode().strip().replace("\n", "\n  "))
 
 
-def _runs(site: Site) -> dict[str, int]:
-    """Return how many requests each group has started."""
+def _started_requests(site: Site) -> dict[str, int]:
+    """Return the number of requests started by each group."""
     return {e.status().group: len(e.runs) for e in site.engines if e.runs}
 
 
-def _print_lines_to_type(site: Site) -> None:
+def _print_example_commands(site: Site) -> None:
     gateway = f"http://{site.gateway_address}"
     operator = f"http://{site.controllers[0].operator_address}"
-    asked = '{"model": "meteor-7b", "prompt": "star", "max_tokens": 4, "stream": true}'
+    example_body = (
+        '{"model": "meteor-7b", "prompt": "star", "max_tokens": 4, "stream": true}'
+    )
     typer.echo("\nThe system stays up. Try:")
     typer.echo(
         f"  curl -N {gateway}/v1/completions -H 'Authorization: Bearer {API_KEY}'"
-        f" -d '{asked}'"
+        f" -d '{example_body}'"
     )
     typer.echo(f"  curl {gateway}/metrics")
     typer.echo(f"  bin/mallowpond query --controller {operator} 'show groups'")
--- a/mallowpond/programs/explain.py
+++ b/mallowpond/programs/explain.py
@@ -1,4 +1,4 @@
-"""Tell the story of a request, a group or a configuration from nodes' log lines."""
+"""Explain what happened to a request, group or configuration, from nodes' log lines."""
 
 import json
 from collections import defaultdict
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import Any
 
-# Time before the first and after the last line of a story in which what else happened
-# to its groups, targets and hosts belongs to it, in seconds: the stall time of a group
-# and a little, since a loss shows up to that much later.
+# Time before a subject's first line and after its last one in which lines about its
+# groups, targets and hosts are included, in seconds: slightly more than the stall time
+# of a group, since a loss shows up to that much later.
 CONTEXT_SECONDS = 5.0
-# Prefixes of events that concern a whole host, and so each request on it.
+# Prefixes of events that concern a whole host and so all requests on it.
 HOST_EVENTS = (
     "configuration:",
     "node:",
@@ -20,10 +20,10 @@
     "targets: list",
     "logs:",
 )
-# Fields that say which group, target or request a line is about.
+# Fields that name the request, group or target that a line is about.
 SUBJECTS = ("request", "group", "target", "head")
 HIDDEN = {"event", "timestamp", "level"}
-# What to look at after each reason of a refused or broken request.
+# What to look at, by the reason for which a request was refused or cut off.
 HINTS = {
     "overloaded": "no place in time: compare `running` with `open` in planner: model",
     "no_group": "no group served the model: see planner: model and planner: forming",
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Line:
-    """Hold one log line; `at` is the time of day of its host, in seconds."""
+class LogLine:
+    """A log line; `at` is the Unix time in seconds by the clock of its host."""
 
     host: str
     at: float
@@ -51,44 +51,44 @@
     fields: dict[str, Any]
 
     def is_about(self, names: set[str]) -> bool:
-        """Tell whether a group, target or request of these names is its subject."""
+        """Return whether the line is about one of these requests, groups or targets."""
         return any(self.fields.get(subject) in names for subject in SUBJECTS)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Story:
-    """Hold the lines of one subject in time order, and what they come to."""
+class Explanation:
+    """The log lines about one subject in order of time, and a one-line summary."""
 
-    lines: tuple[Line, ...]
-    verdict: str
+    lines: tuple[LogLine, ...]
+    summary: str
 
 
 @dataclass(kw_only=True)
 class LogFiles:
-    """Hold the lines of some files; `unreadable` counts those that are none."""
+    """The lines of several log files; `unreadable` counts lines that aren't parsable."""
 
-    lines: list[Line] = field(default_factory=list)
+    lines: list[LogLine] = field(default_factory=list)
     unreadable: int = 0
 
     def read(self, host: str, rows: Iterable[str]) -> None:
-        """Add the lines of one host; what stands before the object is ignored."""
+        """Add the lines of one host; text before a line's JSON object is ignored."""
         for row in rows:
             if row.strip():
-                self._add(host, row)
+                self._add_row(host, row)
 
-    def _add(self, host: str, row: str) -> None:
+    def _add_row(self, host: str, row: str) -> None:
         try:
             fields = json.loads(row[row.index("{") :])
             at = datetime.fromisoformat(fields["timestamp"]).timestamp()
-            line = Line(host=host, at=at, event=fields["event"], fields=fields)
+            line = LogLine(host=host, at=at, event=fields["event"], fields=fields)
         except (ValueError, KeyError, TypeError):
             self.unreadable += 1
             return
         self.lines.append(line)
 
     @classmethod
-    def of(cls, paths: Iterable[Path]) -> "LogFiles":
-        """Read files that are named after their hosts."""
+    def from_paths(cls, paths: Iterable[Path]) -> "LogFiles":
+        """Read and sort files; the stem of each file's name is its host."""
         files = cls()
         for path in paths:
             with path.open(errors="replace") as rows:
@@ -97,12 +97,15 @@
         return files
 
     def sort(self) -> None:
-        """Put the lines of all hosts into the order of their times of day."""
+        """Sort the lines of all hosts by time."""
         self.lines.sort(key=lambda line: line.at)
 
 
-def explain_request(lines: Iterable[Line], request: str) -> Story | None:
-    """Return a request's lines with what happened to its groups, targets and hosts."""
+def explain_request(lines: Iterable[LogLine], request: str) -> Explanation | None:
+    """Return the lines of a request and of its groups, targets and hosts.
+
+    None if no line names the request.
+    """
     lines = tuple(lines)
     own = [line for line in lines if line.fields.get("request") == request]
     if not own:
@@ -114,19 +117,19 @@
         if s in line.fields
     }
     hosts = {line.host for line in own}
-    context = _near(lines, own)
-    told = [
+    context = _within_context(lines, own)
+    selected = [
         line
         for line in context
         if line in own
         or ("request" not in line.fields and line.is_about(names))
         or (line.host in hosts and line.event.startswith(HOST_EVENTS))
     ]
-    return Story(lines=tuple(told), verdict=_verdict(own))
+    return Explanation(lines=tuple(selected), summary=_summarize_request(own))
 
 
-def explain_group(lines: Iterable[Line], group: str) -> Story | None:
-    """Return a group's lines, and those of its members from its forming on."""
+def explain_group(lines: Iterable[LogLine], group: str) -> Explanation | None:
+    """Return the lines of a group and its members, None if none names the group."""
     lines = tuple(lines)
     own = [line for line in lines if line.fields.get("group") == group]
     if not own:
@@ -135,85 +138,93 @@
     for line in own:
         members |= set(line.fields.get("members") or ())
     about = {group, *members}
-    told = [
+    selected = [
         line
-        for line in _near(lines, own)
+        for line in _within_context(lines, own)
         if "request" not in line.fields and line.is_about(about)
     ]
     streams = sum(line.event == "stream: sent" for line in own)
-    broken = [line for line in told if line.event == "groups: broken"]
+    broken = [line for line in selected if line.event == "groups: broken"]
     cause = f", broken ({broken[-1].fields.get('cause')})" if broken else ""
-    verdict = f"{len(members)} members ordered, {streams} sends of streams{cause}"
-    return Story(lines=tuple(told), verdict=verdict)
+    summary = f"{len(members)} members ordered, {streams} sends of streams{cause}"
+    return Explanation(lines=tuple(selected), summary=summary)
+
 
+def explain_fingerprint(
+    lines: Iterable[LogLine], fingerprint: str
+) -> Explanation | None:
+    """Return the lines of a fingerprint: sends, ended targets, and its quarantine.
 
-def explain_fingerprint(lines: Iterable[Line], fingerprint: str) -> Story | None:
-    """Return each return of a request, its targets that ended, and its hold."""
-    told = tuple(x for x in lines if x.fields.get("fingerprint") == fingerprint)
-    if not told:
+    None if no line has the fingerprint.
+    """
+    selected = tuple(x for x in lines if x.fields.get("fingerprint") == fingerprint)
+    if not selected:
         return None
-    by_event: dict[str, list[Line]] = defaultdict(list)
-    for line in told:
+    by_event: dict[str, list[LogLine]] = defaultdict(list)
+    for line in selected:
         by_event[line.event].append(line)
     sent = by_event["stream: sent"] + by_event["call: sent"]
     ended = {line.fields.get("target") for line in by_event["quarantine: target ended"]}
-    held = {line.host for line in by_event["quarantine: held back"]}
+    quarantine_hosts = {line.host for line in by_event["quarantine: held back"]}
     refused = len(by_event["quarantine: refused"])
-    verdict = f"{len(sent)} sends, {len(ended)} targets ended, "
-    verdict += f"held back on {len(held)} hosts, {refused} refused"
-    return Story(lines=told, verdict=verdict)
+    summary = f"{len(sent)} sends, {len(ended)} targets ended, "
+    summary += f"held back on {len(quarantine_hosts)} hosts, {refused} refused"
+    return Explanation(lines=selected, summary=summary)
+
 
+def explain_version(lines: Iterable[LogLine], version: int) -> Explanation | None:
+    """Return when a configuration version came into force on each host.
 
-def explain_version(lines: Iterable[Line], version: int) -> Story | None:
-    """Return when a configuration came into force on each host."""
-    told = tuple(
+    None if no line names the version.
+    """
+    selected = tuple(
         line
         for line in lines
         if line.event.startswith("configuration:")
         and line.fields.get("version") == version
     )
-    if not told:
+    if not selected:
         return None
-    first = {line.host: line.at for line in reversed(told)}
+    first = {line.host: line.at for line in reversed(selected)}
     spread = max(first.values()) - min(first.values())
-    return Story(
-        lines=told, verdict=f"in force on {len(first)} hosts within {spread:.3f} s"
+    return Explanation(
+        lines=selected, summary=f"in force on {len(first)} hosts within {spread:.3f} s"
     )
 
 
-def render(story: Story) -> Iterator[str]:
-    """Write a story, a line each, with seconds since its first line."""
-    start = story.lines[0].at
-    width = max(len(line.host) for line in story.lines)
-    for line in story.lines:
+def render(explanation: Explanation) -> Iterator[str]:
+    """Yield the lines, each with the seconds since the first one, and the summary."""
+    start = explanation.lines[0].at
+    width = max(len(line.host) for line in explanation.lines)
+    for line in explanation.lines:
         fields = " ".join(
-            f"{name}={_plain(value)}"
+            f"{name}={_format_value(value)}"
             for name, value in line.fields.items()
             if name not in HIDDEN
         )
         yield f"{line.at - start:9.3f}  {line.host:{width}}  {line.event}  {fields}"
-    yield f"=> {story.verdict}"
+    yield f"=> {explanation.summary}"
 
 
-def _near(lines: Iterable[Line], own: list[Line]) -> Iterator[Line]:
+def _within_context(lines: Iterable[LogLine], own: list[LogLine]) -> Iterator[LogLine]:
     start, end = own[0].at - CONTEXT_SECONDS, own[-1].at + CONTEXT_SECONDS
     return (line for line in lines if start <= line.at <= end)
 
 
-def _verdict(own: list[Line]) -> str:
-    ends = [line for line in own if line.event.startswith("ingress:")]
-    if not ends:
+def _summarize_request(own: list[LogLine]) -> str:
+    end_events = [line for line in own if line.event.startswith("ingress:")]
+    if not end_events:
         return "no ending is logged: its host died, or left the line out"
-    last = ends[-1]
+    last = end_events[-1]
     reason = last.fields.get("reason")
     outcome = last.event.removeprefix("ingress: ")
     status = last.fields.get("status")
-    told = f"{outcome} with {status}" if status else outcome
+    text = f"{outcome} with {status}" if status else outcome
     if reason is None:
-        return f"{told}, {len(ends)} ending(s)"
+        return f"{text}, {len(end_events)} ending(s)"
     hint = HINTS.get(str(reason))
-    return f"{told}: {reason}" + (f" ({hint})" if hint else "")
+    return f"{text}: {reason}" + (f" ({hint})" if hint else "")
 
 
-def _plain(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
--- a/mallowpond/programs/logs.py
+++ b/mallowpond/programs/logs.py
@@ -1,4 +1,4 @@
-"""Set up structured logs with a fixed prefix for each part."""
+"""Set up structured logs."""
 
 import logging
 import sys
@@ -9,12 +9,12 @@
 
 
 def log_level(settings: LogSettings) -> int:
-    """Return the number of the level that the settings name."""
+    """Return the number of the level in the settings."""
     return getattr(logging, settings.level.upper())
 
 
 def set_up_logs(settings: LogSettings) -> None:
-    """Choose the format and level of every log line."""
+    """Configure the format and level of all log lines; they go to standard error."""
     renderer = (
         structlog.dev.ConsoleRenderer(colors=False)
         if settings.format == "console"
--- a/mallowpond/programs/losses.py
+++ b/mallowpond/programs/losses.py
@@ -1,8 +1,8 @@
 """Count, from nodes' log lines, which requests were late or unserved, and why.
 
-What is worth most to callers is an answer within its objective. Each stream that missed
-it, and each attempt that got no answer, is put down to one cause, the earliest that its
-own lines show; the errors of predicted first events and the suspicions stand beside it.
+Callers value most a response within its objective. Each stream that missed it, and each
+attempt without a response, is attributed to one cause, the earliest that its own lines
+show. The prediction errors of first events and the suspicions are reported as well.
 """
 
 from collections import Counter, defaultdict
@@ -10,29 +10,35 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from mallowpond.programs.explain import Line
+from mallowpond.programs.explain import LogLine
 
-# Wait for a place that is longer than scheduling and timers explain, in seconds.
-WAITED_SECONDS = 0.02
-# Statuses of answers that a target gave and that do not count as served.
-FAILED_STATUS = 500
+# Shortest wait for a place that scheduling and timers don't explain, in seconds.
+MIN_WAITED_SECONDS = 0.02
+# Lowest status of a target's response that doesn't count as served.
+MIN_FAILED_STATUS = 500
 
 
 @dataclass(kw_only=True)
 class Losses:
-    """Hold the counts of one set of log files; errors are in seconds, by model."""
+    """Counts of one set of log files.
+
+    `late`, `unserved` and `suspicions` count by cause. `prediction_errors` are the
+    observed less the predicted times of first events in seconds, by model.
+    """
 
     streams: int = 0
     late: Counter[str] = field(default_factory=Counter)
     unserved: Counter[str] = field(default_factory=Counter)
     suspicions: Counter[str] = field(default_factory=Counter)
-    errors: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    prediction_errors: dict[str, list[float]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
 
 
-def count_losses(lines: Iterable[Line]) -> Losses:
-    """Sort every request of the lines by what became of it."""
+def count_losses(lines: Iterable[LogLine]) -> Losses:
+    """Count the requests in the lines by outcome and cause."""
     losses = Losses()
-    sends: dict[str, Line] = {}
+    sends: dict[str, LogLine] = {}
     for line in lines:
         request = str(line.fields.get("request"))
         match line.event:
@@ -41,15 +47,15 @@
             case "stream: served":
                 losses.streams += 1
                 sent = sends.get(request)
-                _note_error(losses, line, sent)
-                cause = _why_late(line, sent)
+                _record_prediction_error(losses, line, sent)
+                cause = _late_cause(line, sent)
                 if cause is not None:
                     losses.late[cause] += 1
             case "ingress: refused" | "ingress: cut off":
                 outcome = line.event.removeprefix("ingress: ")
                 losses.unserved[f"{outcome}: {line.fields.get('reason')}"] += 1
             case "ingress: answered":
-                if int(line.fields.get("status") or 0) >= FAILED_STATUS:
+                if int(line.fields.get("status") or 0) >= MIN_FAILED_STATUS:
                     losses.unserved["answered: the target failed"] += 1
             case "groups: suspected" | "groups: unreached" | "groups: slow":
                 losses.suspicions[line.event.removeprefix("groups: ")] += 1
@@ -58,32 +64,34 @@
     return losses
 
 
-def _was_undisturbed(served: Line) -> bool:
+def _was_undisturbed(served: LogLine) -> bool:
     fields = served.fields
-    return fields.get("sends") == 1 and fields.get("waited", 0.0) <= WAITED_SECONDS
+    return fields.get("sends") == 1 and fields.get("waited", 0.0) <= MIN_WAITED_SECONDS
 
 
-def _predicted(sent: Line) -> float:
+def _predicted_first_event(sent: LogLine) -> float:
     return float(sent.fields["predicted"]) + float(sent.fields.get("delay", 0.0))
 
 
-def _note_error(losses: Losses, served: Line, sent: Line | None) -> None:
+def _record_prediction_error(
+    losses: Losses, served: LogLine, sent: LogLine | None
+) -> None:
     if sent is None or not _was_undisturbed(served):
         return
-    error = float(served.fields["first_event"]) - _predicted(sent)
-    losses.errors[str(served.fields.get("model"))].append(error)
+    error = float(served.fields["first_event"]) - _predicted_first_event(sent)
+    losses.prediction_errors[str(served.fields.get("model"))].append(error)
 
 
-def _why_late(served: Line, sent: Line | None) -> str | None:
-    """Return why a stream missed its objective or its allowed gap, if it did."""
+def _late_cause(served: LogLine, sent: LogLine | None) -> str | None:
+    """Return why a stream missed its objective or its allowed gap, or None."""
     fields = served.fields
     moved = fields.get("sends", 1) > 1
     if fields["first_event"] > fields["objective"]:
         if moved:
             return "first event: moved before it"
-        if fields.get("waited", 0.0) > WAITED_SECONDS:
+        if fields.get("waited", 0.0) > MIN_WAITED_SECONDS:
             return "first event: waited for a place"
-        if sent is not None and _predicted(sent) > fields["objective"]:
+        if sent is not None and _predicted_first_event(sent) > fields["objective"]:
             return "first event: sent though predicted late"
         return "first event: later than predicted"
     allowed = fields.get("allowed_gap")
@@ -93,19 +101,19 @@
 
 
 def render_losses(losses: Losses) -> Iterator[str]:
-    """Write the counts, a line each."""
+    """Yield the counts as lines of text."""
     yield f"streams served      {losses.streams}"
     yield f"  late              {losses.late.total()}"
-    yield from _rows(losses.late)
+    yield from _render_counts(losses.late)
     yield f"attempts unserved   {losses.unserved.total()}"
-    yield from _rows(losses.unserved)
+    yield from _render_counts(losses.unserved)
     yield f"suspicions          {losses.suspicions.total()}"
-    yield from _rows(losses.suspicions)
+    yield from _render_counts(losses.suspicions)
     yield "first event, seen less predicted (median, seconds)"
-    for model, errors in sorted(losses.errors.items()):
+    for model, errors in sorted(losses.prediction_errors.items()):
         yield f"  {median(errors):8.3f}  {model}, {len(errors)} streams"
 
 
-def _rows(counts: Counter[str]) -> Iterator[str]:
+def _render_counts(counts: Counter[str]) -> Iterator[str]:
     for name, count in counts.most_common():
         yield f"  {count:8}  {name}"
--- a/mallowpond/programs/operator_commands.py
+++ b/mallowpond/programs/operator_commands.py
@@ -1,4 +1,4 @@
-"""What the operator's commands do: ask a controller and print its answer."""
+"""Implementation of the operator's commands as calls to a controller."""
 
 import difflib
 import json
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Done:
-    """The controller answered."""
+    """The controller accepted the call; `document` is its answer, decoded from JSON."""
 
     document: Any
 
 
 @dataclass(frozen=True, kw_only=True)
 class OperatorRefused:
-    """The controller refused."""
+    """The controller refused the command."""
 
     reason: str
     detail: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Unreachable:
-    """No controller answered."""
+    """The controller did not answer, or its address is invalid."""
 
     reason: str
 
@@ -40,7 +40,7 @@
 
 
 def check_file(file: Path) -> str | Faults:
-    """Check a declaration; return what it declares in a few words."""
+    """Check a declaration file; return a summary of what it declares."""
     try:
         source = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -58,24 +58,24 @@
 async def apply_file(
     controller: str, file: Path, expect: int, author: str, *, quiet: bool
 ) -> Reply:
-    """Print the difference to what is in force and apply a file."""
+    """Apply a file; unless `quiet`, first print its diff from the version in force."""
     source = file.read_text(encoding="utf-8")
     current = await _call(controller, "GET", "/v1/declaration", b"")
     if not isinstance(current, Done):
         return current
     if not quiet:
-        typer.echo(difference(current.document["source"], source))
+        typer.echo(diff(current.document["source"], source))
     target = f"/v1/apply?expect={expect}&author={author}"
     return await _call(controller, "POST", target, source.encode())
 
 
-async def state(controller: str, statement: str) -> Reply:
-    """Run a statement of the query and command language."""
+async def run_statement(controller: str, statement: str) -> Reply:
+    """Send a statement of the query and command language to a controller."""
     return await _call(controller, "POST", "/v1/statement", statement.encode())
 
 
-def difference(old: str, new: str) -> str:
-    """Return the lines that change."""
+def diff(old: str, new: str) -> str:
+    """Return a unified diff of two declarations."""
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), "in force", "to apply", lineterm=""
     )
@@ -83,11 +83,11 @@
 
 
 def render(document: Any, *, as_json: bool) -> str:
-    """Return a table as aligned text, or any answer as JSON."""
+    """Return a table as aligned text, and any other answer as JSON."""
     if as_json or "columns" not in document:
         return json.dumps(document)
     cells = [document["columns"]]
-    cells += [[_text(cell) for cell in row] for row in document["rows"]]
+    cells += [[_format_cell(cell) for cell in row] for row in document["rows"]]
     widths = [max(len(row[n]) for row in cells) for n in range(len(cells[0]))]
     lines = (
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
@@ -96,7 +96,7 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def _text(cell: Any) -> str:
+def _format_cell(cell: Any) -> str:
     if cell is None:
         return "-"
     if isinstance(cell, bool):
--- a/mallowpond/programs/processes.py
+++ b/mallowpond/programs/processes.py
@@ -1,4 +1,4 @@
-"""Run each program until it is told to stop."""
+"""Run each program until its `stop` event is set."""
 
 import asyncio
 import signal
@@ -28,7 +28,7 @@
 
 
 async def run_gateway(settings: GatewaySettings, stop: asyncio.Event) -> None:
-    """Run a gateway; a stop lets the requests in progress finish."""
+    """Run a gateway; on a stop, finish the requests in progress first."""
     gateway = build_gateway(settings=settings, clock=MonotonicClock())
     await gateway.start()
     try:
@@ -39,7 +39,10 @@
 
 
 async def run_controller(settings: ControllerSettings, stop: asyncio.Event) -> None:
-    """Run a controller; a stop leaves the membership first."""
+    """Run a controller; on a stop, leave the membership first.
+
+    It also ends, without leaving, when another process has replaced it.
+    """
     http = HttpClient()
     table = TableClient(
         http=http, address=settings.platform, timeout=settings.timings.table_timeout
@@ -63,7 +66,7 @@
 
 
 async def run_platform(settings: PlatformStandinSettings, stop: asyncio.Event) -> None:
-    """Run the platform's stand-in."""
+    """Run the stand-in for the platform."""
     platform = PlatformStandin(hosts=settings.hosts)
     await platform.server.start(settings.address, settings.port)
     log.info("platform: started", port=platform.server.port)
@@ -72,7 +75,7 @@
 
 
 async def run_engine(settings: EngineStandinSettings, stop: asyncio.Event) -> None:
-    """Run an engine's stand-in."""
+    """Run the stand-in for an engine."""
     engine = EngineStandin(
         host=settings.host,
         incarnation=settings.incarnation,
@@ -86,7 +89,7 @@
 
 
 async def run_observatory_store(options: StoreOptions, stop: asyncio.Event) -> None:
-    """Run the stand-in of the observatory platform's store."""
+    """Run the stand-in for the observatory platform's store."""
     store = ObservatoryStore()
     await store.server.start(options.host, options.port)
     expiry = asyncio.create_task(store.run_expiry())
@@ -96,7 +99,7 @@
 
 
 async def run_observatory_engine(options: EngineOptions, stop: asyncio.Event) -> None:
-    """Run the stand-in of one of the observatory platform's engines."""
+    """Run the stand-in for an engine of the observatory platform."""
     engine = ObservatoryEngine(options=options)
     await engine.start()
     loop = asyncio.get_running_loop()
--- a/mallowpond/programs/site.py
+++ b/mallowpond/programs/site.py
@@ -1,4 +1,4 @@
-"""A whole system on one loop in one process, on free loopback ports."""
+"""A complete system on one event loop in one process, on free loopback ports."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -47,7 +47,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SiteShape:
-    """Say how many of each part a site has; engines split evenly over domains."""
+    """Number of processes of each kind in a site, and the behaviour of its engines.
+
+    The engines are divided evenly among the domains.
+    """
 
     engines: int = 8
     domains: int = 2
@@ -59,7 +62,7 @@
 
 @dataclass(kw_only=True)
 class Site:
-    """Own every part of an embedded system."""
+    """A complete system of stand-ins, controllers and gateways; a context manager."""
 
     shape: SiteShape = SiteShape()
     controller_timings: ControllerTimings = FAST_CONTROLLER
@@ -87,11 +90,11 @@
 
     @property
     def gateway_address(self) -> str:
-        """Return where callers reach the first gateway."""
+        """Return the address of the first gateway."""
         return f"{LOOPBACK}:{self.gateways[0].port}"
 
     async def apply(self, source: str) -> Accepted | ProposalRefused:
-        """Apply a declaration once the first controller is ready."""
+        """Apply a declaration through the first controller once it is ready."""
         controller = self.controllers[0]
         await self.until(lambda: controller.is_ready)
         await self.until(lambda: controller.membership.cell is not None)
@@ -99,7 +102,7 @@
         return await controller.api.apply_source(source, expect, "site")
 
     async def until_serving(self, deployment: str, groups: int) -> None:
-        """Wait until every gateway may send work to this many groups."""
+        """Wait until each gateway can route to at least this many groups."""
         for gateway in self.gateways:
             await self.until(
                 lambda g=gateway: (
@@ -109,7 +112,7 @@
             )
 
     async def until(self, reached, seconds: float = 30.0) -> None:
-        """Poll a condition until it holds."""
+        """Poll until `reached()` is true; raise TimeoutError after `seconds`."""
         async with asyncio.timeout(seconds):
             while not reached():
                 await asyncio.sleep(POLL_SECONDS)
@@ -162,10 +165,10 @@
 
     async def _start_gateway(self, number: int) -> None:
         addresses = [c.peer_address for c in self.controllers]
-        turn = number % len(addresses)
+        offset = number % len(addresses)
         settings = GatewaySettings(
             name=f"gateway{number}",
-            controllers=tuple(addresses[turn:] + addresses[:turn]),
+            controllers=tuple(addresses[offset:] + addresses[:offset]),
             timings=self.gateway_timings,
         )
         gateway = build_gateway(settings=settings, clock=self.clock, seed=number + 1)
@@ -186,5 +189,5 @@
 
 
 def key_hash(key: str) -> str:
-    """Return the hash of an API key as declarations write it."""
+    """Return the hash of an API key as it stands in declarations."""
     return sha256(key.encode()).hexdigest()
--- a/mallowpond/programs/tests/cluster.py
+++ b/mallowpond/programs/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Run the reference layout as real processes on loopback, for tests."""
+"""Run the reference layout as processes on loopback, for tests."""
 
 import json
 import os
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answer:
-    """Hold an HTTP answer."""
+    """An HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -58,7 +58,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 20.0,
 ) -> Answer:
-    """Make one HTTP call and return any answer."""
+    """Send one HTTP request and return the response, whatever its status."""
     request = urllib.request.Request(
         url, data=body, headers=headers or {}, method=method
     )
@@ -74,7 +74,7 @@
 
 @dataclass(kw_only=True)
 class Cluster:
-    """Own the processes of one layout."""
+    """The processes of one layout; a context manager that starts and kills them."""
 
     folder: Path
     engines: int = 8
@@ -86,7 +86,7 @@
     processes: dict[str, subprocess.Popen] = field(default_factory=dict)
 
     def __enter__(self) -> "Cluster":
-        self._draw_ports()
+        self._assign_ports()
         self._write_settings()
         self.start("platform")
         for name in self.names("engine") + self.names("controller"):
@@ -126,16 +126,16 @@
         log.close()
 
     def kill(self, name: str) -> None:
-        """Kill a process without warning."""
+        """Kill a process with SIGKILL."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def freeze(self, name: str) -> None:
-        """Stop a process so that it can wake later as if nothing happened."""
+        """Suspend a process with SIGSTOP."""
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Wake a frozen process."""
+        """Resume a suspended process with SIGCONT."""
         self.processes[name].send_signal(signal.SIGCONT)
 
     def url(self, name: str, path: str) -> str:
@@ -143,22 +143,22 @@
         return f"http://127.0.0.1:{self.ports[name]}{path}"
 
     def apply(self, declaration: str = DECLARATION, expect: int = 0) -> Answer:
-        """Apply a declaration through the first controller that answers."""
+        """Apply a declaration through the first controller."""
         url = self.url("controller0", f"/v1/apply?expect={expect}")
         return http("POST", url, declaration.encode())
 
-    def wait_for(self, what, seconds: float = STARTUP_SECONDS):
-        """Poll `what` until it returns something true, and return that."""
+    def wait_for(self, condition, seconds: float = STARTUP_SECONDS):
+        """Poll `condition` until it returns a true value, and return that value."""
         limit = time.monotonic() + seconds
         while time.monotonic() < limit:
             try:
-                found = what()
+                found = condition()
                 if found:
                     return found
             except (OSError, ValueError, KeyError):
                 pass
             time.sleep(0.05)
-        raise AssertionError(f"not reached in {seconds} s: {what}")
+        raise AssertionError(f"not reached in {seconds} s: {condition}")
 
     def wait_ready(self) -> None:
         """Wait until every controller is ready."""
@@ -174,7 +174,7 @@
         headers: dict[str, str] | None = None,
         **fields: object,
     ) -> Answer:
-        """Ask for a completion."""
+        """Request a completion."""
         body = {"model": "meteor-7b", "prompt": prompt, "max_tokens": 4} | fields
         sent = {"authorization": f"Bearer {API_KEY}"} | (headers or {})
         sent["content-type"] = "application/json"
@@ -191,19 +191,19 @@
         return self.wait_for(served)
 
     def set_faults(self, name: str, **faults: object) -> None:
-        """Switch faults of a stand-in."""
+        """Set the faults of a stand-in; the ones not named are reset."""
         url = self.url(name, "/standin/faults")
         http("POST", url, json.dumps(faults).encode())
 
     def runs(self) -> list[str]:
-        """Return the ids of the requests that engines started."""
+        """Return the ids of the requests that running engines have started."""
         found: list[str] = []
         for name in self.names("engine"):
             if self.processes[name].poll() is None:
                 found += http("GET", self.url(name, "/standin/runs")).json
         return found
 
-    def _draw_ports(self) -> None:
+    def _assign_ports(self) -> None:
         names = ["platform", *self.names("engine"), *self.names("gateway")]
         names += self.names("controller")
         peers = [f"{name}-peer" for name in self.names("controller")]
@@ -215,14 +215,14 @@
 
     def _write_settings(self) -> None:
         hosts = []
-        for place, name in enumerate(self.names("engine")):
+        for index, name in enumerate(self.names("engine")):
             fencing = str(self.checks_fencing).lower()
             self._write(
                 name,
                 f'host = "{name}"\nport = {self.ports[name]}\n'
                 f"checks_fencing = {fencing}\n",
             )
-            domain = "a" if place < self.engines / 2 else "b"
+            domain = "a" if index < self.engines / 2 else "b"
             hosts.append(_host_table(name, self.ports[name], domain, "1"))
         for name in self.names("controller"):
             hosts.append(_host_table(f"entry-{name}", 1, "", "boot-1"))
@@ -241,12 +241,12 @@
         controllers = [
             f'"127.0.0.1:{self.ports[n + "-peer"]}"' for n in self.names("controller")
         ]
-        for place, name in enumerate(self.names("gateway")):
-            turned = controllers[place % len(controllers) :] + controllers
+        for index, name in enumerate(self.names("gateway")):
+            rotated = controllers[index % len(controllers) :] + controllers
             self._write(
                 name,
                 f'name = "{name}"\nport = {self.ports[name]}\n'
-                f"controllers = [{', '.join(turned[: len(controllers)])}]\n"
+                f"controllers = [{', '.join(rotated[: len(controllers)])}]\n"
                 "receive_seconds = 1.0\n"
                 "[timings]\npermit = 2.0\nroutes = 0.1\nclaim = 2.0\n",
             )
--- a/mallowpond/programs/tests/test_examples.py
+++ b/mallowpond/programs/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The settings under examples/ are whole and agree with each other."""
+"""The settings under examples/ are valid and match the reference layout."""
 
 from pathlib import Path
 
--- a/mallowpond/programs/tests/test_explain.py
+++ b/mallowpond/programs/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From the id of a request to its cause, by log lines alone."""
+"""`explain` finds what happened to a request from log lines alone."""
 
 import json
 import re
@@ -12,7 +12,7 @@
 
 
 def line(at, event, **fields):
-    """Write one log line of a node."""
+    """Return one log line of a node."""
     stamp = f"2026-01-01T00:00:{at:06.3f}Z"
     return json.dumps({**fields, "event": event, "level": "info", "timestamp": stamp})
 
@@ -42,21 +42,21 @@
 
 @pytest.fixture
 def files(tmp_path):
-    """Write each host's log, as a collector does, with something before each line."""
+    """Write the hosts' logs with a prefix before each line, as a log collector does."""
     for host, lines in LOGS.items():
         rows = "".join(f"  12.5 {host} {text}\n" for text in lines)
         (tmp_path / f"{host}.log").write_text(rows)
     return [str(path) for path in sorted(tmp_path.iterdir())]
 
 
-def told(*words):
+def run_explain(*words):
     """Run the command; return its exit code and lines."""
     result = RUNNER.invoke(app, ["explain", *words])
     return result.exit_code, result.output.splitlines()
 
 
 def test_a_stream_that_was_cut_off_is_told_with_what_happened_to_its_group(files):
-    code, lines = told("q1", *files)
+    code, lines = run_explain("q1", *files)
     assert code == 0
     events = [re.split(r"\s{2,}", text.strip())[2] for text in lines[:-1]]
     assert events == [
@@ -72,39 +72,39 @@
 
 
 def test_a_refusal_is_told_with_what_its_host_did(files):
-    code, lines = told("q2", *files)
+    code, lines = run_explain("q2", *files)
     assert code == 0
     assert "node: draining" in lines[1]
     assert lines[-1].startswith("=> refused with 503: stopping (the host was told")
 
 
 def test_a_group_is_told_with_its_members(files):
-    code, lines = told("--group", "g", *files)
+    code, lines = run_explain("--group", "g", *files)
     assert code == 0
     assert any("planner: target lost" in text for text in lines)
     assert lines[-1] == "=> 2 members ordered, 2 sends of streams, broken (restarted)"
 
 
 def test_a_configuration_is_told_host_by_host(files):
-    code, lines = told("--version", "7", *files)
+    code, lines = run_explain("--version", "7", *files)
     assert code == 0
     assert lines[-1] == "=> in force on 2 hosts within 0.250 s"
 
 
 def test_what_no_line_names_is_said_so(files):
-    assert told("q9", *files)[0] == EXIT_REFUSED
-    assert told("--group", "z", *files)[0] == EXIT_REFUSED
+    assert run_explain("q9", *files)[0] == EXIT_REFUSED
+    assert run_explain("--group", "z", *files)[0] == EXIT_REFUSED
 
 
 @pytest.mark.parametrize("words", [(), ("q1", "/no/such/file"), ("--group", "g", "x")])
 def test_a_wrong_call_is_refused(words):
-    assert told(*words)[0] == EXIT_USAGE
+    assert run_explain(*words)[0] == EXIT_USAGE
 
 
 def test_lines_of_others_are_counted_and_passed_over(tmp_path):
     path = tmp_path / "a-1.log"
     path.write_text("no line\n{}\n[1]\n" + LOGS["a-1"][6] + "\n")
-    code, lines = told("q2", str(path))
+    code, lines = run_explain("q2", str(path))
     assert code == 0
     assert "3 lines are no log lines." in lines
 
@@ -133,9 +133,9 @@
     for host, rows in logs.items():
         (tmp_path / f"{host}.log").write_text("\n".join(rows))
     files = [str(path) for path in sorted(tmp_path.iterdir())]
-    code, lines = told("--fingerprint", "f", *files)
+    code, lines = run_explain("--fingerprint", "f", *files)
     assert code == 0
     assert lines[-1] == ("=> 2 sends, 2 targets ended, held back on 2 hosts, 1 refused")
     assert not any("q3" in text for text in lines)
-    assert told("--fingerprint", "none", *files)[0] == EXIT_REFUSED
-    assert told("--fingerprint", "f", "--group", "g", *files)[0] == EXIT_USAGE
+    assert run_explain("--fingerprint", "none", *files)[0] == EXIT_REFUSED
+    assert run_explain("--fingerprint", "f", "--group", "g", *files)[0] == EXIT_USAGE
--- a/mallowpond/programs/tests/test_losses.py
+++ b/mallowpond/programs/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Which cause a late or unserved request is put down to."""
+"""The cause to which a late or unserved request is attributed."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def lines_of(*rows):
-    """Read rows as a host logs them."""
+    """Parse log lines with these fields, as one host writes them."""
     stamp = '"timestamp": "2026-01-01T00:00:0{}Z"'
     files = LogFiles()
     files.read("host", [f"{{{row}, {stamp.format(n)}}}" for n, row in enumerate(rows)])
@@ -16,7 +16,7 @@
 
 
 def served(first=0.1, gap=0.05, waited=0.0, sends=1):
-    """Write the line of a served stream."""
+    """Return the fields of the line of a served stream."""
     return (
         '"event": "stream: served", "request": "r", "model": "m", "objective": 0.3, '
         f'"allowed_gap": 0.2, "first_event": {first}, "longest_gap": {gap}, '
@@ -25,7 +25,7 @@
 
 
 def sent(predicted):
-    """Write the line of a send."""
+    """Return the fields of the line of a send."""
     return f'"event": "stream: sent", "request": "r", "predicted": {predicted}'
 
 
@@ -49,7 +49,7 @@
 def test_a_stream_on_time_is_no_loss():
     losses = count_losses(lines_of(sent(0.08), served()))
     assert not losses.late
-    assert losses.errors["m"] == [pytest.approx(0.02)]
+    assert losses.prediction_errors["m"] == [pytest.approx(0.02)]
 
 
 def test_unserved_attempts_are_counted_by_their_last_answer():
--- a/mallowpond/programs/tests/test_operator.py
+++ b/mallowpond/programs/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's way in: checks, queries, commands, exit codes."""
+"""The operator's interface: checks, queries, commands, exit codes."""
 
 import pytest
 from typer.testing import CliRunner
@@ -11,9 +11,9 @@
 runner = CliRunner()
 
 
-async def say(site, statement, controller=0):
+async def run_statement(site, statement, controller=0):
     address = site.controllers[controller].operator_address
-    return await operator_commands.state(address, statement)
+    return await operator_commands.run_statement(address, statement)
 
 
 def column(reply, name):
@@ -23,31 +23,33 @@
 
 async def test_queries_tell_what_runs_where():
     async with serving_site() as site:
-        groups = await say(site, "show groups where deployment = meteor")
+        groups = await run_statement(site, "show groups where deployment = meteor")
         assert column(groups, "state") == ["ready", "ready"]
-        hosts = await say(site, "show hosts where domain = fabric0 order by host")
+        hosts = await run_statement(
+            site, "show hosts where domain = fabric0 order by host"
+        )
         assert column(hosts, "host") == ["engine0", "engine1"]
         for table in site.controllers[0].tables.names:
-            reply = await say(site, f"show {table}")
+            reply = await run_statement(site, f"show {table}")
             assert isinstance(reply, Done), reply
             assert operator_commands.render(reply.document, as_json=False)
 
 
 async def test_bad_statements_say_what_to_do():
     async with serving_site(groups=1) as site:
-        wrong = await say(site, "show gruops")
+        wrong = await run_statement(site, "show gruops")
         assert wrong.reason == "unknown_table" and "groups" in wrong.detail
-        wrong = await say(site, "show groups where rack = 1")
+        wrong = await run_statement(site, "show groups where rack = 1")
         assert wrong.reason == "unknown_column" and "generation" in wrong.detail
-        wrong = await say(site, "shw")
+        wrong = await run_statement(site, "shw")
         assert "column 1" in wrong.detail
-        wrong = await say(site, "drain host nowhere")
+        wrong = await run_statement(site, "drain host nowhere")
         assert wrong.reason == "unknown_name"
 
 
 async def test_drained_host_leaves_its_group_and_comes_back():
     async with serving_site() as site:
-        assert isinstance(await say(site, "drain host engine0"), Done)
+        assert isinstance(await run_statement(site, "drain host engine0"), Done)
         controller = site.controllers[0]
         await site.until(
             lambda: all(
@@ -58,7 +60,7 @@
         # Applying the file again does not bring a drained host back.
         await site.apply(DECLARATION + "\n")
         assert controller.configuration.applied.declaration.drained_hosts
-        assert isinstance(await say(site, "restore host engine0"), Done)
+        assert isinstance(await run_statement(site, "restore host engine0"), Done)
         await site.until_serving("meteor", 2)
 
 
@@ -72,7 +74,7 @@
         assert reply.reason == "version_moved"
         reply = await operator_commands.apply_file(address, file, 1, "op", quiet=True)
         assert reply == Done(document={"version": 2})
-        history = await say(site, "show versions order by version desc")
+        history = await run_statement(site, "show versions order by version desc")
         assert column(history, "version") == [2, 1]
 
 
--- a/mallowpond/programs/tests/test_process_faults.py
+++ b/mallowpond/programs/tests/test_process_faults.py
@@ -1,4 +1,4 @@
-"""Kills, freezes and stops of real processes."""
+"""Processes that are killed, suspended and stopped."""
 
 import signal
 import threading
@@ -54,10 +54,10 @@
 
 
 def test_gateway_killed_after_dispatch_never_runs_the_request_again(cluster):
-    """
-    Symptom: an alert note goes out twice.
-    Events: a gateway dies while an engine works; the caller asks the other gateway.
-    Cause: the claim died with the gateway that made it.
+    """A once-only request must not run twice.
+
+    A gateway is killed while an engine runs the request, and the caller sends it to the
+    other gateway. The claim must survive the gateway that made it.
     """
     before = in_flight(cluster)
     for name in cluster.names("engine"):
@@ -93,7 +93,7 @@
         )
 
     again = cluster.wait_for(lambda: settled())
-    # Either the claim was committed and nobody can tell, or it never was.
+    # Either the claim was committed and the outcome is unknown, or it never was.
     assert again.status in (200, 409)
     assert in_flight(cluster) == before + (again.status == 200)
 
@@ -107,10 +107,10 @@
 
 
 def test_gateway_that_wakes_refuses_until_it_knows_the_version(cluster):
-    """
-    Symptom: a gateway serves on what it knew before it was paused.
-    Events: a gateway is frozen past its assurance and wakes with a request waiting.
-    Cause: it counted ages from when answers came and not from when it asked.
+    """A resumed gateway must not serve on state from before it was suspended.
+
+    It is suspended for longer than its assurance and resumes with a request waiting. It
+    used to count ages from the arrival of an answer, not from the sending of its query.
     """
     cluster.freeze("gateway0")
     time.sleep(3.0)
@@ -159,7 +159,7 @@
     cluster.wait_for(lambda: not both_groups(cluster))
     for _ in range(5):
         assert cluster.complete("go on").status == 200
-    # The host comes back as if nothing happened, under a new incarnation.
+    # The host returns in working order, under a new incarnation.
     settings = (cluster.folder / "engine1.toml").read_text()
     (cluster.folder / "engine1.toml").write_text(settings + 'incarnation = "2"\n')
     cluster.start("engine1")
--- a/mallowpond/programs/tests/test_thin_path.py
+++ b/mallowpond/programs/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""A completion's path from caller to group through separate processes."""
 
 import pytest
 
