--- a/mallowpond/programs/explain.py
+++ b/mallowpond/programs/explain.py
@@ -65,7 +65,7 @@
 
 @dataclass(kw_only=True)
 class LogFiles:
-    """The lines of several log files; `unreadable` counts lines that aren't parsable."""
+    """The lines of several log files; `unreadable` counts those not parsable."""
 
     lines: list[LogLine] = field(default_factory=list)
     unreadable: int = 0
--- a/mallowpond/programs/tests/test_process_faults.py
+++ b/mallowpond/programs/tests/test_process_faults.py
@@ -49,7 +49,7 @@
             self.error = error
 
 
-def in_flight(cluster):
+def run_count(cluster):
     return len(cluster.runs())
 
 
@@ -59,11 +59,11 @@
     A gateway is killed while an engine runs the request, and the caller sends it to the
     other gateway. The claim must survive the gateway that made it.
     """
-    before = in_flight(cluster)
+    before = run_count(cluster)
     for name in cluster.names("engine"):
         cluster.set_faults(name, late_seconds=3.0)
     call = Call(cluster, "note", "gateway0", ALERT)
-    cluster.wait_for(lambda: in_flight(cluster) == before + 1)
+    cluster.wait_for(lambda: run_count(cluster) == before + 1)
     cluster.kill("gateway0")
     call.join()
     assert call.answer is None
@@ -74,11 +74,11 @@
         return again.json["outcome"] == "unknown"
 
     cluster.wait_for(refused_as_unknown)
-    assert in_flight(cluster) == before + 1
+    assert run_count(cluster) == before + 1
 
 
 def test_gateway_killed_between_claim_and_dispatch_runs_nothing(cluster):
-    before = in_flight(cluster)
+    before = run_count(cluster)
     cluster.set_faults("platform", delay_seconds=0.4)
     call = Call(cluster, "note", "gateway0", ALERT)
     time.sleep(0.5)
@@ -95,7 +95,7 @@
     again = cluster.wait_for(lambda: settled())
     # Either the claim was committed and the outcome is unknown, or it never was.
     assert again.status in (200, 409)
-    assert in_flight(cluster) == before + (again.status == 200)
+    assert run_count(cluster) == before + (again.status == 200)
 
 
 def test_frozen_controller_is_left_for_the_other(cluster):
@@ -127,9 +127,9 @@
 def test_planned_stop_of_a_gateway_ends_its_streams_whole_and_exits_0(cluster):
     for name in cluster.names("engine"):
         cluster.set_faults(name, slow_factor=10.0)
-    before = in_flight(cluster)
+    before = run_count(cluster)
     call = Call(cluster, "stream", "gateway0", stream=True, max_tokens=20)
-    cluster.wait_for(lambda: in_flight(cluster) == before + 1)
+    cluster.wait_for(lambda: run_count(cluster) == before + 1)
     process = cluster.processes["gateway0"]
     process.send_signal(signal.SIGTERM)
     process.send_signal(signal.SIGTERM)
@@ -141,9 +141,9 @@
 def test_planned_stop_of_a_controller_cuts_nothing(cluster):
     for name in cluster.names("engine"):
         cluster.set_faults(name, slow_factor=10.0)
-    before = in_flight(cluster)
+    before = run_count(cluster)
     call = Call(cluster, "stream", "gateway0", stream=True, max_tokens=20)
-    cluster.wait_for(lambda: in_flight(cluster) == before + 1)
+    cluster.wait_for(lambda: run_count(cluster) == before + 1)
     process = cluster.processes["controller0"]
     process.send_signal(signal.SIGTERM)
     assert process.wait(20) == 0
@@ -179,9 +179,9 @@
 def test_restart_of_every_controller_at_once_cuts_no_stream(cluster):
     for name in cluster.names("engine"):
         cluster.set_faults(name, slow_factor=20.0)
-    before = in_flight(cluster)
+    before = run_count(cluster)
     call = Call(cluster, "stream", "gateway0", stream=True, max_tokens=30)
-    cluster.wait_for(lambda: in_flight(cluster) == before + 1)
+    cluster.wait_for(lambda: run_count(cluster) == before + 1)
     for name in cluster.names("controller"):
         cluster.kill(name)
     for name in cluster.names("controller"):
