--- a/soak/cases.py
+++ b/soak/cases.py
@@ -1,7 +1,7 @@
-"""What one run plays; seeds that once broke a promise are kept, with their causes.
+"""Soak cases, with the seeds that once violated a guarantee and their causes.
 
-A seed draws faults and callers; what the processes make of them differs from run to
-run, so a seed that passes has not shown its cause to be gone.
+A seed determines the faults and the requests, but the timing of the processes differs
+from run to run: a seed that passes does not prove that its cause is gone.
 """
 
 from dataclasses import dataclass
@@ -12,40 +12,46 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Case:
-    """Name a seed, what is drawn from it, and the cause that it showed, if any."""
+    """The parameters of one run, and the cause of its past failure, if any.
+
+    `draw` is the version of the draw, `only` restricts the kinds of faults, and faults
+    are drawn for the first `seconds` of the run.
+    """
 
     seed: int
     seconds: float
     draw: int = NEWEST_DRAW
     only: tuple[str, ...] = ()
     shape: FleetShape = FleetShape()
-    # Faults that come beside what is drawn; none is drawn in a run of no seconds.
+    # Faults in addition to the drawn ones.
     faults: tuple[Fault, ...] = ()
     cause: str = ""
 
 
-LONG_STREAMS = "the soak's own route ended streams that its callers meant to last"
-FOREIGN_ENTRY = "an entry of another writer, under an unknown key, counted as an engine"
-# It needed a busy machine, on which the soak's links stood still for a moment.
-SUSPECTED = "streams of a falsely suspected group were not woken when the doubt ended"
-OLD_PLANNER = (
-    "a planner that woke from a pause joined a member, which knew no newer fence yet, "
-    "out of a group that its successor had opened"
+LONG_STREAMS = "the route of the soak ended streams before their intended length"
+FOREIGN_ENTRY = "a foreign entry under an unknown key was taken for an engine"
+# Needs a busy machine, on which the links of the soak stall for a moment.
+FALSE_SUSPICION = (
+    "streams of a falsely suspected group were not woken when the suspicion ended"
+)
+STALE_PLANNER = (
+    "a planner that resumed after a pause ordered a member, which knew no newer fence "
+    "yet, to leave a group that the planner's successor had opened and join another"
 )
-# Open: with two groups and three requests that end their engines at once.
-SENT_TO_THE_ENDED = (
-    "sends to engines that another host had seen end, broken off after 1 ms, counted "
-    "against a bystander, which was held back in the place of the cause"
+# Unsolved: with two groups and three requests that crash their engines at once.
+BYSTANDER_BLAMED = (
+    "sends to engines that another host had seen end, aborted after 1 ms, counted "
+    "against a bystander, which was quarantined instead of the cause"
 )
-# The check was wrong: the requests went to the engine's next process.
-ASKED_BY_ANOTHER = "a backoff was counted on after its engine had started again"
-# Open: an engine with ten requests a second names a limit of one.
-SENT_BEFORE = (
-    "what hosts sent just before a limit was named and their first requests after it "
-    "fell into one window"
+# The check was wrong: the requests went to the next process of the engine.
+CHECK_IGNORED_RESTART = "the check did not end a backoff when its engine restarted"
+# Unsolved: an engine with ten requests per second announces a limit of one.
+LIMIT_WINDOW_OVERLAP = (
+    "what hosts sent just before a limit was announced and their first requests after "
+    "it fell into one window"
 )
-NEEDS = ("engine_need", "engine_shedding", "engine_restart", "node_kill")
-STOPS = ("node_stop_all", "node_stop_series", "node_stop", "reconfigure")
+LOAD_REDUCTION_KINDS = ("engine_need", "engine_shedding", "engine_restart", "node_kill")
+STOP_KINDS = ("node_stop_all", "node_stop_series", "node_stop", "reconfigure")
 REGRESSIONS = (
     Case(seed=2000, draw=2, seconds=12.0, cause=LONG_STREAMS),
     Case(seed=2001, draw=2, seconds=12.0, cause=LONG_STREAMS),
@@ -55,13 +61,25 @@
         seed=8102,
         draw=2,
         seconds=12.0,
-        cause=OLD_PLANNER,
+        cause=STALE_PLANNER,
         shape=FleetShape(nodes=6, domains=8),
     ),
     Case(seed=2046, draw=2, seconds=12.0, cause=FOREIGN_ENTRY),
     Case(seed=2048, draw=2, seconds=12.0, cause=FOREIGN_ENTRY),
-    Case(seed=4005, draw=2, seconds=12.0, cause=SUSPECTED, only=STOPS),
-    Case(seed=9100, draw=3, seconds=10.0, cause=SENT_TO_THE_ENDED),
-    Case(seed=9303, draw=4, seconds=10.0, cause=ASKED_BY_ANOTHER, only=NEEDS),
-    Case(seed=9307, draw=4, seconds=10.0, cause=SENT_BEFORE, only=NEEDS),
+    Case(seed=4005, draw=2, seconds=12.0, cause=FALSE_SUSPICION, only=STOP_KINDS),
+    Case(seed=9100, draw=3, seconds=10.0, cause=BYSTANDER_BLAMED),
+    Case(
+        seed=9303,
+        draw=4,
+        seconds=10.0,
+        cause=CHECK_IGNORED_RESTART,
+        only=LOAD_REDUCTION_KINDS,
+    ),
+    Case(
+        seed=9307,
+        draw=4,
+        seconds=10.0,
+        cause=LIMIT_WINDOW_OVERLAP,
+        only=LOAD_REDUCTION_KINDS,
+    ),
 )
--- a/soak/tests/test_callers.py
+++ b/soak/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers behave as a balancer and its clients do."""
+"""Tests that callers behave like clients behind a load balancer."""
 
 import asyncio
 import random
@@ -7,11 +7,11 @@
 from mallowpond.platform import headers as names
 from mallowpond.standins.observatory_engine import call_body
 from mallowpond.transport.http_server import Exchange, HttpRequest, HttpServer
-from soak.callers import LISTEN_SECONDS, LONG_SECONDS, Callers
-from soak.records import Ending, Kind
+from soak.callers import LONG_SECONDS, READ_GRACE_SECONDS, Callers
+from soak.records import Ending, RequestKind
 
 
-async def _answer(request: HttpRequest, exchange: Exchange) -> None:
+async def _respond(request: HttpRequest, exchange: Exchange) -> None:
     attempt = request.headers[names.ATTEMPT]
     await exchange.respond(200, call_body(attempt), ((names.ATTEMPT, attempt),))
 
@@ -19,13 +19,16 @@
 async def _run_until_one_node_is_not_ready() -> tuple[Callers, float]:
     stopped_at = float("inf")
 
-    async def tell(request: HttpRequest, exchange: Exchange) -> None:
+    async def report_readiness(request: HttpRequest, exchange: Exchange) -> None:
         await exchange.respond(200 if time.monotonic() < stopped_at else 503)
 
-    async def tell_always(request: HttpRequest, exchange: Exchange) -> None:
+    async def report_ready(request: HttpRequest, exchange: Exchange) -> None:
         await exchange.respond(200)
 
-    servers = [HttpServer(handler=h) for h in (_answer, tell, _answer, tell_always)]
+    servers = [
+        HttpServer(handler=h)
+        for h in (_respond, report_readiness, _respond, report_ready)
+    ]
     for server in servers:
         await server.start("127.0.0.1", 0)
     ports = [(servers[n].port, servers[n + 1].port) for n in (0, 2)]
@@ -40,27 +43,27 @@
 
 
 def test_open_connections_are_used_until_they_close():
-    """
-    Symptom: a node that cuts off what comes late in its stop passes every check.
-    Sequence: a node says that it is not ready; its connections stay open.
-    Cause: callers left a node, with their open connections, as soon as it said so.
+    """A node that cut off requests late in its stop passed every check.
+
+    Callers dropped their open connections as soon as the node reported that it was not
+    ready, so that no request arrived during the stop.
     """
     callers, stopped_at = asyncio.run(_run_until_one_node_is_not_ready())
     after = [r for r in callers.records if r.sent_at > stopped_at + 0.5]
     late = [r for r in after if r.node == 0]
-    # How many there are depends on how busy the machine is, their share does not: new
-    # connections go to the other node, so it falls from a half as they become kept.
+    # Their number depends on the load of the machine, their share does not: new
+    # connections go to the other node, so it falls from a half as they are reused.
     kept = [r for r in after if r.is_kept]
     assert sum(r.node == 0 for r in kept) > len(kept) / 10 > 0
     assert all(r.ending is Ending.WHOLE for r in late)
-    # New connections mostly go where the node says that it is ready.
+    # New connections mostly go to the ready node.
     new = [r for r in callers.records if not r.is_kept and r.sent_at > stopped_at + 0.5]
     assert sum(r.node == 0 for r in new) < len(new) / 4
 
 
 def test_some_streams_last_for_seconds():
     callers, _ = asyncio.run(_run_until_one_node_is_not_ready())
-    streams = [r for r in callers.records if r.kind is Kind.STREAM]
+    streams = [r for r in callers.records if r.kind is RequestKind.STREAM]
     long = [r for r in streams if r.events >= 100]
     assert 0 < len(long) < len(streams) / 8
-    assert all(r.deadline - r.sent_at > LONG_SECONDS - LISTEN_SECONDS for r in long)
+    assert all(r.deadline - r.sent_at > LONG_SECONDS - READ_GRACE_SECONDS for r in long)
