--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -13,18 +13,23 @@
 
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.emulator.engines import EmulatedGroup, EmulatedTargets
-from mallowpond.emulator.hosts import Exchange, Host, Listing, Told
+from mallowpond.emulator.hosts import (
+    DiscardingExchange,
+    EmulatedTargetSource,
+    Host,
+    PeerMessage,
+)
 from mallowpond.emulator.scenario import (
     FIRST_EVENT_SECONDS,
     MODEL,
+    ONE_WAY_SECONDS,
     PROFILE,
     ROUTE,
     SERVICE,
-    WAY_SECONDS,
     Scenario,
     SimulationResult,
 )
-from mallowpond.emulator.virtual_time import run_virtually
+from mallowpond.emulator.virtual_time import run_in_virtual_time
 from mallowpond.node.outcomes import Answered, Refusal
 from mallowpond.node.ports import CallerRequest
 from mallowpond.node.stream_work import StreamWork
@@ -55,9 +60,11 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.rng = random.Random(seed)
-        self.listing = Listing()
+        self.listing = EmulatedTargetSource()
         self.groups: dict[str, EmulatedGroup] = {}
-        self.targets = EmulatedTargets(groups=self.groups, way_seconds=WAY_SECONDS)
+        self.targets = EmulatedTargets(
+            groups=self.groups, one_way_seconds=ONE_WAY_SECONDS
+        )
         self.hosts: list[Host] = []
         self.figures = SimulationResult()
         self.serving: set[asyncio.Task[None]] = set()
@@ -76,7 +83,7 @@
             model=PROFILE.models[0],
             first_event_seconds=FIRST_EVENT_SECONDS,
         )
-        self.listing.targets_now[name] = Target(
+        self.listing.current_targets[name] = Target(
             id=name,
             service=SERVICE,
             address=f"{name}:1",
@@ -93,8 +100,8 @@
         """Close the oldest group and open an empty one, again and again."""
         while True:
             await asyncio.sleep(seconds)
-            oldest = next(iter(self.listing.targets_now))
-            del self.listing.targets_now[oldest]
+            oldest = next(iter(self.listing.current_targets))
+            del self.listing.current_targets[oldest]
             self.open_group()
             for host in list(self.hosts):
                 await host.directory.refresh()
@@ -131,11 +138,11 @@
         """Return the host that counts places for all, None while none is known."""
         return self.hosts[0].name if self.hosts else None
 
-    def deliver(self, node: str, message: Told) -> None:
+    def deliver(self, node: str, message: PeerMessage) -> None:
         """Hand a message to a host that is up."""
         for host in self.hosts:
             if host.name == node:
-                host.datagrams.hear(message)
+                host.datagrams.on_message(message)
 
     # -- news ----------------------------------------------------------------
 
@@ -237,7 +244,7 @@
                 workspace="w",
                 priority=1,
                 deadline=deadline,
-                exchange=Exchange(),
+                exchange=DiscardingExchange(),
             )
             outcome = await self.rng.choice(self.hosts).streams.serve(work)
             match outcome:
@@ -271,7 +278,7 @@
             await asyncio.sleep(LOOK_SECONDS)
             if asyncio.get_running_loop().time() < LEAD_SECONDS:
                 continue
-            open_groups = [self.groups[name] for name in self.listing.targets_now]
+            open_groups = [self.groups[name] for name in self.listing.current_targets]
             beyond = sum(group.beyond for group in open_groups)
             free = sum(group.free for group in open_groups)
             self.figures.excess_seconds += beyond * LOOK_SECONDS
@@ -286,8 +293,8 @@
         works = [self.tell(), self.look()]
         if scenario.restart_at is not None:
             works.append(self.restart())
-        if scenario.replaced_every is not None:
-            works.append(self.replace_groups(scenario.replaced_every))
+        if scenario.replacement_interval is not None:
+            works.append(self.replace_groups(scenario.replacement_interval))
         async with AsyncExitStack() as stack:
             for work in works:
                 stack.push_async_callback(cancel_task, asyncio.ensure_future(work))
@@ -299,4 +306,4 @@
 
 def simulate(scenario: Scenario, seed: int) -> SimulationResult:
     """Play a scenario with a seed."""
-    return run_virtually(Fleet(scenario, seed).simulate())
+    return run_in_virtual_time(Fleet(scenario, seed).simulate())
