--- a/mallowpond/programs/cli.py
+++ b/mallowpond/programs/cli.py
@@ -54,8 +54,8 @@
 ConfigFile = Annotated[Path, typer.Option("--config", help="Settings in TOML.")]
 
 
-def _print_version(wanted: bool) -> None:
-    if wanted:
+def _print_version(requested: bool) -> None:
+    if requested:
         typer.echo(f"mallowpond {__version__}")
         raise typer.Exit
 
--- a/mallowpond/programs/demo.py
+++ b/mallowpond/programs/demo.py
@@ -77,7 +77,7 @@
     if key is not None:
         headers += [("idempotency-key", key), ("mallowpond-kind", "alert-note")]
     before = _started_requests(site)
-    answer = await http.fetch(
+    response = await http.fetch(
         site.gateway_address,
         "POST",
         "/v1/completions",
@@ -85,9 +85,9 @@
         body=json.dumps(fields | {"stream": stream}).encode(),
         timeout=20.0,
     )
-    if isinstance(answer, CallFailed):
-        raise DemoFailed(f"{title}: {answer.reason}")
-    status, body = answer
+    if isinstance(response, CallFailed):
+        raise DemoFailed(f"{title}: {response.reason}")
+    status, body = response
     if status != 200:
         raise DemoFailed(f"{title}: status {status}: {body.decode()}")
     (group,) = {
--- a/mallowpond/programs/operator_commands.py
+++ b/mallowpond/programs/operator_commands.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Done:
-    """The controller accepted the call; `document` is its answer, decoded from JSON."""
+    """The controller accepted the call; `document` is its decoded JSON response."""
 
     document: Any
 
@@ -108,14 +108,14 @@
     address = controller.removeprefix("http://").rstrip("/")
     http = HttpClient(connect_seconds=3.0)
     try:
-        answer = await http.fetch(
+        response = await http.fetch(
             address, method, target, body=body, timeout=APPLY_SECONDS
         )
     except ValueError:
         return Unreachable(reason=f"{controller!r} is not IP:PORT")
     finally:
         await http.close()
-    match answer:
+    match response:
         case CallFailed(reason=reason):
             return Unreachable(reason=reason)
         case (200, data):
--- a/mallowpond/protocol/peer.py
+++ b/mallowpond/protocol/peer.py
@@ -16,7 +16,14 @@
 
 
 class ClaimVerdict(str, Enum):
-    """Result of a `ClaimAsk`, `FinishAsk` or `VoidAsk`."""
+    """Result of a `ClaimAsk`, `FinishAsk` or `VoidAsk`.
+
+    With GRANTED the attempt may run; with SETTLED a finish or void needs no further
+    change; WITHDRAWN means that the attempt was voided. IN_PROGRESS, ALREADY_RUN and
+    OUTCOME_UNKNOWN describe an earlier attempt with the same key. STORE_UNAVAILABLE
+    means that nothing was claimed, CLAIM_UNKNOWN that the claim may have been stored:
+    the attempt must not run and must be voided.
+    """
 
     GRANTED = "granted"
     SETTLED = "settled"
@@ -70,8 +77,8 @@
     were observed healthy at most `seen_age` seconds ago, except for the `exceptions`:
     an age for every group in every answer would exceed the budget for control traffic.
     `held` holds the crash records of requests that are or were in quarantine because
-    targets end under them, and `held_version` is its version. `leaving` says that the
-    controller is about to stop.
+    targets end under them, and `held_version` is its version. `leaving` tells the gateway
+    to change to another controller.
     """
 
     sequence: int
--- a/mallowpond/transport/engine_client.py
+++ b/mallowpond/transport/engine_client.py
@@ -22,12 +22,12 @@
 
     async def order(self, address: str, order: Order) -> OrderResult:
         """Send one order; `OrderUnknown` means that it may have arrived."""
-        answer = await self._http.fetch(
+        response = await self._http.fetch(
             address, "POST", "/engine/order", body=to_json(order), timeout=self._timeout
         )
-        match answer:
-            case CallFailed() if answer.may_have_sent:
-                return OrderUnknown(reason=answer.reason)
+        match response:
+            case CallFailed() if response.may_have_sent:
+                return OrderUnknown(reason=response.reason)
             case CallFailed(reason=reason):
                 return OrderRefused(reason=reason)
             case (200, _):
@@ -39,10 +39,10 @@
 
     async def status(self, address: str) -> EngineStatus | Unavailable:
         """Return an engine's status."""
-        answer = await self._http.fetch(
+        response = await self._http.fetch(
             address, "GET", "/engine/status", timeout=self._timeout
         )
-        match answer:
+        match response:
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
             case (200, body):
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -27,7 +27,7 @@
 
 
 class FailurePhase(str, Enum):
-    """Phase in which a call failed."""
+    """Phase in which a call failed; `BEFORE_HEAD` is the wait for the response head."""
 
     CONNECT = "connect"
     CLOSED_BEFORE_SEND = "closed_before_send"
--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -25,7 +25,7 @@
     """Limits on the memory and time that one client may take.
 
     `idle_seconds` bounds the wait for a request's first byte, `receive_seconds` the
-    time from there to its end, `send_seconds` each wait for a full send buffer.
+    time from there to its end, `send_seconds` each wait for the send buffer to drain.
     """
 
     header_bytes: int = MAX_HEADER_BYTES
@@ -194,7 +194,7 @@
         return bool(self._busy or self._flushing)
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Apply new limits to connections and reads from now on."""
+        """Apply new limits from now on; open connections keep their limit in h11."""
         self._limits = limits
 
     async def start(
--- a/mallowpond/transport/table_client.py
+++ b/mallowpond/transport/table_client.py
@@ -45,18 +45,18 @@
 
         `Unavailable` means that it was not applied, `Unknown` that it may have been.
         """
-        answer = await self._http.fetch(
+        response = await self._http.fetch(
             self._address,
             "POST",
             "/table/commit",
             body=to_json(transaction),
             timeout=self._timeout,
         )
-        match answer:
-            case CallFailed() if answer.may_have_sent:
-                return Unknown(reason=answer.reason)
+        match response:
+            case CallFailed() if response.may_have_sent:
+                return Unknown(reason=response.reason)
             case CallFailed():
-                return Unavailable(reason=answer.reason)
+                return Unavailable(reason=response.reason)
             case (200, body):
                 return from_json(body, Committed)
             case (409, body):
@@ -75,10 +75,10 @@
         return from_json(data, tuple[Host, ...])
 
     async def _get(self, target: str) -> bytes | Unavailable:
-        answer = await self._http.fetch(
+        response = await self._http.fetch(
             self._address, "GET", target, timeout=self._timeout
         )
-        match answer:
+        match response:
             case CallFailed(reason=reason):
                 return Unavailable(reason=reason)
             case (200, body):
