--- a/mallowpond/protocol/peer.py
+++ b/mallowpond/protocol/peer.py
@@ -77,8 +77,8 @@
     were observed healthy at most `seen_age` seconds ago, except for the `exceptions`:
     an age for every group in every answer would exceed the budget for control traffic.
     `held` holds the crash records of requests that are or were in quarantine because
-    targets end under them, and `held_version` is its version. `leaving` tells the gateway
-    to change to another controller.
+    targets end under them, and `held_version` is its version. `leaving` tells the
+    gateway to change to another controller.
     """
 
     sequence: int
--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -79,11 +79,11 @@
     previous_requests: int = 0
     started: bool = field(default=False, init=False)
     finished: bool = field(default=False, init=False)
-    _close_after: bool = field(default=False, init=False)
+    _announces_close: bool = field(default=False, init=False)
 
     def close_after(self) -> None:
         """Announce in the response that the connection closes after it."""
-        self._close_after = True
+        self._announces_close = True
 
     async def respond(
         self,
@@ -120,7 +120,7 @@
 
     def _head(self, status: int, headers: Headers) -> bytes:
         self.started = True
-        if self._close_after:
+        if self._announces_close:
             headers += (("connection", "close"),)
         try:
             reason = HTTPStatus(status).phrase
