--- a/bench/formation.py
+++ b/bench/formation.py
@@ -93,11 +93,12 @@
     ),
 )
 DATA_CENTRES = "abc"
-DOMAINS_EACH = 2
+DOMAINS_PER_DATA_CENTRE = 2
 TICK_SECONDS = 0.1
 WARM_UP_SECONDS = 12.0
 DAY_SECONDS = 44.0
-# Time from the death of a member until the planner detects it, in seconds.
+# Time from the death of a member until the planner detects it, and until the engine
+# list drops it, in seconds.
 DETECTION_SECONDS = 0.8
 UNLISTED_SECONDS = 3.6
 STALL_SECONDS = 4.0
@@ -148,10 +149,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """Mean served share by model, mean number of groups across domains, and counts."""
+    """Result of one day.
+
+    `served` is the mean share of the needed capacity by model, `cross_domain_groups`
+    the mean number of open groups that span domains.
+    """
 
     served: dict[str, float]
-    far: float
+    cross_domain_groups: float
     loads: int
     orders: int
 
@@ -183,11 +188,11 @@
         rng = random.Random(self.seed)
         domain = self.site.domain_size
         for data_centre in DATA_CENTRES:
-            for number in range(DOMAINS_EACH * domain):
+            for number in range(DOMAINS_PER_DATA_CENTRE * domain):
                 self._add_engine(f"{data_centre}{number // domain}")
         self._draw_events(rng, DATA_CENTRES)
         served = defaultdict(list)
-        far = []
+        cross_domain_groups = []
         while self.now < DAY_SECONDS:
             while self.events and self.events[0][0] <= self.now:
                 _, kind, where = self.events.pop(0)
@@ -197,12 +202,12 @@
             if self.now >= 0:
                 for name, need in self.site.needed.items():
                     served[name].append(min(1.0, capacity[name] / need))
-                far.append(capacity["far"])
+                cross_domain_groups.append(capacity["far"])
             self._plan(capacity)
             self.now += TICK_SECONDS
         return Result(
             served={name: mean(values) for name, values in served.items()},
-            far=mean(far),
+            cross_domain_groups=mean(cross_domain_groups),
             loads=self.loads,
             orders=self.orders,
         )
@@ -333,8 +338,8 @@
         results = {"large": 0.0, "small": 0.0, "far": 0.0, "open": defaultdict(int)}
         for group in self._groups().values():
             if group.phase is GroupPhase.OPEN and self._is_whole(group):
-                far = self.site.profile.cross_domain_factor
-                results[group.model] += 1.0 / far if group.spans_domains else 1.0
+                slowdown = self.site.profile.cross_domain_factor
+                results[group.model] += 1.0 / slowdown if group.spans_domains else 1.0
                 results["far"] += group.spans_domains
                 results["open"][group.model] += 1
         return results
@@ -475,7 +480,7 @@
                 pattern.name,
                 round(mean(r.served["large"] for r in results), 3),
                 round(mean(r.served["small"] for r in results), 3),
-                round(mean(r.far for r in results), 2),
+                round(mean(r.cross_domain_groups for r in results), 2),
                 round(mean(r.loads for r in results), 1),
                 round(mean(r.orders for r in results)),
             )
--- a/bench/planning.py
+++ b/bench/planning.py
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fleet:
-    """Hosts, their deployments, and the mean seconds between and of failures."""
+    """Hosts, their deployments, and the mean time between failures and of outages.
+
+    `loading_slots` is the number of hosts that can load weights at once.
+    """
 
     domains: int
     hosts_per_domain: int
@@ -76,7 +79,7 @@
     def run(self) -> Result:
         """Simulate all events and return the result."""
         self._draw_events()
-        now = downtime = large_downtime = idle = bound = 0.0
+        now = downtime = large_downtime = stranded_total = bound = 0.0
         plans = 0
         while self.events and self.events[0][0] <= self.fleet.seconds:
             at = self.events[0][0]
@@ -85,7 +88,7 @@
             span = max(0.0, at - max(now, WARM_UP_SECONDS))
             downtime += span * self._missing(self.fleet.deployments)
             large_downtime += span * self._missing(self.fleet.deployments[:1])
-            idle += span * self._stranded()
+            stranded_total += span * self._stranded()
             bound += span * self._least_missing()
             now = at
             while self.events and self.events[0][0] == at:
@@ -95,7 +98,7 @@
         return Result(
             downtime=downtime,
             large_downtime=large_downtime,
-            stranded=idle,
+            stranded=stranded_total,
             bound=bound,
             plans=plans,
         )
@@ -159,7 +162,7 @@
     def _plan_until_stable(self, now: float) -> int:
         for count in range(1, 6):
             actions = self.planner(
-                hosts=self._bound_hosts(),
+                hosts=self._hosts_with_groups(),
                 deployments=self.fleet.deployments,
                 groups=list(self.groups.values()),
             )
@@ -169,7 +172,7 @@
                 return count
         return count
 
-    def _bound_hosts(self) -> list[PlanHost]:
+    def _hosts_with_groups(self) -> list[PlanHost]:
         bound = {h: g.name for g in self.groups.values() for h in g.hosts}
         return [replace(h, group=bound.get(h.name)) for h in self.hosts.values()]
 
@@ -225,10 +228,10 @@
             free[host.domain] = free.get(host.domain, 0) + host.usable
         large, *small = self.fleet.deployments
         size = large.hosts_per_group
-        able = min(large.replicas, sum(count // size for count in free.values()))
+        max_large = min(large.replicas, sum(count // size for count in free.values()))
         singles = sum(d.replicas for d in small)
         total = sum(free.values())
-        formed = max(n + min(singles, total - n * size) for n in range(able + 1))
+        formed = max(n + min(singles, total - n * size) for n in range(max_large + 1))
         return large.replicas + singles - formed
 
 
@@ -269,7 +272,7 @@
     )
 
 
-def current_site(weights: Weights, replicas: int, seconds: float) -> Fleet:
+def current_fleet(weights: Weights, replicas: int, seconds: float) -> Fleet:
     """Return a fleet of today's size: 50 engines, a large and a small model."""
     return Fleet(
         domains=5,
@@ -283,7 +286,7 @@
     )
 
 
-def two_year_site(weights: Weights, replicas: int, seconds: float) -> Fleet:
+def two_year_fleet(weights: Weights, replicas: int, seconds: float) -> Fleet:
     """Return a fleet of the size that is expected in two years."""
     return Fleet(
         domains=134,
@@ -316,7 +319,7 @@
     ]
     rows = []
     for name, planner, weights in cases:
-        fleet = current_site(weights, replicas, seconds)
+        fleet = current_fleet(weights, replicas, seconds)
         results = [Replay(fleet=fleet, planner=planner, seed=s).run() for s in seeds]
         rows.append((name, *_totals(results)))
     return Report(title=title, columns=_COLUMNS, rows=tuple(rows))
@@ -346,7 +349,7 @@
     rows = []
     planners = (("dissolve, first fit", dissolve_and_first_fit), ("ours", plan))
     for name, planner in planners:
-        large = two_year_site(SKYFALL, 130, WARM_UP_SECONDS + 3600.0)
+        large = two_year_fleet(SKYFALL, 130, WARM_UP_SECONDS + 3600.0)
         fleet = replace(large, domains=34, loading_slots=64)
         result = Replay(fleet=fleet, planner=planner, seed=1).run()
         rows.append((name, *_totals([result])))
@@ -357,7 +360,7 @@
 def _planner_time(smallest: bool) -> Report:
     rows = []
     for domains in (2, 8) if smallest else (2, 13, 34, 134):
-        fleet = replace(two_year_site(SKYFALL, domains * 4 - 1, 60.0), domains=domains)
+        fleet = replace(two_year_fleet(SKYFALL, domains * 4 - 1, 60.0), domains=domains)
         replay = Replay(fleet=fleet, planner=plan, seed=1)
         replay.run()
         name = next(iter(replay.groups))
@@ -365,7 +368,7 @@
             replay.groups[name], lost=frozenset(replay.groups[name].hosts[:1])
         )
         replay.groups[name] = broken
-        hosts, groups = replay._bound_hosts(), list(replay.groups.values())
+        hosts, groups = replay._hosts_with_groups(), list(replay.groups.values())
         took = best_seconds(
             lambda h=hosts, g=groups, f=fleet: plan(
                 hosts=h, deployments=f.deployments, groups=g
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -158,8 +158,8 @@
                 await self._disturb_engine(fault, self.fleet.engines[number])
             case _:
                 await self._disturb_store(fault, number)
-        is_of_one = fault.kind.startswith("node") or fault.kind == "store_link"
-        self._record_disturbance(fault.kind, began, number if is_of_one else None)
+        is_single_node = fault.kind.startswith("node") or fault.kind == "store_link"
+        self._record_disturbance(fault.kind, began, number if is_single_node else None)
 
     async def _send_fatal_request(self, fault: Fault) -> None:
         kinds = list(RequestKind)
@@ -192,8 +192,8 @@
                 engine.signal(signal.SIGKILL)
                 await asyncio.sleep(SETTLE_SECONDS)
             case "engine_kill_pair":
-                for member in (engine, engines[fault.draw // 7 % len(engines)]):
-                    member.signal(signal.SIGKILL)
+                for managed in (engine, engines[fault.draw // 7 % len(engines)]):
+                    managed.signal(signal.SIGKILL)
                 await asyncio.sleep(SETTLE_SECONDS)
             case "engine_stop":
                 self.fleet.stop(engine)
@@ -206,12 +206,12 @@
             case "engine_restart":
                 await self._restart(self._choose_plain_or_grouped(fault.draw))
             case "engine_restart_twice":
-                twice = self._choose_plain_or_grouped(fault.draw)
-                await self.fleet.restart(twice)
+                chosen = self._choose_plain_or_grouped(fault.draw)
+                await self.fleet.restart(chosen)
                 await asyncio.sleep(fault.seconds / 4.0)
-                await self._restart(twice)
+                await self._restart(chosen)
             case "engine_restart_forming":
-                await self._restart_forming(fault.draw)
+                await self._restart_while_forming(fault.draw)
             case "engine_restart_unheard":
                 await self._restart_while_cut_off(fault)
             case "engine_stop_head_or_plain":
@@ -260,7 +260,7 @@
         await self.fleet.restart(engine)
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _restart_forming(self, draw: int) -> None:
+    async def _restart_while_forming(self, draw: int) -> None:
         """Kill an engine of a group, and restart one while it joins the next group."""
         fleet = self.fleet
         fleet.engines[draw % fleet.grouped_engine_count].signal(signal.SIGKILL)
@@ -305,14 +305,17 @@
         choice = plain if draw % 2 or not heads else heads
         return choice[draw // 2 % len(choice)]
 
-    async def _reduce_load(self, fault: Fault, number: signal.Signals) -> None:
-        """Signal a head or a plain engine to ask for fewer requests for some time."""
+    async def _reduce_load(self, fault: Fault, signal_number: signal.Signals) -> None:
+        """Make a head or a plain engine ask for fewer requests for some time.
+
+        The first signal turns this on, the second one off.
+        """
         engine = await self._choose_head_or_plain(fault.draw)
         process = engine.process
-        engine.signal(number)
+        engine.signal(signal_number)
         await asyncio.sleep(MIN_REDUCED_LOAD_SECONDS + fault.seconds)
         if engine.process is process:
-            engine.signal(number)
+            engine.signal(signal_number)
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def _write_foreign_entry(
@@ -331,11 +334,11 @@
         values = foreign_values(template)
         value = values[fault.draw // 5 % len(values)]
         seconds = MIN_FOREIGN_SECONDS + fault.seconds
-        asked_at = time.monotonic()
+        requested_at = time.monotonic()
         if await self.fleet.write_foreign(key, value, seconds):
             log.info("soak: foreign entry", key=key, value=value)
             entry = ForeignEntry(
-                key=key, written_at=time.monotonic(), until=asked_at + seconds
+                key=key, written_at=time.monotonic(), until=requested_at + seconds
             )
             self.foreign.append(entry)
             await asyncio.sleep(seconds)
@@ -370,13 +373,13 @@
         numbers = range(len(self.fleet.nodes))
         await asyncio.gather(*(stop(number) for number in numbers))
 
-    async def _pause(self, member: ManagedProcess, seconds: float) -> None:
-        member.signal(signal.SIGSTOP)
+    async def _pause(self, managed: ManagedProcess, seconds: float) -> None:
+        managed.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
-        member.signal(signal.SIGCONT)
+        managed.signal(signal.SIGCONT)
 
-    async def _wait_until_restarted(self, member: ManagedProcess) -> None:
-        while member.stopping_since is not None and member.should_run:
+    async def _wait_until_restarted(self, managed: ManagedProcess) -> None:
+        while managed.stopping_since is not None and managed.should_run:
             await asyncio.sleep(0.1)
         await asyncio.sleep(SETTLE_SECONDS)
 
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -133,22 +133,22 @@
             await self._add_engine(number)
         for number in range(self.shape.nodes):
             await self._add_node(number)
-        for member in (*self.engines, *self.nodes):
-            member.start()
+        for managed in (*self.engines, *self.nodes):
+            managed.start()
         await self._wait_for(self._is_serving, "open groups")
 
     async def close(self) -> None:
         """Kill the processes of this fleet and close the proxies."""
-        members = [*self.nodes, *self.engines]
+        processes = [*self.nodes, *self.engines]
         if self._store is not None:
-            members.append(self._store)
-        for member in members:
-            member.should_run = False
-            member.signal(signal.SIGCONT)
-            member.signal(signal.SIGKILL)
-        for member in members:
-            if member.process is not None:
-                member.process.wait()
+            processes.append(self._store)
+        for managed in processes:
+            managed.should_run = False
+            managed.signal(signal.SIGCONT)
+            managed.signal(signal.SIGKILL)
+        for managed in processes:
+            if managed.process is not None:
+                managed.process.wait()
         await self._stack.aclose()
 
     async def run_restarts(self) -> None:
@@ -158,14 +158,14 @@
         """
         while True:
             await asyncio.sleep(RESTART_SECONDS)
-            for member in (*self.nodes, *self.engines):
-                since = member.stopping_since
+            for managed in (*self.nodes, *self.engines):
+                since = managed.stopping_since
                 if since is not None and time.monotonic() - since > GRACE_SECONDS:
-                    member.signal(signal.SIGKILL)
-                if member.should_run and not member.is_running:
-                    if member.options is not None:
-                        self._write_options(member, {"id": new_engine_id()})
-                    member.start()
+                    managed.signal(signal.SIGKILL)
+                if managed.should_run and not managed.is_running:
+                    if managed.options is not None:
+                        self._write_options(managed, {"id": new_engine_id()})
+                    managed.start()
 
     async def restart(self, engine: ManagedProcess) -> None:
         """Kill an engine and restart it at once with the same id."""
@@ -184,11 +184,11 @@
         """Return the number of engines that may join groups; plain ones follow."""
         return self.shape.domains * self.shape.engines_per_domain
 
-    def stop(self, member: ManagedProcess) -> None:
+    def stop(self, managed: ManagedProcess) -> None:
         """Send SIGTERM to a process, once."""
-        if member.stopping_since is None:
-            member.stopping_since = time.monotonic()
-            member.signal(signal.SIGTERM)
+        if managed.stopping_since is None:
+            managed.stopping_since = time.monotonic()
+            managed.signal(signal.SIGTERM)
 
     async def configure(self) -> bool:
         """Write a configuration with the active keys; return whether it is accepted."""
@@ -255,9 +255,9 @@
             options["unannounced_seconds"] = self.shape.unannounced_seconds
         if not is_plain:
             options["models"] = {"m": LOAD_SECONDS}
-        member = self._new_standin(name, "observatory-engine", options)
-        member.options = options
-        self.engines.append(member)
+        managed = self._new_standin(name, "observatory-engine", options)
+        managed.options = options
+        self.engines.append(managed)
         self.engine_links.append(link)
         self.engine_store_links.append(store_link)
 
@@ -293,7 +293,7 @@
         self, name: str, program: str, options: dict[str, Any]
     ) -> ManagedProcess:
         path = self.folder / f"{name}.toml"
-        path.write_text(_toml(options))
+        path.write_text(_format_toml(options))
         return ManagedProcess(
             name=name,
             arguments=("standin", program, "--config", str(path)),
@@ -304,10 +304,10 @@
     def _write_options(self, engine: ManagedProcess, change: dict[str, Any]) -> None:
         engine.options = {**(engine.options or {}), **change}
         path = self.folder / f"{engine.name}.toml"
-        path.write_text(_toml(engine.options))
+        path.write_text(_format_toml(engine.options))
 
 
-def _toml(options: dict[str, Any]) -> str:
+def _format_toml(options: dict[str, Any]) -> str:
     lines = [f"{k} = {json.dumps(v)}" for k, v in options.items() if k != "models"]
     if "models" in options:
         lines.append("[models]")
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -12,6 +12,7 @@
 from soak.records import CallerRecord, Ending, JournalEntry, RequestKind, Run
 
 GROUP_SIZE = 3
+# Limits until a revoked key and a draining engine get no more requests, in seconds.
 REVOKE_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
 # Time that links, timers and a busy machine may add to a limit, in seconds.
@@ -112,6 +113,7 @@
 
 
 def _check_answers(run: Run) -> Iterator[str]:
+    """Find answers with events that are missing, repeated or of another request."""
     for record in run.callers:
         if record.status != 200:
             continue
@@ -129,6 +131,7 @@
 
 
 def _check_at_most_once(run: Run) -> Iterator[str]:
+    """Find requests of kind ONCE that ran more than once."""
     once = {r.attempt for r in run.callers if r.kind is RequestKind.ONCE}
     counts = Counter(entry.values["attempt"] for entry in _run_entries(run))
     for attempt in once:
@@ -137,6 +140,7 @@
 
 
 def _check_refusals(run: Run) -> Iterator[str]:
+    """Find requests of kind ONCE that ran although they were refused."""
     ran = {entry.values["attempt"] for entry in _run_entries(run)}
     for record in run.callers:
         refused = record.status in NOT_RUN_STATUSES
@@ -145,6 +149,7 @@
 
 
 def _check_workspaces(run: Run) -> Iterator[str]:
+    """Find requests that ran for a wrong workspace or with their API key."""
     by_attempt = {r.attempt: r for r in run.callers}
     for entry in _run_entries(run):
         record = by_attempt.get(entry.values["attempt"])
@@ -157,6 +162,7 @@
 
 
 def _check_deadlines(run: Run) -> Iterator[str]:
+    """Find requests that ended long after their deadline."""
     for record in run.callers:
         end = record.deadline + OVERDUE_SECONDS
         is_held = record.ending is Ending.HELD or record.ended_at > end
@@ -167,9 +173,10 @@
 
 
 def _check_revoked_keys(run: Run) -> Iterator[str]:
-    sent = {r.attempt: r for r in run.callers}
+    """Find requests that ran although their API key was revoked."""
+    by_attempt = {r.attempt: r for r in run.callers}
     for entry in _run_entries(run):
-        record = sent.get(entry.values["attempt"])
+        record = by_attempt.get(entry.values["attempt"])
         for revocation in run.revocations:
             begins = revocation.accepted_at + REVOKE_SECONDS
             if record is None or record.key != revocation.key:
@@ -179,6 +186,7 @@
 
 
 def _check_complete_groups(run: Run) -> Iterator[str]:
+    """Find requests that ran in a group of which a member was not ready."""
     ready: set[tuple[str, tuple[str, int]]] = set()
     for entry in run.notes:
         if entry.event == "state" and entry.values["state"] == "ready":
@@ -192,6 +200,7 @@
 
 
 def _check_single_group(run: Run) -> Iterator[str]:
+    """Find engines that left a serving group of a live head for another group."""
     head_states: dict[tuple[str, int], tuple[str, str]] = {}
     for entry in run.notes:
         if entry.event == "state" and entry.engine == entry.values["members"][0]:
@@ -222,7 +231,8 @@
 
 
 def _check_draining_targets(run: Run) -> Iterator[str]:
-    sent = {r.attempt: r for r in run.callers}
+    """Find requests to an engine long after its draining was accepted."""
+    by_attempt = {r.attempt: r for r in run.callers}
     accepted: dict[str, float] = {}
     for entry in run.notes:
         if entry.event == "draining accepted":
@@ -232,13 +242,13 @@
         since = accepted.get(entry.engine)
         if entry.event != "run" or since is None:
             continue
-        record = sent.get(entry.values["attempt"])
+        record = by_attempt.get(entry.values["attempt"])
         is_late = entry.at > since + DRAIN_SECONDS + SLACK_SECONDS
-        calm_from = since - RECOVERY_SECONDS
+        undisturbed_from = since - RECOVERY_SECONDS
         if (
             record
             and is_late
-            and _is_node_undisturbed(run, record.node, calm_from, entry.at)
+            and _is_node_undisturbed(run, record.node, undisturbed_from, entry.at)
         ):
             yield f"{record.attempt}: sent to an engine that leaves"
 
@@ -265,6 +275,7 @@
 
 
 def _check_foreign_entries(run: Run) -> Iterator[str]:
+    """Find requests to an engine whose entry was replaced by another writer."""
     for entry in _run_entries(run):
         for foreign in run.foreign:
             since = foreign.written_at + PROPAGATION_SECONDS
@@ -280,9 +291,11 @@
     for record in run.callers:
         if record.status == 200 and record.ending is Ending.WHOLE:
             continue
-        is_near = any(d.began_at < record.sent_at < d.ended_at + 1.0 for d in changes)
+        is_during_change = any(
+            d.began_at < record.sent_at < d.ended_at + 1.0 for d in changes
+        )
         start = record.sent_at - FULL_RECOVERY_SECONDS
-        if is_near and _is_undisturbed(run, start, record.ended_at):
+        if is_during_change and _is_undisturbed(run, start, record.ended_at):
             yield f"{record.attempt}: not served beside an entry of no engine"
 
 
@@ -297,27 +310,30 @@
 
 def _check_containment(run: Run) -> Iterator[str]:
     """Find requests that still reach engines long after they crashed several."""
-    sent = {record.attempt: record for record in run.callers}
+    by_attempt = {record.attempt: record for record in run.callers}
     crash_times: dict[str, list[float]] = defaultdict(list)
     for entry in run.notes:
         if entry.event == "crash":
-            crash_times[sent[entry.values["attempt"]].content].append(entry.at)
+            crash_times[by_attempt[entry.values["attempt"]].content].append(entry.at)
     for content, times in crash_times.items():
         if len(times) < FATAL_CRASHES:
             continue
         since = sorted(times)[FATAL_CRASHES - 1] + RECOVERY_SECONDS
-        again = {
+        late_sends = {
             record.attempt
             for record in (
-                sent.get(entry.values["attempt"]) for entry in _run_entries(run)
+                by_attempt.get(entry.values["attempt"]) for entry in _run_entries(run)
             )
             if record is not None
             and record.content == content
             and record.sent_at > since
             and not _was_disturbed(run, record.node, record.sent_at)
         }
-        if len(again) > MAX_FATAL_SENDS:
-            yield f"{content}: ended {len(times)} engines, sent {len(again)} times more"
+        if len(late_sends) > MAX_FATAL_SENDS:
+            yield (
+                f"{content}: ended {len(times)} engines, "
+                f"sent {len(late_sends)} times more"
+            )
 
 
 def _check_rate_limits(run: Run) -> Iterator[str]:
@@ -393,7 +409,7 @@
 
 def _check_announced_stops(run: Run) -> Iterator[str]:
     """Find requests from a node to an engine whose answers announced its stop."""
-    sent = {record.attempt: record for record in run.callers}
+    by_attempt = {record.attempt: record for record in run.callers}
     leaving: set[str] = set()
     first_seen: dict[tuple[str, int], float] = {}
     for entry in run.notes:
@@ -402,7 +418,7 @@
         if entry.event == "start":
             leaving.discard(entry.engine)
             first_seen = {k: at for k, at in first_seen.items() if k[0] != entry.engine}
-        record = sent.get(entry.values.get("attempt", ""))
+        record = by_attempt.get(entry.values.get("attempt", ""))
         if entry.event != "arrival" or record is None or entry.engine not in leaving:
             continue
         since = first_seen.setdefault(
@@ -434,19 +450,25 @@
         if any(r.status == 200 and r.ending is Ending.WHOLE for r in records):
             continue
         start, end = records[0].sent_at, records[-1].ended_at
-        is_beside = any(d.began_at < start and end < d.ended_at for d in fatal)
-        is_alone = not _is_disturbed(
+        is_during_fatal = any(d.began_at < start and end < d.ended_at for d in fatal)
+        is_otherwise_undisturbed = not _is_disturbed(
             run,
             start - FULL_RECOVERY_SECONDS,
             end,
             except_for=(FATAL_KIND, *NO_EFFECT_KINDS),
         )
         is_fatal = content.startswith(FATAL_BODY.decode())
-        if len(records) > 1 and is_beside and is_alone and not is_fatal:
+        if (
+            len(records) > 1
+            and is_during_fatal
+            and is_otherwise_undisturbed
+            and not is_fatal
+        ):
             yield f"{content}: asked {len(records)} times {BYSTANDER_TEXT}"
 
 
 def _check_graceful_stops(run: Run) -> Iterator[str]:
+    """Find answers that a planned stop of their node cut off."""
     ran = {entry.values["attempt"] for entry in _run_entries(run)}
     stops = [d for d in run.disturbances if d.kind == "node_stop"]
     by_node: dict[int, list[float]] = defaultdict(list)
@@ -459,11 +481,11 @@
             # The deadline ended this request, not the stop.
             continue
         span = record.sent_at - RECOVERY_SECONDS, record.ended_at
-        is_near = any(
+        is_after_stop = any(
             at - SLACK_SECONDS < record.ended_at < at + STOP_SECONDS
             for at in by_node[record.node]
         )
-        if record.attempt in ran and is_near and _is_without_cuts(run, *span):
+        if record.attempt in ran and is_after_stop and _is_without_cuts(run, *span):
             yield f"{record.attempt}: cut off by a planned stop"
 
 
--- a/soak/records.py
+++ b/soak/records.py
@@ -107,8 +107,8 @@
 
 def write_run(run: Run, path: Path) -> None:
     """Write the records of a failed run, without the journals, as JSON."""
-    kept = {name: value for name, value in asdict(run).items() if name != "notes"}
-    path.write_text(json.dumps(kept, indent=1, default=repr))
+    fields = {name: value for name, value in asdict(run).items() if name != "notes"}
+    path.write_text(json.dumps(fields, indent=1, default=repr))
 
 
 def read_journals(folder: Path) -> tuple[JournalEntry, ...]:
@@ -116,14 +116,14 @@
 
     Skips lines that are not JSON: a killed engine may leave its last one incomplete.
     """
-    notes = []
+    entries = []
     for path in folder.glob("*.journal"):
         for line in path.read_text().splitlines():
             try:
                 values = json.loads(line)
             except ValueError:
                 continue
-            notes.append(
+            entries.append(
                 JournalEntry(
                     at=values.pop("at"),
                     engine=values.pop("engine"),
@@ -131,4 +131,4 @@
                     values=values,
                 )
             )
-    return tuple(sorted(notes, key=lambda note: note.at))
+    return tuple(sorted(entries, key=lambda entry: entry.at))
--- a/soak/tests/test_judge.py
+++ b/soak/tests/test_judge.py
@@ -123,7 +123,7 @@
     return record(RequestKind.AGAIN, content="c", **times, **more)
 
 
-KEPT = [
+VALID_RUNS = [
     # Sent until the hosts know that it crashes engines, and a few times after.
     fatal_run(10.0, 11.0, 12.0, 12.5, 13.0, 14.0, 15.0, 20.0, 20.1, 20.2),
     fatal_run(10.0, 11.0, 20.0, 20.1, 20.2),
@@ -192,7 +192,7 @@
     run_of(record(**REFUSED), disturbances=(NO_ENGINE, KILLED)),
     run_of(notes=[entry("start", 1.0, "e9"), entry("misdirected", wanted="e9")]),
 ]
-BROKEN = [
+VIOLATIONS = [
     ("4 times more", fatal_run(10.0, 11.0, 12.0, *(20.0 + n / 10 for n in range(4)))),
     (
         "beside a fatal request",
@@ -283,12 +283,12 @@
 ]
 
 
-@pytest.mark.parametrize("run", KEPT)
+@pytest.mark.parametrize("run", VALID_RUNS)
 def test_a_run_that_kept_its_promises_passes(run):
     assert find_violations(run) == []
 
 
-@pytest.mark.parametrize(("expected", "run"), BROKEN)
+@pytest.mark.parametrize(("expected", "run"), VIOLATIONS)
 def test_every_breach_is_seen(expected, run):
     assert any(expected in line for line in find_violations(run))
 
