--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -81,7 +81,7 @@
     finished: bool = field(default=False, init=False)
     _announces_close: bool = field(default=False, init=False)
 
-    def close_after(self) -> None:
+    def announce_close(self) -> None:
         """Announce in the response that the connection closes after it."""
         self._announces_close = True
 
--- a/mallowpond/transport/tests/test_http_server.py
+++ b/mallowpond/transport/tests/test_http_server.py
@@ -278,7 +278,7 @@
     body = b"x" * 200_000
 
     async def answer(request, exchange):
-        exchange.close_after()
+        exchange.announce_close()
         await exchange.respond(200, body)
 
     server = HttpServer(handler=answer, limits=ServerLimits(send_seconds=5.0))
