--- a/mallowpond/programs/losses.py
+++ b/mallowpond/programs/losses.py
@@ -12,8 +12,8 @@
 
 from mallowpond.programs.explain import LogLine
 
-# Shortest wait for a place that scheduling and timers don't explain, in seconds.
-MIN_WAITED_SECONDS = 0.02
+# Longest wait for a place that scheduling and timers alone explain, in seconds.
+MAX_SCHEDULING_SECONDS = 0.02
 # Lowest status of a target's response that doesn't count as served.
 MIN_FAILED_STATUS = 500
 
@@ -66,7 +66,9 @@
 
 def _was_undisturbed(served: LogLine) -> bool:
     fields = served.fields
-    return fields.get("sends") == 1 and fields.get("waited", 0.0) <= MIN_WAITED_SECONDS
+    return (
+        fields.get("sends") == 1 and fields.get("waited", 0.0) <= MAX_SCHEDULING_SECONDS
+    )
 
 
 def _predicted_first_event(sent: LogLine) -> float:
@@ -85,18 +87,18 @@
 def _late_cause(served: LogLine, sent: LogLine | None) -> str | None:
     """Return why a stream missed its objective or its allowed gap, or None."""
     fields = served.fields
-    moved = fields.get("sends", 1) > 1
+    was_moved = fields.get("sends", 1) > 1
     if fields["first_event"] > fields["objective"]:
-        if moved:
+        if was_moved:
             return "first event: moved before it"
-        if fields.get("waited", 0.0) > MIN_WAITED_SECONDS:
+        if fields.get("waited", 0.0) > MAX_SCHEDULING_SECONDS:
             return "first event: waited for a place"
         if sent is not None and _predicted_first_event(sent) > fields["objective"]:
             return "first event: sent though predicted late"
         return "first event: later than predicted"
     allowed = fields.get("allowed_gap")
     if allowed and fields["longest_gap"] > allowed:
-        return "gap: moved in the middle" if moved else "gap: slow group"
+        return "gap: moved in the middle" if was_moved else "gap: slow group"
     return None
 
 
--- a/mallowpond/programs/site.py
+++ b/mallowpond/programs/site.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SiteShape:
-    """Number of processes of each kind in a site, and the behaviour of its engines.
+    """Number of servers of each kind in a site, and options of its engines.
 
     The engines are divided evenly among the domains.
     """
--- a/mallowpond/programs/tests/test_operator.py
+++ b/mallowpond/programs/tests/test_operator.py
@@ -17,8 +17,8 @@
 
 
 def column(reply, name):
-    place = reply.document["columns"].index(name)
-    return [row[place] for row in reply.document["rows"]]
+    index = reply.document["columns"].index(name)
+    return [row[index] for row in reply.document["rows"]]
 
 
 async def test_queries_tell_what_runs_where():
--- a/mallowpond/transport/peer_link.py
+++ b/mallowpond/transport/peer_link.py
@@ -1,4 +1,4 @@
-"""Websocket links between gateways and controllers."""
+"""Websocket links between gateways and controllers, and among controllers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
--- a/mallowpond/transport/tests/test_http_client.py
+++ b/mallowpond/transport/tests/test_http_client.py
@@ -18,22 +18,22 @@
     http = HttpClient(connect_seconds=0.5)
     try:
         async with asyncio.timeout(1.0):
-            answer = await http.send(
+            response = await http.send(
                 address, "POST", "/x", body=b"hello", new_connection=new_connection
             )
-        if isinstance(answer, CallFailed):
-            return answer
-        body = await answer.read()
-        answer.close()
+        if isinstance(response, CallFailed):
+            return response
+        body = await response.read()
+        response.close()
         return body
     finally:
         await http.close()
 
 
 async def test_refused_connection_left_no_byte():
-    answer = await call("127.0.0.1:1")
-    assert answer.phase is FailurePhase.CONNECT
-    assert not answer.may_have_sent
+    response = await call("127.0.0.1:1")
+    assert response.phase is FailurePhase.CONNECT
+    assert not response.may_have_sent
 
 
 @pytest.mark.parametrize(
@@ -49,9 +49,9 @@
 )
 async def test_any_failure_after_the_first_byte_may_have_run(script):
     async with scripted.scripted_server(script) as address:
-        answer = await call(address)
-    assert isinstance(answer, CallFailed)
-    assert answer.may_have_sent
+        response = await call(address)
+    assert isinstance(response, CallFailed)
+    assert response.may_have_sent
 
 
 async def test_whole_chunked_answer_is_whole():
@@ -64,9 +64,9 @@
     script = scripted.cut_body(b"abc" * 1000, 3000)
     async with scripted.scripted_server(script) as address:
         http = HttpClient()
-        answer = await http.send(address, "GET", "/")
+        response = await http.send(address, "GET", "/")
         await asyncio.sleep(0.05)
-        events = [event async for event in answer.events()]
+        events = [event async for event in response.events()]
         await http.close()
     assert events == [Chunk(data=b"abc" * 1000), End()]
 
@@ -118,10 +118,10 @@
 
     async with scripted.scripted_server(pause_in_body) as address:
         http = HttpClient()
-        answer = await http.send(address, "GET", "/")
+        response = await http.send(address, "GET", "/")
         async with asyncio.timeout(10):
-            events = [event async for event in answer.events(0.1)]
-        answer.close()
+            events = [event async for event in response.events(0.1)]
+        response.close()
         await http.close()
     assert events[0] == Chunk(data=b"half")
     assert isinstance(events[1], CallFailed)
