--- a/mallowpond/transport/http_server.py
+++ b/mallowpond/transport/http_server.py
@@ -25,7 +25,7 @@
     """Limits on the memory and time that one client may take.
 
     `idle_seconds` bounds the wait for a request's first byte, `receive_seconds` the
-    time from there to its end, `send_seconds` each wait for a full send buffer.
+    time from there to its end, `send_seconds` each wait for the send buffer to drain.
     """
 
     header_bytes: int = MAX_HEADER_BYTES
@@ -79,11 +79,11 @@
     previous_requests: int = 0
     started: bool = field(default=False, init=False)
     finished: bool = field(default=False, init=False)
-    _close_after: bool = field(default=False, init=False)
+    _announces_close: bool = field(default=False, init=False)
 
-    def close_after(self) -> None:
+    def announce_close(self) -> None:
         """Announce in the response that the connection closes after it."""
-        self._close_after = True
+        self._announces_close = True
 
     async def respond(
         self,
@@ -120,7 +120,7 @@
 
     def _head(self, status: int, headers: Headers) -> bytes:
         self.started = True
-        if self._close_after:
+        if self._announces_close:
             headers += (("connection", "close"),)
         try:
             reason = HTTPStatus(status).phrase
@@ -194,7 +194,7 @@
         return bool(self._busy or self._flushing)
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Apply new limits to connections and reads from now on."""
+        """Apply new limits from now on; open connections keep their limit in h11."""
         self._limits = limits
 
     async def start(
