--- a/mallowpond/emulator/hosts.py
+++ b/mallowpond/emulator/hosts.py
@@ -41,14 +41,14 @@
     hosts: list["Host"]
 
     def dispatching_host(self) -> str | None:
-        """Return the name of the host that dispatches, None while none is known."""
+        """Return the name of the dispatcher's host, None while there is none."""
 
     def deliver(self, node: str, message: PeerMessage) -> None:
         """Deliver a message to a host if it is running."""
 
 
 class DiscardingExchange:
-    """Caller's side of a request, which accepts the answer and discards it."""
+    """HTTP exchange of a caller that discards the answer."""
 
     def __init__(self) -> None:
         self.started = False
@@ -65,7 +65,7 @@
 
 
 class EmptyCallerHeaders:
-    """Caller protocol without any headers."""
+    """Caller protocol that passes no headers of an answer on."""
 
     def answer_headers(self, response: object) -> tuple[tuple[str, str], ...]:
         """Return no headers for the caller."""
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -46,14 +46,14 @@
 # Warm-up at the start, which is not counted: the groups fill up, in seconds.
 WARM_UP_SECONDS = 2.0
 SAMPLE_SECONDS = 0.02
-# Callers give up if they are to retry after more than this share of the time left.
+# Callers give up if they should retry after more than this share of the time left.
 MAX_RETRY_SHARE = 1 / 3
-# Time in which the hosts restart one after another, and time from the start of that
-# until callers reconnect, in seconds.
+# Time over which the restarts of the hosts are spread, in seconds.
 RESTART_SECONDS = 0.3
+# Time from the first restart until callers reconnect, in seconds.
 RECONNECT_SECONDS = 0.05
-# Pause between two reconnecting callers, in seconds; divided by one more than the
-# number of callers that still wait.
+# Pause after a caller reconnects, in seconds, if no other waits; n waiting callers
+# shorten it to 1 / (n + 1).
 RECONNECT_PAUSE_SECONDS = 0.03
 
 
@@ -143,7 +143,7 @@
         await restarting
 
     def dispatching_host(self) -> str | None:
-        """Return the name of the host that dispatches, None while none is known."""
+        """Return the name of the dispatcher's host, None while there is none."""
         return self.hosts[0].name if self.hosts else None
 
     def deliver(self, node: str, message: PeerMessage) -> None:
@@ -170,7 +170,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     async def _publish_totals(self) -> None:
-        """Report the hosts' loads to a reader in rounds, and give all its totals."""
+        """Report loads to a reader in rounds, and its totals to every host."""
         while True:
             for round_number in range(REPORT_ROUNDS):
                 hosts = self.hosts
@@ -229,7 +229,7 @@
         )
 
     def _draw(self, mean: float, spread: float) -> float:
-        """Draw from a log-normal distribution with this mean and variation."""
+        """Draw from a log-normal distribution by mean and coefficient of variation."""
         sigma2 = log(1.0 + spread**2)
         return mean * exp(self.rng.gauss(0.0, sigma2**0.5) - sigma2 / 2)
 
--- a/mallowpond/standins/observatory_engine.py
+++ b/mallowpond/standins/observatory_engine.py
@@ -32,7 +32,7 @@
 PING_TIMEOUT_SECONDS = 0.15
 JOIN_SECONDS = 0.1
 OPEN_SECONDS = 0.1
-# Time after which a head that misses a member marks its group as broken, in seconds.
+# Time without a member after which the head marks its group as broken, in seconds.
 STALL_SECONDS = 1.0
 CALL_SECONDS = 0.03
 STORE_SECONDS = 1.0
@@ -56,9 +56,9 @@
     models: load time in seconds by the name of the model; empty for a plain service.
     slots, stride: values that the engine's profile declares.
     event_seconds: time per event of a stream.
-    drain_seconds: time for which an engine still serves after announcing its drain.
-    unannounced_seconds: time for which a draining engine signals it in its answers
-        only, before its entry does.
+    drain_seconds: time for which a draining engine serves once its entry says so.
+    unannounced_seconds: time for which only the answers of a draining engine say so,
+        before its entry does.
     rate_limit: requests per second that it advertises while the limit is on.
     backoff_seconds: backoff that it requests from a host when it refuses a request.
     """
@@ -143,13 +143,13 @@
         await self._write_entry(remove=True)
 
     def toggle_rate_limit(self) -> None:
-        """Start or stop to advertise the rate limit in every answer."""
+        """Switch on or off the rate limit that every answer advertises."""
         self._advertises_limit = not self._advertises_limit
         limit = self._options.rate_limit if self._advertises_limit else None
         self._write_journal("rate limit", limit=limit)
 
     def toggle_shedding(self) -> None:
-        """Start or stop to refuse every request with a backoff."""
+        """Switch on or off the refusal of every request with a backoff."""
         self._is_shedding = not self._is_shedding
         self._write_journal("shedding", on=self._is_shedding)
 
@@ -224,7 +224,11 @@
     # -- the group -----------------------------------------------------------
 
     async def _monitor_group(self) -> None:
-        """Ping the members of the group that this engine heads, and detect a loss."""
+        """Ping the members of the group that this engine heads.
+
+        Its streams stall while a member is missing. After STALL_SECONDS of that the
+        group is broken.
+        """
         while True:
             await asyncio.sleep(PING_SECONDS)
             membership = self._membership
--- a/mallowpond/standins/observatory_store.py
+++ b/mallowpond/standins/observatory_store.py
@@ -52,7 +52,7 @@
 class ForeignEntry:
     """A foreign entry that replaces each value which its engine writes.
 
-    until: end of that, on the monotonic clock.
+    until: monotonic time at which that ends, in seconds.
     """
 
     value: str
@@ -79,7 +79,7 @@
         while True:
             await asyncio.sleep(EXPIRY_CHECK_SECONDS)
             limit = time.monotonic() - EXPIRY_SECONDS
-            expired = [p for p, at in self._last_write_at.items() if at < limit]
+            expired = [k for k, at in self._last_write_at.items() if at < limit]
             if expired:
                 self._apply({}, expired)
 
@@ -122,11 +122,11 @@
         writes = {_row_key(row): row["value"] for row in body.get("writes") or ()}
         removed = [_row_key(row) for row in body.get("delete") or ()]
         affected = [*writes, *removed]
-        if not is_platform and any(p[0] in READ_ONLY_TABLES for p in affected):
+        if not is_platform and any(k[0] in READ_ONLY_TABLES for k in affected):
             return 403, {}
         expected = [(_row_key(row), row["ver"]) for row in body.get("expected") or ()]
         if any(self._version_of(row_key) != version for row_key, version in expected):
-            rows = [self._rows[p].as_document() for p, _ in expected if p in self._rows]
+            rows = [self._rows[k].as_document() for k, _ in expected if k in self._rows]
             return 412, {"rows": rows, **self._version_and_time()}
         self._apply(writes, removed)
         return 200, self._version_and_time()
