--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -409,7 +409,7 @@
             sequence=ask.sequence,
             member=self._settings.name,
             incarnation=self._incarnation,
-            cell=self.membership.known_cell,
+            cell=self.membership.latest_cell,
             head_version=read.version if read else 0,
             read_age=age,
             holds_newer=bool(self.configuration.prepared),
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -135,7 +135,7 @@
 
     def assurance(self) -> Assured | NotAssured:
         """Return whether the version in force is known for certain and applied here."""
-        cell = self._membership.known_cell
+        cell = self._membership.latest_cell
         members = cell.members if cell else ()
         verdict = assess_assurance(
             member=self._membership.identity.name,
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -89,11 +89,11 @@
     @property
     def epoch(self) -> int:
         """Return the latest known epoch of the cell, 0 before the first."""
-        known = self.known_cell
+        known = self.latest_cell
         return known.epoch if known else 0
 
     @property
-    def known_cell(self) -> CellRow | None:
+    def latest_cell(self) -> CellRow | None:
         """Return the cell in its latest epoch, read from the table or by a peer."""
         row = self.cell
         read = row.value if row else None
--- a/mallowpond/coordination/tests/fakes.py
+++ b/mallowpond/coordination/tests/fakes.py
@@ -207,7 +207,7 @@
     def ask(self, peer: "FakeController", delay: float = 0.0) -> None:
         """Query a peer; its answer arrives after `delay` seconds."""
         asked_at = self.clock.now()
-        answer, cell = peer.make_peer_answer(asked_at), peer.membership.known_cell
+        answer, cell = peer.make_peer_answer(asked_at), peer.membership.latest_cell
         self.clock.time += delay
         if cell is not None:
             self.membership.adopt_cell(cell)
