--- a/mallowpond/coordination/claims.py
+++ b/mallowpond/coordination/claims.py
@@ -24,7 +24,7 @@
     Settled,
     Withdrawn,
     decide_claim,
-    settle_end,
+    settle_finish,
     settle_void,
 )
 from mallowpond.state.codec import from_plain, to_plain
@@ -208,7 +208,7 @@
                 change = Settled(row=requested, units=requested.units)
                 result: ClaimResult = decision
             case Finish(row=requested):
-                change = settle_end(stored=stored, requested=requested)
+                change = settle_finish(stored=stored, requested=requested)
                 result = SettledAnswer()
             case Void(row=requested):
                 change = settle_void(stored=stored, requested=requested)
--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -74,7 +74,7 @@
     units: int
 
 
-def settle_end(*, stored: ClaimRow | None, requested: ClaimRow) -> Settled | None:
+def settle_finish(*, stored: ClaimRow | None, requested: ClaimRow) -> Settled | None:
     """Return the change that ends an attempt as done or unknown, None if there is none.
 
     `requested.state` says how the attempt ended.
--- a/mallowpond/state/tests/test_claims.py
+++ b/mallowpond/state/tests/test_claims.py
@@ -14,7 +14,7 @@
     OutcomeUnknown,
     Withdrawn,
     decide_claim,
-    settle_end,
+    settle_finish,
     settle_void,
 )
 from mallowpond.state.rows import ClaimRow, ClaimState
@@ -64,7 +64,7 @@
 
 def test_end_of_another_attempt_changes_nothing():
     requested = claim("a2", state=ClaimState.DONE)
-    assert settle_end(stored=claim("a1"), requested=requested) is None
+    assert settle_finish(stored=claim("a1"), requested=requested) is None
 
 
 class ClaimMachine(RuleBasedStateMachine):
@@ -138,7 +138,7 @@
     @rule()
     def finish(self):
         done = replace(claim(self.sent[-1]), state=ClaimState.DONE)
-        settled = settle_end(stored=self.row, requested=done)
+        settled = settle_finish(stored=self.row, requested=done)
         if settled is not None:
             self.row, self.version = settled.row, self.version + 1
 
