--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -98,16 +98,16 @@
         asked: Target,
         answered: Target,
         asked_at: float,
-        shows_orders: bool = True,
+        shows_last_order: bool = True,
     ) -> None:
         """Record a direct answer.
 
         asked: the listed process that the question was meant for.
         answered: the process that answered, as it describes itself.
         asked_at: time at which the question was sent.
-        shows_orders: whether the answer certainly shows the last order given.
+        shows_last_order: whether the answer certainly shows the last order given.
         """
-        if shows_orders:
+        if shows_last_order:
             self._check_group(asked, answered, asked_at)
         newest = self._answers.get(asked.id)
         if newest is not None and asked_at < newest.asked_at:
