--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -333,7 +333,7 @@
         targets, groups = self._directory.targets, self._directory.groups
         current = self._current_targets
         # A list that cannot be read does not show the effects of later orders.
-        self._book.reconcile(current, now=now, shows_orders=self._directory.is_settled)
+        self._book.reconcile(current, now=now, is_settled=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
         self._leaving_since = {
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -209,17 +209,17 @@
     # -- effects in the list -------------------------------------------------
 
     def reconcile(
-        self, targets: Mapping[str, Target], *, now: float, shows_orders: bool
+        self, targets: Mapping[str, Target], *, now: float, is_settled: bool
     ) -> None:
         """Drop orders that the list shows to have taken effect, and ended processes.
 
-        `shows_orders` is false while the list is unavailable: it then shows no effects
+        `is_settled` is false while the list is unavailable: it then shows no effects
         of orders given since.
         """
         listed = {target.process: target for target in targets.values()}
         self._records = {p: r for p, r in self._records.items() if p in listed}
         for process, record in self._records.items():
-            _reconcile(record, listed[process], now=now, shows_orders=shows_orders)
+            _reconcile(record, listed[process], now=now, is_settled=is_settled)
 
     def _record(self, target: Target) -> _Record:
         return self._records.setdefault(target.process, _Record())
@@ -231,12 +231,12 @@
 
 
 def _reconcile(
-    record: _Record, target: Target, *, now: float, shows_orders: bool
+    record: _Record, target: Target, *, now: float, is_settled: bool
 ) -> None:
     pending, joined, load = record.pending, record.joined, record.load
     if pending and (_shows(target, pending.step) or now > pending.until):
         record.pending = None
-    shown_free = shows_orders and target.membership is None
+    shown_free = is_settled and target.membership is None
     if joined and shown_free and now - joined.at > EFFECT_SECONDS:
         record.joined = None
     if load and (
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -29,7 +29,7 @@
 
 def reconciled(book, *targets, now=NOW):
     """Return the book after it was reconciled with these targets."""
-    book.reconcile({t.id: t for t in targets}, now=now, shows_orders=True)
+    book.reconcile({t.id: t for t in targets}, now=now, is_settled=True)
     return book
 
 
