--- a/mallowpond/standins/engine.py
+++ b/mallowpond/standins/engine.py
@@ -181,9 +181,9 @@
             case "/engine/status":
                 await exchange.respond(200, to_json(self.status()))
             case "/engine/order":
-                refused = self.apply_order(from_json(request.body, Order))
-                status = 409 if refused else 200
-                await exchange.respond(status, (refused or "").encode())
+                refusal = self.apply_order(from_json(request.body, Order))
+                status = 409 if refusal else 200
+                await exchange.respond(status, (refusal or "").encode())
             case "/v1/completions" | "/v1/chat/completions":
                 await self._complete(request, exchange)
             case _:
@@ -297,8 +297,10 @@
     if isinstance(status, Unavailable):
         return False
     listed = {(m.host, m.incarnation) for m in order.members}
-    same_place = (status.group, status.generation) == (order.group, order.generation)
-    return status.loaded and same_place and (status.host, status.incarnation) in listed
+    is_same_group = (status.group, status.generation) == (order.group, order.generation)
+    return (
+        status.loaded and is_same_group and (status.host, status.incarnation) in listed
+    )
 
 
 def _words(parameters: dict, skip: int) -> Iterator[str]:
