--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -1,4 +1,10 @@
-"""Mirror the platform's list of targets, and derive the groups from it."""
+"""Mirror the platform's list of targets, and derive the groups from it.
+
+"The list" is the one that the store holds; "listed" means in the list as this host
+last read it or received its changes. An entry lapses when its target did not renew it
+in time and announced no stop; the target may still run. A target that leaves is about
+to shut down; it need not be a member of a group.
+"""
 
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import replace
@@ -25,20 +31,21 @@
 
 log = structlog.get_logger()
 
-# Interval between reads of the list, in seconds. For targets that leave, half the
-# bound within which they must get no more work would do; groups open and break faster.
+# Interval between reads of the list, in seconds. Half the time after which a target
+# that leaves must get no more work would do for these, but groups open and break
+# faster.
 POLL_SECONDS = 0.5
-# Interval for the planner while orders are in progress, in seconds: the list shows
-# their effect.
+# The same for the planner while orders are in progress, in seconds: the list shows when
+# they have taken effect.
 PLANNER_POLL_SECONDS = 0.2
-# Interval for the standby reader, in seconds. Most of what it would broadcast the first
-# reader has broadcast before; it takes over when that one falls silent.
+# The same for the standby reader, in seconds. Most of what it would broadcast the first
+# reader has broadcast before; it takes over when the first one fails.
 STANDBY_POLL_SECONDS = 1.0
-# Interval while the list cannot be read, in seconds, for hosts that need not retry
-# often: those that do so send digests as soon as they can read it.
+# The same while the list cannot be read, in seconds, for hosts that need not retry
+# often: the hosts that do send digests as soon as they can read it.
 LOST_POLL_SECONDS = 1.5
 # Interval between checks whether the list must be read, in seconds: a host that missed
-# the leaving of a target detects that well within the 2 s allowed for it.
+# the change by which a target leaves detects that well within the 2 s allowed for it.
 CHECK_SECONDS = 0.1
 # Time after the end of an outage of the store, in seconds, within which live targets
 # have written their lapsed entries again.
@@ -66,7 +73,8 @@
 
     Readers poll the list; followers apply the changes that readers broadcast. An entry
     that disappears while it belongs to a group is kept as lapsed, as its target may
-    only be cut off. Groups can be excluded for a time or marked as broken.
+    only be cut off from the store. A group gets no new streams while it is excluded,
+    for a limited time, or marked as broken, until the list shows it open again.
     """
 
     def __init__(self, *, source: SiteSource, clock: Clock) -> None:
@@ -105,17 +113,17 @@
 
     @property
     def targets(self) -> dict[str, Target]:
-        """Return every listed target by its identifier."""
+        """Return every listed or lapsed target by its identifier."""
         return self._targets
 
     @property
     def groups(self) -> dict[GroupKey, Group]:
-        """Return the groups that the targets report."""
+        """Return every formation by its key, as its members' entries show it."""
         return self._groups
 
     @property
     def is_settled(self) -> bool:
-        """Return whether an entry that is missing now will not return.
+        """Return whether an entry that is missing from the list will stay so.
 
         False during an outage of the store and shortly after it.
         """
@@ -147,7 +155,7 @@
         )
 
     def all_targets(self, service: str) -> tuple[Target, ...]:
-        """Return every listed target of a service."""
+        """Return every listed or lapsed target of a service."""
         return tuple(self._by_service.get(service, {}).values())
 
     def serving_groups(self, service: str, model: str) -> list[Group]:
@@ -191,8 +199,8 @@
     def consume_readmitted(self) -> bool:
         """Return whether an exclusion has ended since the last call.
 
-        Waiting streams learn of this in no other way: without it, streams that a
-        suspicion had moved were cut off although groups were free.
+        Nothing else wakes the waiting streams then: without this check, streams that
+        were moved because of a suspicion were cut off although groups had free slots.
         """
         now = self._clock.now()
         if now < self._readmit_at:
@@ -208,10 +216,10 @@
     def mark_broken(
         self, group: Group, cause: BreakCause, *, is_known_to_peers: bool = False
     ) -> None:
-        """Send nothing more to a formation until the list shows it open again.
+        """Exclude a formation from new streams until the list shows it open again.
 
-        With `is_known_to_peers` the peers need no message about it. A report about
-        another process than the known head is ignored.
+        With `is_known_to_peers` the peers need no message about it. The call is ignored
+        if `group` has another head process than the one known here.
         """
         known = self._groups.get(group.key)
         if known is None or known.head is None or group.head is None:
@@ -238,9 +246,9 @@
     def _is_head_usable(self, group: Group, now: float) -> bool:
         """Return whether the head is listed, or was found healthy lately.
 
-        A head that is cut off from the list still serves, while one that leaves must
-        not get new streams. The list shows both as missing; only a probe tells them
-        apart. Without probes, a partition of a few heads would disable their groups.
+        A head that is cut off from the store still serves, while one that leaves must
+        not get new streams. Both are missing from the list; only a health check tells
+        them apart. Without it, a partition of a few heads would disable their groups.
         """
         assert group.head is not None
         if not group.head.lapsed:
@@ -249,7 +257,7 @@
         return now - healthy_at < PROBED_HEALTHY_SECONDS
 
     def record_healthy(self, identifier: str) -> None:
-        """Record that a probe found a lapsed target healthy and not leaving."""
+        """Record that a health check found a lapsed target healthy and not leaving."""
         now = self._clock.now()
         recent = {
             p: t
@@ -271,7 +279,7 @@
             await self._clock.sleep(CHECK_SECONDS)
 
     def _must_read(self) -> bool:
-        """Return whether this host must read the list from the store now."""
+        """Return whether this host is due to read the list from the store."""
         now = self._clock.now()
         behind = self._behind_since
         if behind is not None and now - behind > MISSED_CHANGE_SECONDS:
@@ -297,7 +305,7 @@
     def apply_digest(self, last_change: int, loads: LoadsByGroup) -> None:
         """Apply a reader's digest: its last change of the list, and the fleet's loads.
 
-        A `last_change` above the known revision means that a change may have got lost.
+        A `last_change` above the known revision shows that a change is missing here.
         """
         now = self._clock.now()
         self._digest_at = now
@@ -378,10 +386,10 @@
                 notify(answer, previous)
 
     def apply_report(self, target: Target) -> None:
-        """Apply what a target reports about itself.
+        """Apply what a target reports about itself when it is probed.
 
-        A restart counts at once, as the list shows the old entry for some seconds; the
-        new process is not used before the list shows it. Other changes are applied
+        A restart is recorded at once, as the list shows the old entry for some seconds;
+        the new process gets no work before the list shows it. Other changes are applied
         only while the list cannot be read.
         """
         known = self._targets.get(target.id)
@@ -452,8 +460,9 @@
         # Equal entries stay the same objects: changes are detected by identity.
         found.update({k: t for k, t in listed.items() if found.get(k) != t})
         for identifier in unreadable:
-            # It did not fall silent. If it were kept as lapsed, a probe of the address
-            # in its last readable entry would bring it back into use.
+            # Its target did not fall silent, so the entry has not lapsed. If it were
+            # kept as lapsed, a health check at the address in its last readable entry
+            # would bring the target back into use.
             found.pop(identifier, None)
         if not self.is_settled:
             # Entries lapse during an outage of the store although their targets live.
@@ -471,7 +480,8 @@
     def _reinstate_groups(self, listed: Collection[Target], *, is_change: bool) -> None:
         """Readmit broken groups whose heads the list shows open again.
 
-        A group that it shows with a process that has ended is broken from the start.
+        A group of which the list shows a member process that has ended is marked as
+        broken.
         """
         if not is_change:
             self._ended.readmit(listed, asked_at=self._read_at)
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -64,13 +64,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Heartbeat:
-    """State of a node, sent to its peers at intervals.
+    """Show peers at intervals that a node is live, and in which state it is.
 
-    `version` is its configuration, and `sure` says whether that is confirmed; `store`
-    says whether it reaches the store, and `traffic` whether any request has been seen.
-    `planning` is its fencing number as planner, 0 if it does not plan. `interval` is
-    the time until its next heartbeat, in seconds; `cores` is its processor time in
-    cores.
+    `version` is that of its configuration, and `sure` says whether that was lately
+    confirmed as the newest; `store` says whether the node reaches the store, and
+    `traffic` whether any request has been seen. `planning` is its fencing number as
+    planner, 0 if it does not plan. `interval` is the time until its next heartbeat, in
+    seconds; `cores` is the processor capacity that it may use, in cores.
     """
 
     node: Name
@@ -86,16 +86,16 @@
     data_centre: str = ""
     cores: float = 0.0
     loads: LoadColumns = LoadColumns()
-    # Number of the dispatcher's last grant whose stream `loads` includes.
+    # Number of the last slot granted by the dispatcher whose stream `loads` includes.
     grant_number: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Suspicion:
-    """Report that a group makes no progress.
+    """Report that a group makes no progress, so that peers send it no new streams.
 
-    With `cleared` the suspicion is over. With `closing` the group gets no new streams,
-    but running ones may finish there.
+    With `cleared` the suspicion is over: all members answered probes. With `closing`
+    the planner is closing the group; streams that run there may finish.
     """
 
     node: Name
@@ -107,9 +107,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SilenceQuestion:
-    """Ask whether a group makes progress for the peer.
+    """Ask peers whether a group makes progress for them, before it is suspected.
 
-    The sender has seen no event of the group for `silent` seconds.
+    The sender has seen no event of the group for `silent` seconds. A peer that saw one
+    more recently answers with `Advance`; the others send no answer.
     """
 
     node: Name
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Advance:
-    """Answer a `SilenceQuestion`: the group makes progress."""
+    """Answer a `SilenceQuestion`: the sender sees the group make progress."""
 
     node: Name
     group: Name
@@ -129,10 +130,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupBroken:
-    """Report that a formation no longer serves, as its head or a member showed.
+    """Report that one formation (epoch) of a group no longer serves.
 
-    `head` is the process that the sender knows as the formation's head. A receiver that
-    knows another one has newer or older information about the group.
+    Its head or a member showed this. `head` is the process that the sender knows as the
+    formation's head; a receiver that knows another one ignores the report, as one of
+    the two has outdated information.
     """
 
     node: str
@@ -144,7 +146,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Vouch:
-    """Report that probes found targets healthy that the target list lacks."""
+    """Report that health checks found targets healthy whose list entries lapsed.
+
+    For a short time their groups may get new streams, although the list lacks them.
+    """
 
     node: Name
     targets: tuple[Identifier, ...]
@@ -152,12 +157,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Digest:
-    """Newest state of the store and the fleet's load, sent by a reader.
+    """Summary that a reader sends at intervals, so that others need not read the store.
 
-    `version` is the newest configuration, and `last_change` the revision of the target
-    list's last change. `loads` sums the work of all hosts by group; it is empty in
-    small fleets, where heartbeats carry it. With `pass_on` the receiver relays the
-    message to its own data centre.
+    `version` is that of the newest configuration, and `last_change` the revision of the
+    target list's last change; a receiver with older ones has missed something. `loads`
+    sums the load of all hosts by group; it is empty in small fleets, where heartbeats
+    carry the loads, and from any reader but the first. With `pass_on` the receiver
+    relays the message to its own data centre.
     """
 
     node: Name
@@ -171,8 +177,9 @@
 class ListChange:
     """Changes of the target list after revision `previous`, sent by a reader.
 
-    A large change is split into several `parts`; `part` is the index of this one. With
-    `pass_on` the receiver relays the message to its own data centre.
+    A receiver that lacks earlier changes reads the list from the store. A large change
+    is split into several `parts`; `part` is the index of this one. With `pass_on` the
+    receiver relays the message to its own data centre.
     """
 
     node: Name
@@ -188,10 +195,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Work:
-    """Load of one host by group, sent to the readers.
+    """Load of the sending host by group, for the readers and the dispatcher.
 
-    It includes the streams of all places that the dispatcher granted up to the one
-    numbered `grant_number`.
+    It includes the streams on all slots that the dispatcher granted to the host, up to
+    the one numbered `grant_number`.
     """
 
     node: Name
@@ -201,11 +208,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlaceQuestion:
-    """Ask the dispatcher for a place for a stream; times are in seconds from now.
+    """Request a slot for a stream from the dispatcher; times are in seconds from now.
 
-    A stream that starts within `on_time` can still meet its latency `objective`; it
-    waits for `patience` at most. `has_begun` marks one whose caller already has part of
-    the answer. Groups in `avoided` must not be chosen.
+    `number` is unique on the sending host; a request sent again keeps it. A stream that
+    starts within `on_time` can still meet its latency `objective`; it waits for
+    `patience` at most. `has_begun` marks one whose caller already has part of the
+    answer. Groups in `avoided` must not be chosen.
     """
 
     node: Name
@@ -222,7 +230,7 @@
 
 
 class PlaceVerdict(str, Enum):
-    """Answer of the dispatcher to a request for a place."""
+    """Decision of the dispatcher on a request for a slot."""
 
     GRANTED = "granted"
     WAITING = "waiting"
@@ -231,10 +239,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlaceAnswer:
-    """Answer a `PlaceQuestion`.
+    """Answer the `PlaceQuestion` with the same `number`.
 
-    A granted place is on `group`; `grant_number` counts the places granted to that host
-    so far. A refused stream would have to wait for `wait` seconds.
+    A granted slot is on `group`; `grant_number` counts the slots granted to that host
+    so far. A waiting request is queued, and gets another answer with its grant. A
+    refused stream would have to wait for `wait` seconds.
     """
 
     node: Name
@@ -248,7 +257,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionQuestion:
-    """Ask a reader which configuration version is the newest."""
+    """Ask a reader which configuration version is the newest.
+
+    An answer with the asking host's own version confirms the keys that it admits.
+    """
 
     node: Name
     number: int
@@ -256,7 +268,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionAnswer:
-    """Answer a `VersionQuestion`.
+    """Answer the `VersionQuestion` with the same `number`.
 
     `version` was confirmed as the newest `age` seconds before this was sent.
     """
@@ -269,9 +281,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationPart:
-    """Part of a compressed configuration; a large one is split into several `parts`.
+    """Part of a compressed configuration, which spares hosts a read of the store.
 
-    With `pass_on` the receiver relays the message to its own data centre.
+    A large one is split into several `parts`; `part` is the index of this one. With
+    `pass_on` the receiver relays the message to its own data centre.
     """
 
     node: Name
@@ -284,14 +297,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationQuestion:
-    """Ask a peer for its configuration."""
+    """Ask a peer for its configuration, when a node without one lacks the store."""
 
     node: Name
 
 
 @dataclass(frozen=True, kw_only=True)
 class LivenessQuestion:
-    """Ask a peer to probe a target, as the sender's own probe may be wrong."""
+    """Ask a peer to probe a target that does not answer the sender.
+
+    The fault may be the sender's own, when many targets do not answer it.
+    """
 
     node: Name
     number: int
@@ -300,7 +316,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LivenessAnswer:
-    """Answer a `LivenessQuestion`: whether the target answered this host."""
+    """Answer the `LivenessQuestion` with the same `number`.
+
+    `alive` says whether the target answered the sender's probe.
+    """
 
     node: Name
     number: int
@@ -309,9 +328,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CrashRecords:
-    """Requests during which targets' processes ended.
+    """Report requests that were running on targets whose processes ended.
 
-    With `answer` the message answers a `CrashQuestion`.
+    Hosts merge these records to quarantine requests that crash their targets. With
+    `answer` the message answers a `CrashQuestion`.
     """
 
     node: Name
@@ -321,14 +341,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CrashQuestion:
-    """Ask a peer for its crash records."""
+    """Ask a peer for its crash records, after a start."""
 
     node: Name
 
 
 @dataclass(frozen=True, kw_only=True)
 class RateLimitNews:
-    """Rate limits that targets announced or withdrew in their answers."""
+    """Report rate limits that targets announced or withdrew in their answers.
+
+    All hosts together keep to such a limit, each with its own part of the rate.
+    """
 
     node: Name
     limits: tuple[TargetLimit, ...]
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -52,12 +52,14 @@
 
 log = structlog.get_logger()
 
-# Heartbeats that one node may send per second. In a larger fleet each peer gets them
-# less often, so that a node's traffic does not grow with the fleet.
+# Heartbeats per second above which a fleet counts as large: if a node that sends to
+# every peer at the usual interval would send more. In a large fleet a node sends at the
+# rates below, so that its traffic does not grow with the fleet.
 MAX_HEARTBEATS_PER_SECOND = 60.0
-# Heartbeats that one node sends per second in a large fleet. Candidates are the hosts
-# that plan or read the store, or may be next to do so: their failure is detected after
-# four intervals. Of any other host its peers need only know that it is live.
+# Heartbeats that one node sends per second in a large fleet, to all peers together.
+# Candidates are the hosts that plan or read the store, or may be next to do so: their
+# failure is detected after four intervals. Of any other host its peers need only know
+# that it is live.
 CANDIDATE_HEARTBEATS_PER_SECOND = 220.0
 ORDINARY_HEARTBEATS_PER_SECOND = 8.0
 # Interval between heartbeats among the candidates of a large fleet, in seconds. The
@@ -69,8 +71,9 @@
 GONE_HEARTBEATS = 4.0
 GONE_SECONDS = 1.0
 # Interval between reads of the nodes' rows, in seconds, for candidates and for other
-# hosts. A node that starts sends heartbeats to all others itself, so the rows only make
-# up for lost datagrams, and it is enough that the candidates find missing nodes.
+# hosts. A node that starts learns its first addresses from the rows, and sends
+# heartbeats to all of them. Later reads only make up for lost datagrams, and it is
+# enough that the candidates find missing nodes.
 ROWS_SECONDS = 15.0
 ORDINARY_ROWS_SECONDS = 120.0
 # Pause before the rows are written or read again after a failure, in seconds.
@@ -86,7 +89,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NodeRow:
-    """Row of a node in the table service, through which other nodes discover it."""
+    """Row of a node in the store, through which other nodes discover it."""
 
     address: SocketAddress
     incarnation: str
@@ -94,13 +97,16 @@
 
 @dataclass(kw_only=True)
 class Peer:
-    """Last heartbeat of another node; `heard_at` is when any message of it arrived."""
+    """Another node: its last heartbeat, and when it was last known to be live.
+
+    `heard_at` is when its last `Heartbeat` or `Work` message arrived.
+    """
 
     heartbeat: Heartbeat
     heard_at: float
 
     def is_live(self, now: float) -> bool:
-        """Return whether its last message is recent enough."""
+        """Return whether its last heartbeat or load report is recent enough."""
         silence = max(GONE_SECONDS, GONE_HEARTBEATS * self.heartbeat.interval)
         return now - self.heard_at <= silence
 
@@ -108,9 +114,11 @@
 class PeerNetwork(asyncio.DatagramProtocol):
     """Datagram transport and failure detector among the nodes.
 
-    Others register listeners for each kind of message in the `on_` lists.
-    `is_candidate` and `candidates`, which `Readers` sets, decide how often this node
-    sends heartbeats, and to whom.
+    A node is the process of one entry host; its peers are the nodes of the others. It
+    discovers them by their rows in the store and by their heartbeats. Others register
+    listeners for each kind of message in the `on_` lists. `is_candidate` and
+    `candidates`, which `Readers` sets, decide how often this node sends heartbeats, and
+    to whom.
     """
 
     def __init__(
@@ -165,7 +173,7 @@
 
     @property
     def live(self) -> list[Peer]:
-        """Return the peers whose last message is recent enough."""
+        """Return the peers whose last heartbeat or load report is recent enough."""
         now = self._clock.now()
         if now - self._live_at > LIVE_CACHE_SECONDS:
             self._live = [p for p in self._peers.values() if p.is_live(now)]
@@ -175,8 +183,8 @@
     def has_stopped_planning(self, node: str, incarnation: str) -> bool:
         """Return whether a known node cannot be planning under this incarnation.
 
-        It then restarted, cannot reach the store, is stopping, or is not live. A node
-        that never sent a heartbeat may still plan.
+        That is so if it restarted, cannot reach the store, is stopping, or is not live.
+        A node from which no heartbeat arrived may still plan.
         """
         peer = self._peers.get(node)
         if peer is None:
@@ -189,7 +197,7 @@
 
     @property
     def last_planner(self) -> Peer | None:
-        """Return the peer with the highest fencing number, live or not."""
+        """Return the peer that last planned, by its fencing number, live or not."""
         planners = [p for p in self._peers.values() if p.heartbeat.planning]
         return max(planners, key=lambda p: p.heartbeat.planning, default=None)
 
@@ -199,7 +207,7 @@
         return 1 + len(self.live)
 
     def has_heard_from(self, node: str, seconds: float) -> bool:
-        """Return whether a message of a node arrived within the last `seconds`."""
+        """Return whether a node sent a heartbeat or its load in the last `seconds`."""
         peer = self._peers.get(node)
         return peer is not None and self._clock.now() - peer.heard_at <= seconds
 
@@ -210,7 +218,7 @@
 
     @property
     def interval(self) -> float:
-        """Return the interval between heartbeats to all peers, in seconds."""
+        """Return the interval between regular heartbeats, in seconds."""
         if not self.is_large_fleet:
             return HEARTBEAT_SECONDS
         rate = ORDINARY_HEARTBEATS_PER_SECOND
@@ -232,13 +240,13 @@
             self._transport.close()
 
     async def run_heartbeats(self) -> None:
-        """Send heartbeats to all peers until cancelled."""
+        """Send the regular heartbeats until cancelled."""
         while True:
             self.send_heartbeat()
             await self._clock.sleep(self.interval)
 
     async def run_candidate_heartbeats(self) -> None:
-        """Send heartbeats among the candidates of a large fleet until cancelled."""
+        """Send frequent heartbeats among the candidates of a large fleet."""
         while True:
             if self._sends_candidate_heartbeats:
                 heartbeat = replace(
@@ -252,7 +260,11 @@
         return self.is_large_fleet and self.is_candidate
 
     def send_heartbeat(self) -> None:
-        """Send a heartbeat to all peers but those that get more frequent ones."""
+        """Send a regular heartbeat to all peers.
+
+        A candidate of a large fleet leaves out the other candidates, to which it sends
+        more frequent ones.
+        """
         heartbeat = self._make_heartbeat()
         if not self._sends_candidate_heartbeats:
             self.broadcast(heartbeat)
@@ -279,7 +291,7 @@
     def broadcast_suspicion(
         self, key: tuple[str, int], *, cleared: bool = False, closing: bool = False
     ) -> None:
-        """Report to every peer that a group is silent, sound again, or closing."""
+        """Report to every peer that a group is suspected, cleared, or closing."""
         self.broadcast(
             Suspicion(
                 node=self._name,
@@ -291,7 +303,7 @@
         )
 
     def broadcast_group_broken(self, group: Group, cause: BreakCause) -> None:
-        """Report to every peer that a formation no longer serves."""
+        """Report to every peer that a formation (epoch) of a group no longer serves."""
         if group.head is None:
             return
         self.broadcast(
@@ -305,7 +317,7 @@
         )
 
     def ask_group_progress(self, key: GroupKey, silent: float) -> None:
-        """Ask every peer whether a group makes progress that is silent here."""
+        """Ask every peer whether it sees a group progress that is silent here."""
         self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
         )
@@ -321,7 +333,7 @@
         self.send_to(answer, (question.node,))
 
     def broadcast_target_healthy(self, target: str) -> None:
-        """Report to every peer that a target missing from the list is healthy."""
+        """Report to every peer that a target whose list entry lapsed is healthy."""
         self.broadcast(Vouch(node=self._name, targets=(target,)))
 
     def broadcast(self, message: Message) -> None:
@@ -338,7 +350,7 @@
         return found
 
     def cores_of(self, node: str) -> float:
-        """Return the processor time of a peer in cores, 0 if not known."""
+        """Return the processor capacity of a peer in cores, 0 if not known."""
         peer = self._peers.get(node)
         return peer.heartbeat.cores if peer else 0.0
 
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -1,7 +1,9 @@
 """Plan the groups of all model services, send the orders and handle their results.
 
-An order is one planned step for one target. "The list" is the platform's list of
-targets, which `Directory` mirrors; it shows the effect of an order with some delay.
+An order is one planned step for one target. A formation is one epoch of a group: one
+set of member processes that were ordered together. Its head, the member of rank 0,
+takes its requests. "The list" is the platform's list of targets, which `Directory`
+mirrors; it shows the effect of an order with some delay.
 """
 
 import asyncio
@@ -59,22 +61,24 @@
 
 log = structlog.get_logger()
 
-# Interval between two plans, in seconds.
+# Interval between two planning rounds, in seconds.
 PLAN_SECONDS = 0.1
 # Interval between two checks of whether this node has become the planner, in seconds: a
 # small part of the second after which a dead planner is replaced.
 FOLLOWER_CHECK_SECONDS = 0.2
 # Interval between two plans while nothing has changed or is in progress, in seconds:
-# most of these plans have no steps.
+# most of these plans have no steps to take.
 IDLE_PLAN_SECONDS = 0.5
-# Interval between two log lines on the state of all groups, in seconds.
+# Interval between two log lines on the state of the groups, in seconds. It counts for
+# all services together, so only the first service of the configuration is logged.
 SUMMARY_SECONDS = 2.0
 # Interval between two probes of the targets with pending orders while the list cannot
-# be read, in seconds: reports lag by some hundred milliseconds.
-PENDING_POLL_SECONDS = 0.3
-# Time between two plans above which this process counts as having paused, in seconds.
-# Another node takes over after a second of silence, and its fencing number protects
-# only those members of a group to which it has already sent an order.
+# be read, in seconds: a target's report may show a change only after a few
+# hundred milliseconds.
+PENDING_PROBE_SECONDS = 0.3
+# Time since the last planning round above which this process counts as having paused,
+# in seconds. Another node takes over after a second of silence, and its fencing number
+# protects only those members of a group to which it has already sent an order.
 PAUSE_SECONDS = 0.5
 # Minimum age of the last renewal before a refused fencing number triggers another one,
 # in seconds: many orders may be refused for the same reason at once.
@@ -90,9 +94,10 @@
 class GroupPlanner:
     """Plans the groups of every model service while this node holds the lease.
 
-    Each step compares the target list with the declared models and starts the orders
+    Each round compares the target list with the declared models and starts the orders
     that are due. Each order runs in a task of its own and carries the fencing number
-    under which it was planned.
+    under which it was planned. A formation that the list does not show within
+    `stall_seconds` is forgotten.
     """
 
     def __init__(
@@ -160,7 +165,7 @@
         self._first_seen: dict[GroupKey, float] = {}
         self._cleared_at: dict[GroupKey, list[float]] = {}
         self._loads_begun: list[float] = []
-        self._last_poll_at = float("-inf")
+        self._last_pending_probe_at = float("-inf")
         self._last_plan_at = float("-inf")
         self._has_changes = True
         self._last_summary_at = float("-inf")
@@ -168,18 +173,18 @@
     async def run(self) -> None:
         """Plan until cancelled."""
         while True:
-            await self.step()
-            plans = self._leadership.fence
-            await self._clock.sleep(PLAN_SECONDS if plans else FOLLOWER_CHECK_SECONDS)
+            await self.plan_once()
+            fence = self._leadership.fence
+            await self._clock.sleep(PLAN_SECONDS if fence else FOLLOWER_CHECK_SECONDS)
 
     async def close(self) -> None:
-        """Cancel the orders and probes in progress."""
+        """Cancel the tasks of orders and probes; a probe already sent runs on."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def step(self) -> None:
-        """Plan once if this node holds the lease and a plan is due."""
+    async def plan_once(self) -> None:
+        """Run one planning round; it plans if this node leads and a plan is due."""
         if not self._leadership.fence:
             self._directory.poll_seconds = POLL_SECONDS
             return
@@ -190,15 +195,15 @@
             return
         self._last_step_at = self._clock.now()
         if not self._has_fresh_list:
-            # A plan on an outdated list would dissolve groups that the previous planner
-            # has just formed.
+            # A plan based on an outdated list would dissolve groups that the previous
+            # planner has just formed.
             self._has_fresh_list = await self._directory.refresh()
             return
         configuration = self._configuration.configuration
         if configuration is None or not self._is_due():
             return
         self._last_plan_at, self._has_changes = self._last_step_at, False
-        self._discard_outdated()
+        self._refresh_records()
         for service in configuration.services.values():
             if service.profile is not None and service.profile.models:
                 self._plan_service(service.name, service.profile)
@@ -214,8 +219,8 @@
         """Return whether the list does not show the effects of all orders yet."""
         if self._book.busy:
             return True
-        forming = (GroupPhase.JOINING, GroupPhase.READY, GroupPhase.CLOSING)
-        return any(g.phase in forming for g in self._directory.groups.values())
+        transient_phases = (GroupPhase.JOINING, GroupPhase.READY, GroupPhase.CLOSING)
+        return any(g.phase in transient_phases for g in self._directory.groups.values())
 
     async def _is_lease_confirmed(self) -> bool:
         """Return whether the lease is held, and renew it first after a pause."""
@@ -327,12 +332,16 @@
                 self._seen_processes.setdefault(key, set()).update(members)
         self._recorded_groups = dict(groups)
 
-    def _discard_outdated(self) -> None:
-        """Drop orders whose effects are listed and records of groups that are gone."""
+    def _refresh_records(self) -> None:
+        """Update the records to the list, and start the probes that are due.
+
+        Orders whose effects are listed and records of groups that are gone are dropped.
+        """
         now = self._clock.now()
         targets, groups = self._directory.targets, self._directory.groups
         current = self._current_targets
-        # A list that cannot be read does not show the effects of later orders.
+        # During an outage of the store and just after it, the list need not show the
+        # effects of recent orders.
         self._book.reconcile(current, now=now, shows_orders=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
@@ -354,7 +363,7 @@
         self._loads_begun = [at for at in self._loads_begun if now - at < 10.0]
         self._probes.probe_due()
         if self._directory.is_list_lost:
-            self._poll_pending(now)
+            self._probe_pending(now)
 
     def _log_restarted(self, current: dict[str, Target]) -> None:
         """Log each group that a member's restart has ended, once per group."""
@@ -404,7 +413,7 @@
         self._handle_result(step, result, expected=expected)
 
     def _is_outdated(self, step: Step) -> bool:
-        """Return whether an order has become invalid since it was planned.
+        """Return whether an order was overtaken by events since it was planned.
 
         That is the case if its target or a member of its group has restarted, or if it
         would join a formation that has ended. The order may have waited for the
@@ -450,9 +459,9 @@
             self._probes.start_probe(target)
             return None
         if report.target.group_key != target.group_key:
-            # Another planner's order arrived after the list was read. With a count that
-            # includes it, the target would accept an order planned without it and
-            # become a member of two groups.
+            # Another planner's order arrived after the list was read. If this order
+            # carried the count that includes it, the target would accept this order,
+            # planned in ignorance of the other, and become a member of two groups.
             log.info("planner: target changed since the list", target=target.id)
             return None
         now = self._clock.now()
@@ -469,7 +478,7 @@
 
     def _handle_result(self, step: Step, result: OrderResult, *, expected: int) -> None:
         target = step.target
-        is_late = not self._is_current(target)
+        is_process_gone = not self._is_current(target)
         kind = type(step).__name__.lower()
         self._metrics.orders.labels(kind, type(result).__name__).inc()
         log.info(
@@ -479,13 +488,15 @@
             group=getattr(step, "group", None),
             end=type(result).__name__,
             fence=self._leadership.fence,
-            late=is_late,
+            late=is_process_gone,
         )
-        if is_late:
-            # The answer of an earlier process says nothing about the current one.
+        if is_process_gone:
+            # The answer comes from a process that has since been replaced or removed,
+            # and says nothing about the current one.
             return
         match result:
             case OrderTaken(began=began):
+                # Whether the target counted a leave that it did not begin is unknown.
                 if began or isinstance(step, Leave):
                     self._book.record_begun(step, expected=expected, is_certain=began)
                 self._record_accepted(step)
@@ -513,15 +524,16 @@
         self._book.record_taken(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
-                # The formation has ended. While it was kept, its members were ordered
-                # to join again and spent seconds in a group that could not complete.
+                # The formation has ended. If its record stayed, its members would be
+                # ordered to join it again and spend seconds in a group that cannot
+                # complete.
                 self._formations.pop((group, epoch), None)
                 self._closed.add((group, epoch))
             case Close(group=group, epoch=epoch):
                 self._closed.add((group, epoch))
 
     def _is_report_current(self, target: Target) -> bool:
-        """Return whether a report is current: of this process, with its last order."""
+        """Return whether a report is by the current process and shows all orders."""
         shows_last_order = self._book.shows_last_order(target, self._clock.now())
         return shows_last_order and self._is_current(target)
 
@@ -560,11 +572,11 @@
         self._watch.clear(group.key)
         self._peers.broadcast_suspicion(group.key, cleared=True)
 
-    def _poll_pending(self, now: float) -> None:
+    def _probe_pending(self, now: float) -> None:
         """Probe the targets with pending orders while the list cannot be read."""
-        if now - self._last_poll_at < PENDING_POLL_SECONDS:
+        if now - self._last_pending_probe_at < PENDING_PROBE_SECONDS:
             return
-        self._last_poll_at = now
+        self._last_pending_probe_at = now
         for identifier in sorted(self._book.busy):
             target = self._directory.targets.get(identifier)
             if target is not None and identifier not in self._probes.lost:
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -1,4 +1,7 @@
-"""Probe targets directly to find out which ones are alive."""
+"""Probe targets directly to find out which ones are alive.
+
+A probe asks a target for its report, and so also shows which process answers.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -26,15 +29,20 @@
 PROBE_INTERVAL_SECONDS = 2.0
 # Consecutive requests without an answer after which a target counts as lost.
 PROBE_ATTEMPTS = 2
-# Interval between two probes of a group member whose list entry lapsed, in seconds.
+# Interval between two checks of a group member whose list entry lapsed, in seconds.
 LAPSED_PROBE_INTERVAL_SECONDS = 1.0
-# Consecutive failed health checks after which a target counts as leaving. One is not
-# enough: a head whose slots are all taken refuses a health check like a request.
+# Consecutive failed health checks after which a lapsed target counts as leaving, that
+# is, as about to shut down. One is not enough: a head whose slots are all in use
+# refuses a health check like a request.
 UNHEALTHY_THRESHOLD = 2
 
 
 class TargetProbes:
-    """Probes targets, and tracks those that are lost or stop without announcing it."""
+    """Probes targets, and tracks those that are lost or stop without announcing it.
+
+    `is_report_current` returns whether a report comes from the current process and
+    shows the last order given to it.
+    """
 
     def __init__(
         self,
@@ -76,11 +84,11 @@
 
     @property
     def lost(self) -> frozenset[str]:
-        """Return the ids of targets that do not answer or were replaced by another."""
+        """Return the ids of targets that do not answer or lost their address."""
         return frozenset(process.id for process in (*self._lost, *self._replaced))
 
     def is_leaving(self, target: Target) -> bool:
-        """Return whether a target is about to stop although it is not listed so."""
+        """Return whether a target is about to shut down, though not listed as such."""
         if self._availability.is_leaving(target):
             return True
         unhealthy = self._unhealthy.get(target.process, 0)
@@ -106,8 +114,8 @@
         ):
             for process in [p for p in known if p not in listed]:
                 del known[process]
-        # An entry that is still listed by then was written again by the process, so
-        # the report of its replacement was wrong.
+        # An entry that is listed for this long was renewed by its process, so the
+        # conclusion that another process had taken its address was wrong.
         for process, at in list(self._replaced.items()):
             if now - at > STALE_ENTRY_SECONDS:
                 del self._replaced[process]
@@ -130,8 +138,9 @@
     def mark_replaced(self, target: Target) -> None:
         """Record that another process at a target's address refused its order.
 
-        A probe cannot show this: the report of the other process looks like an outdated
-        one of the target. A formation waited three seconds for a member that was gone.
+        A probe cannot show this: the other process's report looks like an outdated
+        report by the target. Without this record, a group that was being formed waited
+        three seconds for a member that was gone.
         """
         if target.process not in self._replaced:
             log.warning("planner: target lost", target=target.id, reason="replaced")
@@ -235,7 +244,7 @@
             self._spawn(self._probe_lapsed(target))
 
     async def _probe_lapsed(self, target: Target) -> None:
-        """Check the health of a lapsed target, which may be cut off or stopping."""
+        """Check a lapsed target: it may be cut off from the list, or shutting down."""
         configuration = self._configuration.configuration
         service = configuration and configuration.services.get(target.service)
         if not service or not self._availability.can_send(target):
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -140,7 +140,7 @@
         if self.configuration.configuration is None:
             await self.configuration.step()
         for _ in range(count):
-            await self.planner.step()
+            await self.planner.plan_once()
             for _ in range(20):
                 await asyncio.sleep(0)
             self.clock.time += 0.1
@@ -794,7 +794,7 @@
             await asyncio.sleep(0)
     else:
         await rig.configuration.step()
-        await rig.planner.step()
+        await rig.planner.plan_once()
         rig.clock.time += 1.4
     assert rig.targets.orders == []
     rig.planner._leadership.holds_lease = False
--- a/mallowpond/node/tests/test_planner_restarts.py
+++ b/mallowpond/node/tests/test_planner_restarts.py
@@ -228,7 +228,7 @@
         node = self.nodes[index]
         self.fleet.deliveries, self.fleet.slow_reports = list(deliveries), slow
         for _ in range(steps):
-            self.run(node.planner.step())
+            self.run(node.planner.plan_once())
         self.fleet.deliveries, self.fleet.slow_reports = [], 0
         self.clock.time += wait
 
