--- a/mallowpond/node/call_gate.py
+++ b/mallowpond/node/call_gate.py
@@ -1,6 +1,6 @@
 """Limit the planner's concurrent calls to engines to what this host can handle.
 
-Above the limit, answers arrive in time but are read too late.
+Above the limit, answers arrive in time, but the busy event loop reads them too late.
 """
 
 import asyncio
--- a/mallowpond/node/dispatcher.py
+++ b/mallowpond/node/dispatcher.py
@@ -22,11 +22,11 @@
 from mallowpond.state.fleet import EngineProfile, Group, ModelSpec
 from mallowpond.state.placement_queue import MAX_WAITING, PlacementQueue, QueueEntry
 
-# Longest time that a stream waits in the queue, in seconds; bounds the patience that
-# its host asks for.
+# Longest time that a stream waits in the queue, in seconds: an upper bound on the
+# patience that a host may request.
 MAX_PATIENCE_SECONDS = 60.0
-# Queued requests that are tried for a free slot, at most: the first one may avoid
-# exactly the groups that have free slots.
+# Maximum number of queued requests that are tried for a free slot: the first one may
+# avoid exactly the groups that have free slots.
 MAX_TRIED_REQUESTS = 4
 
 ServedModel = tuple[EngineProfile, ModelSpec]
--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -1,4 +1,4 @@
-"""Request slots from the dispatcher; report no answer when it does not respond."""
+"""Request slots from the dispatcher for the streams of this host."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,8 +26,8 @@
 # Interval at which a queued request is sent again, in seconds: its answer may be lost,
 # or the dispatcher gone.
 RENEW_SECONDS = 0.3
-# Grants in a row that this host cannot use, since it has newer information on those
-# groups, after which it places the stream by its own view.
+# Maximum number of grants for one stream that this host cannot use, as it has newer
+# information on those groups; then it places the stream by its own view.
 MAX_UNUSABLE_GRANTS = 2
 
 
--- a/mallowpond/node/fanout.py
+++ b/mallowpond/node/fanout.py
@@ -12,7 +12,7 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.ownership import ranked_by_capacity
 
-# Key that ranks the hosts of a data centre that have the same processor time.
+# Key that ranks the hosts of a data centre that have the same processor capacity.
 RELAY_KEY = "relay"
 # Silence after which a host is not chosen as relay, in seconds: three times the
 # interval at which it sends its load.
--- a/mallowpond/node/indirect_probe.py
+++ b/mallowpond/node/indirect_probe.py
@@ -13,8 +13,8 @@
 from mallowpond.node.peers import PeerNetwork
 from mallowpond.state.ownership import ranked_by_capacity
 
-# Timeout of a peer's answer, in seconds: the peer probes the target up to twice, after
-# waiting for its turn to probe.
+# Timeout of a peer's answer, in seconds: the peer probes the target up to twice, and
+# each probe may have to wait until the peer's call gate admits it.
 ANSWER_TIMEOUT_SECONDS = 0.6
 # Peers asked one after the other before this host's own result counts.
 MAX_ASKED_HOSTS = 2
--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -92,7 +92,7 @@
 
     @property
     def fence(self) -> int:
-        """Return the fencing number for orders, or 0 while this node does not plan."""
+        """Return the fencing number for orders, 0 while this node may not plan."""
         if self._fence == 0:
             return 0
         age = self._clock.now() - self._renewed_at
@@ -135,6 +135,7 @@
             self.step_down("this node is stopping")
 
     def _is_superseded(self) -> bool:
+        """Return whether a live peer plans with a higher fencing number."""
         return any(p.heartbeat.planning > self._fence for p in self._peers.live)
 
     def _should_acquire(self, now: float) -> bool:
@@ -198,6 +199,7 @@
         return now - self._unchanged_since[1] > limit
 
     def _is_holder_gone(self, lease: LeaseRow) -> bool:
+        """Return whether the holder is this host or is known not to plan any more."""
         if lease.holder == self._name:
             return True
         return self._peers.has_stopped_planning(lease.holder, lease.incarnation)
--- a/mallowpond/node/messages.py
+++ b/mallowpond/node/messages.py
@@ -110,7 +110,7 @@
     """Ask peers whether a group makes progress for them, before it is suspected.
 
     The sender has seen no event of the group for `silent` seconds. A peer that saw one
-    more recently answers with `Advance`; the others send no answer.
+    clearly more recently answers with `Advance`; the others send no answer.
     """
 
     node: Name
--- a/mallowpond/node/ports.py
+++ b/mallowpond/node/ports.py
@@ -1,6 +1,8 @@
-"""Interfaces of a node to the platform that it runs on, and their messages.
+"""Interfaces of a node to the platform that it runs on, and the data they exchange.
 
-Their types are independent of the platform's protocols and documents.
+Their types are independent of the platform's protocols and documents. The platform has
+one store, its table service: it holds the configuration, the list of targets, and the
+rows that nodes write.
 """
 
 from dataclasses import dataclass
@@ -24,9 +26,9 @@
 class CallerRequest:
     """One request of a caller; a value that the caller did not send is None.
 
-    id: unique for each attempt of a caller.
+    id: unique for each attempt of a caller; a retry has another one.
     host: host name that the caller addressed, which selects the route.
-    target: path and query.
+    target: path and query, as in HTTP; not a back end.
     forwarded_headers: the headers that go to the target.
     key: API key.
     seconds_left: time until the caller's deadline.
@@ -80,7 +82,7 @@
 class ConfigurationRead:
     """Answer to a read of the configuration.
 
-    revision: revision of the table; the next read waits for changes after it.
+    revision: revision of the store's table; the next read waits for changes after it.
     configuration: None if there is no newer one that can be decoded.
     changed: whether there is a configuration newer than the requested revision.
     unreadable: whether that newer configuration cannot be decoded.
@@ -103,7 +105,7 @@
 
     revision: revision of the list; the next read returns changes after it.
     removed: ids of targets that were removed from the list.
-    unreadable: ids whose entry cannot be decoded to a target.
+    unreadable: ids whose entry cannot be decoded.
     whole: whether these are all targets, not only those that changed.
     """
 
@@ -139,14 +141,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderTaken:
-    """The engine accepted the order; `began` is False if it was already fulfilled."""
+    """The engine accepted the order.
+
+    `began` is False if the order was already fulfilled, so that there was nothing to
+    begin. An engine counts the orders that it begins, see `Targets.order`.
+    """
 
     began: bool
 
 
 @dataclass(frozen=True, kw_only=True)
 class OrderUnfit:
-    """The order does not fit the engine's state, or its number of earlier orders."""
+    """The engine rejected the order for its state or its number of earlier orders."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -156,12 +162,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderMisdirected:
-    """Another engine has the target's address now."""
+    """Another engine received the order: it has the target's address now."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class OrderLost:
-    """It is unknown whether the order was or will be carried out."""
+    """No usable answer: whether the order was or will be carried out is unknown."""
 
     reason: str
 
@@ -201,7 +207,7 @@
         """Return whether another engine answered, or one without an open group."""
 
     def notice(self, response: HttpResponse) -> TargetNotice:
-        """Return what an answer announces about the target itself."""
+        """Return what an answer announces of its target: limits, backoff, a stop."""
 
     async def order(self, step: Step, *, fence: int, expected: int) -> OrderResult:
         """Send an engine an order, and return the result.
@@ -214,12 +220,18 @@
         """Query an engine's state and the number of orders that it has begun."""
 
     async def is_healthy(self, target: Target, path: str) -> bool | Unavailable:
-        """Query whether a target is healthy and not stopping; False also if full."""
+        """Query whether a target is healthy and not stopping.
+
+        False also if all of its slots are in use.
+        """
 
 
 @dataclass(frozen=True, kw_only=True)
 class NodePorts:
-    """The platform's implementations of the interfaces that a node uses."""
+    """The platform's implementations of the interfaces that a node uses.
+
+    table: rows of the store that nodes write themselves, such as the planner's lease.
+    """
 
     callers: CallerProtocol
     source: SiteSource
--- a/mallowpond/node/quarantine.py
+++ b/mallowpond/node/quarantine.py
@@ -16,8 +16,8 @@
 class Quarantine:
     """The quarantined requests that this host knows of, by fingerprint.
 
-    Requests are counted as the cause of a crash by `CrashLedger`; this class adds
-    refusals, metrics, logs and callbacks for what is to be shared with other hosts.
+    `CrashLedger` decides which requests count as the cause of crashes; this class adds
+    refusals, metrics, logs and callbacks for what is to be sent to other hosts.
     """
 
     def __init__(self, *, clock: Clock, metrics: NodeMetrics) -> None:
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -2,8 +2,9 @@
 
 If every host reads the configuration and the list of targets several times a second, a
 fleet of 70 makes 212 calls a second to the store, most of them for the same changes.
-Instead, two readers poll the store. The other hosts follow their broadcasts, and read
-the store themselves as soon as these stop or a change is missed.
+Instead, two readers poll the store for the whole fleet. The other hosts, the followers,
+apply their broadcasts, and read the store themselves as soon as these stop or a change
+is missed. The second reader is the standby.
 """
 
 from collections.abc import Callable
@@ -37,8 +38,8 @@
 # plan.
 READER_COUNT = 2
 READERS_KEY = "planner"
-# Number of candidates, the hosts that may be the next to read or plan: their failure
-# must be detected soon.
+# Number of candidates, the hosts that read or may be next to read or plan: their
+# failure must be detected soon. The planner is a candidate too, whatever its rank.
 CANDIDATE_COUNT = 4
 # Interval between digests, and between reports of a host's load to the readers, in
 # seconds: a few passes of a group, at a small share of a host's link.
@@ -58,12 +59,12 @@
 
 
 class Readers:
-    """Election of the readers, and this host's part as a reader or follower.
+    """Election of the readers, and this host's work as a reader or follower.
 
     All hosts rank the live peers in the same way, so they agree on the readers without
-    messages: the first `READER_COUNT` hosts that reach the store. A reader broadcasts
-    digests and changes of the list; a follower applies them to its configuration and
-    directory, and in a large fleet sends its load to the readers.
+    an exchange of messages: the first `READER_COUNT` hosts that reach the store. A
+    reader broadcasts digests and changes of the list; a follower applies them to its
+    configuration and directory, and in a large fleet sends its load to the readers.
     """
 
     def __init__(
@@ -156,7 +157,7 @@
 
     @property
     def dispatcher(self) -> str:
-        """Return the host that counts the places of all groups.
+        """Return the host that grants the slots of all groups, see `Dispatcher`.
 
         This is the first reader, as it gets the load of all hosts. While no host
         reaches the store, it is the one that would be the first reader.
@@ -168,9 +169,9 @@
     def should_retry_often(self) -> bool:
         """Return whether this host should retry the store often after a failure.
 
-        While no host reaches it, only two hosts do, as the calls of a whole fleet would
-        all be refused. A host that the store rejects while it serves others must retry
-        for itself.
+        While no host reaches it, only two hosts retry often, as the calls of a whole
+        fleet would all be refused. A host that the store rejects while it serves others
+        must retry for itself.
         """
         if self._ranked():
             return True
--- a/mallowpond/node/resend_schedule.py
+++ b/mallowpond/node/resend_schedule.py
@@ -15,7 +15,7 @@
 
 
 class ResendSchedule(Generic[Key]):
-    """Keys of what is to be sent, each several times, and when it is due next.
+    """Schedule of sends: each key is due once after each of the delays.
 
     `delays` are those before each send of one key, in seconds, and `max_batch` is how
     many keys one round sends at most.
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -43,7 +43,8 @@
 log = structlog.get_logger()
 
 # Time after the start of a drain in which new requests are still served, in seconds:
-# the balancer checks once a second and removes a node after two failed checks.
+# the load balancer checks the readiness once a second, and sends a node no more callers
+# after two failed checks.
 LAME_DUCK_SECONDS = 3.2
 # Longest time that a node that has just started waits for its first reads before it
 # serves callers that have already connected, and the interval between two checks, in
@@ -55,8 +56,8 @@
 CLOSING_SECONDS = 0.7
 DRAIN_CHECK_SECONDS = 0.05
 # Time before the end of the drain from which streams that still wait for a slot are
-# refused, in seconds: a request that waited until its host closed, and that no engine
-# had received, got no answer.
+# refused, in seconds: otherwise a request that waited until its host closed, and that
+# no engine had received, got no answer at all.
 REFUSE_WAITING_SECONDS = 0.2
 
 
@@ -294,8 +295,8 @@
     async def drain(self) -> None:
         """Fail the readiness check, then finish the requests in progress.
 
-        New requests are served until the balancer has removed the node. The drain ends
-        when no request is in progress, or shortly before the end of the grace time.
+        New requests are served until the balancer has stopped sending them. The drain
+        ends when no request is in progress, or shortly before the grace time ends.
         """
         self.ingress.is_stopping = True
         await self._release_lease()
@@ -313,7 +314,7 @@
         # before the drain still bring requests.
         self.ingress.server.disable_keep_alive()
         # The server is checked instead of `in_flight`, which does not count a request
-        # that was just read: one that was missed was forwarded and cut off 3 ms later.
+        # that was just read: one such request was forwarded and cut off 3 ms later.
         while self.ingress.server.is_busy and self._clock.now() < limit:
             if self._clock.now() >= limit - REFUSE_WAITING_SECONDS:
                 self.streams.placement.end_waits()
@@ -325,8 +326,8 @@
     async def _release_lease(self) -> None:
         """Stop planning if another node can take over.
 
-        While the store is unreachable none can, and groups that lose a member would
-        stay down until it is reachable again.
+        None can while the store is unreachable: without a planner, groups that lose a
+        member would stay down until then.
         """
         if self.configuration.is_store_reachable:
             await self.leadership.release()
@@ -390,7 +391,7 @@
         )
 
     def _find_model(self, service: str, model: str) -> ServedModel | None:
-        """Return a service's engine profile and a model, None if not declared."""
+        """Return a service's engine profile and one of its models, None if unknown."""
         known = self.configuration.configuration
         declared = known and known.services.get(service)
         if not declared or declared.profile is None:
@@ -404,7 +405,7 @@
         self.dispatcher.wake()
 
     def _publish_version(self) -> None:
-        """Announce a newer configuration at once; in a large fleet only readers do."""
+        """Announce a newer version at once; in a large fleet only readers do."""
         if not self.peers.is_large_fleet:
             self.peers.broadcast(self._build_heartbeat())
         elif self.readers.is_reader:
--- a/mallowpond/node/settings.py
+++ b/mallowpond/node/settings.py
@@ -32,7 +32,7 @@
 
     address: IP address, as peers resolve no names.
     callers, readiness: addresses on which it serves callers and readiness checks.
-    store: address of the platform's store.
+    store: address of the platform's store, its table service.
     first_start: whether the installation starts for the first time, without traffic.
     """
 
@@ -53,5 +53,5 @@
 
     @property
     def cores(self) -> float:
-        """Return the processor time that the host may use, in cores."""
+        """Return the processor capacity that the host may use, in cores."""
         return self.cpu_share * self.cpu_cores
--- a/mallowpond/node/stream_placement.py
+++ b/mallowpond/node/stream_placement.py
@@ -26,8 +26,8 @@
 )
 from mallowpond.state.placement_queue import QueueEntry
 
-# Share of a caller's patience that a stream may wait here for a slot: the rest is for
-# prefill and the first pass.
+# Share of a caller's patience, the silence after which it gives up, that a stream may
+# wait here for a slot: the rest is for prefill and the first pass.
 WAIT_SHARE = 0.6
 # Silence after which callers give up, as the platform documents it: the largest of
 # these seconds, multiples of the objective, and multiples of the gap objective.
@@ -43,7 +43,8 @@
 class StreamPlacement:
     """Places streams on the groups of a directory.
 
-    Slots come from the dispatcher where there is one, else from this host's own view.
+    The dispatcher grants the slots. Without an answer from it, this host selects a
+    group by its own view of the load.
     """
 
     def __init__(self, *, parts: ServingParts) -> None:
@@ -98,8 +99,8 @@
         while True:
             quarantined = self._quarantine.refuse(work.fingerprint, work.request.id)
             if quarantined is not None:
-                # Placed, it would crash one more group and every stream there; its
-                # caller may retry at any host.
+                # If it were placed, it would crash one more group and with it every
+                # stream there; its caller may retry at any host.
                 return quarantined
             refusal = self._refuse_unavailable(work)
             if refusal is not None:
@@ -228,7 +229,7 @@
             self._metrics.waiting.dec()
             work.waited += self._clock.now() - now
             if not is_woken:
-                # It may have been offered a slot as it left: offer that to the next.
+                # It may have been woken as its wait ended: wake the next one instead.
                 self.wake(work.model.name)
         if not is_woken:
             return self._refuse_unplaced(work)
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -1,4 +1,8 @@
-"""Serve streams: place each, forward its events, resume on another group if needed."""
+"""Serve streams: place each, forward its events, resume on another group if needed.
+
+A stream is a request of which a group of engines sends the answer as events. It is sent
+to the head of one group at a time; each such send is an attempt.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -37,13 +41,13 @@
 
 log = structlog.get_logger()
 
-# Sends of one request, at most, that a group proved not to have run.
-MAX_NOT_RUN_SENDS = 6
-# Longest backoff from a group that rejects every stream, in seconds: as long as a group
-# that only this host cannot reach is excluded, and shorter than any caller waits.
+# Maximum number of repeats after sends that provably did not run, for one request.
+MAX_NOT_RUN_REPEATS = 6
+# Longest backoff after a group rejected a stream, in seconds: as long as a group that
+# only this host cannot reach is excluded, and shorter than any caller waits.
 MAX_BACKOFF_SECONDS = 1.0
-# Reasons for the end of a send when the target's process ends: the connection closes,
-# or the target list shows another process first.
+# Reasons with which a send ends when the head's process has ended: the connection
+# closed, or the process was found to be replaced by another one before that.
 PROCESS_ENDED_REASONS = (Reason.BROKEN_STREAM, Reason.RESTARTED)
 EVENT_ID = b"id:"
 
@@ -64,7 +68,7 @@
         self.placement = StreamPlacement(parts=parts)
         self.active: set[ActiveStream] = set()
         self._serving = 0
-        # Called when a send has ended, with whatever outcome.
+        # Called when a send has ended with any outcome, so that its slot is free.
         self.on_end: list[Callable[[], None]] = []
         # Set while any stream is served or waits on this host.
         self.has_streams = asyncio.Event()
@@ -122,7 +126,7 @@
     def _refuse_retry(
         self, work: StreamWork, end: AttemptEnd, reason: Reason
     ) -> Refusal | None:
-        """Return why a stream must not be sent again, None if it may be."""
+        """Return the refusal of a stream that must not be sent again, else None."""
         now = self._clock.now()
         quarantined = self._quarantine.refusal(work.fingerprint)
         if quarantined is not None:
@@ -130,7 +134,7 @@
         if isinstance(end, NotRun):
             work.not_run_sends += 1
             work.sent_to.pop()
-            if work.not_run_sends > MAX_NOT_RUN_SENDS:
+            if work.not_run_sends > MAX_NOT_RUN_REPEATS:
                 return self.placement.refuse(Reason.NO_GROUP, NO_GROUP_RETRY_SECONDS)
         elif not work.route.resumable:
             return Refusal(status=502, reason=Reason.MAYBE_RUN)
@@ -158,7 +162,7 @@
         )
 
     def can_resume(self, stream: ActiveStream) -> bool:
-        """Return whether a stream may be sent to another group once one has a slot."""
+        """Return whether a stream may resume on another group once one has a slot."""
         work = stream.work
         if not work.route.resumable or stream.move_reason is not None:
             return False
@@ -185,10 +189,11 @@
             )
             return Answered(status=failed.status, target=work.sent_to[-1].id)
         if work.sent_to and refusal.status == 503:
-            # Some engine may have run it, and 503 means that none did.
+            # An engine may have run the request, but 503 means that none did.
             return Refusal(status=502, reason=refusal.reason)
         if not work.sent_to and refusal.status != 503:
-            # Every engine rejected it, so the caller may retry any request.
+            # Every engine rejected the request, so the caller may retry it whether or
+            # not it may run twice.
             return self.placement.refuse(refusal.reason, NO_GROUP_RETRY_SECONDS)
         return refusal
 
@@ -310,7 +315,7 @@
     def _record_notice(
         self, stream: ActiveStream, response: HttpResponse
     ) -> TargetNotice:
-        """Record what a head's answer says of its availability."""
+        """Record what a head announces about its availability in an answer."""
         notice = self._targets.notice(response)
         if stream.group.head is not None:
             self._availability.record_notice(stream.group.head, notice, stream.sent_at)
@@ -361,7 +366,7 @@
         own.backoff_seconds = 0.0
 
     def _record_broken(self, work: StreamWork, group: Group, reason: Reason) -> None:
-        """Record that a group's head ended; back off if that preceded the send."""
+        """Record that a head's process ended; back off if it ended before the send."""
         assert group.head is not None
         process = group.head.process
         if not self._quarantine.record_ending(work.fingerprint, process, work.sent_at):
@@ -369,7 +374,7 @@
             self._log_rejected(work, group, reason)
 
     def _back_off(self, work: StreamWork, group: Group) -> None:
-        """Suspend a group after it rejected a stream, with exponential backoff.
+        """Exclude a group after it rejected a stream, with exponential backoff.
 
         The backoff doubles until the group sends an event: with a short fixed one, a
         crashed head would get a stream after each backoff and use up the retry budget.
--- a/mallowpond/node/traffic.py
+++ b/mallowpond/node/traffic.py
@@ -1,10 +1,10 @@
-"""Whether any request has arrived yet, here or at a peer."""
+"""Record whether any request has arrived yet, here or at a peer."""
 
 from dataclasses import dataclass
 
 
 @dataclass(kw_only=True)
 class TrafficSeen:
-    """Set by the first request: loading weights is cheap only before it."""
+    """`seen` is set by the first request; before it, weight loads delay no request."""
 
     seen: bool = False
--- a/mallowpond/node/waiting.py
+++ b/mallowpond/node/waiting.py
@@ -81,7 +81,10 @@
             waiter.future.set_result(False)
 
     def wake(self, has_capacity: Callable[[], bool], now: float) -> None:
-        """Wake the first stream if there is a free slot; it wakes the next one."""
+        """Wake the first waiting stream if there is a free slot.
+
+        Once that stream is sent, it wakes the next one.
+        """
         waiting = self._pending()
         if not waiting or not has_capacity():
             return
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -30,13 +30,14 @@
 # Interval between two checks, in seconds: a small part of the shortest gap objectives.
 MIN_CHECK_INTERVAL_SECONDS = 0.02
 # Longest interval between two checks, in seconds, while no group can have been silent
-# long enough, which holds for most of 195 hosts most of the time. The silence of a
-# stream that begins meanwhile becomes due later than that.
+# long enough to be suspected. In a fleet of 195 hosts that holds for most of them most
+# of the time. A stream that begins meanwhile cannot have been silent for too long
+# before the next check.
 MAX_CHECK_INTERVAL_SECONDS = 0.06
-# Events of a stream from a group after which the group's pace counts as known.
+# Events that a stream must have got from a group before the group's pace is judged.
 MIN_PACE_EVENTS = 2
-# Delay of a check, in seconds, beyond which this process itself was stalled: the
-# silence it sees may be its own, so the silence of all groups is counted anew.
+# Delay of a check, in seconds, beyond which this process itself counts as stalled: it
+# may not have read the groups' events, so the silence of all groups is counted anew.
 STALLED_SECONDS = 0.08
 # Time for which a group that only this host cannot reach gets none of its streams, in
 # seconds; the next stream opens a new connection in place of the silent one.
@@ -48,7 +49,9 @@
 
     Before it suspects a group it asks the other hosts whether they see progress there.
     Streams of suspected, broken, slow or unreachable groups are moved where possible;
-    suspicions and broken groups are broadcast to the peers.
+    suspicions and broken groups are broadcast to the peers. `stall_seconds` is the time
+    after which a group that makes no progress reports its failure itself; a suspected
+    group is excluded for as long.
     """
 
     def __init__(
@@ -90,7 +93,7 @@
             self.check()
 
     def check(self) -> None:
-        """Evaluate every group that has streams of this host."""
+        """Check every group that has streams of this host for silence and slowness."""
         now = self._clock.now()
         if now - self._due_at > STALLED_SECONDS:
             self._silence_counts_from = now
