--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -90,7 +90,7 @@
         self._metrics.in_flight.set(self.in_flight)
         self._traffic.seen = True
         if self.is_stopping:
-            exchange.close_after()
+            exchange.announce_close()
             log.info(
                 "ingress: reached while stopping",
                 target=request.path,
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -342,7 +342,7 @@
         current = self._current_targets
         # During an outage of the store and just after it, the list need not show the
         # effects of recent orders.
-        self._book.reconcile(current, now=now, shows_orders=self._directory.is_settled)
+        self._book.reconcile(current, now=now, is_settled=self._directory.is_settled)
         for key in groups:
             self._first_seen.setdefault(key, now)
         self._leaving_since = {
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -174,7 +174,7 @@
             asked=target,
             answered=report.target,
             asked_at=sent_at,
-            shows_orders=self._is_report_current(report.target),
+            shows_last_order=self._is_report_current(report.target),
         )
         self._book.raise_min_count(report.target, report.orders)
         if report.target.process != target.process:
