--- a/mallowpond/coordination/clock.py
+++ b/mallowpond/coordination/clock.py
@@ -4,8 +4,9 @@
 import random
 import time
 
-# Period of the ticks on which longer sleeps end, in seconds. A node's ten loops run a
-# few times a second; on common ticks they wake it at most ten times a second.
+# Period of the ticks on which longer sleeps end, in seconds. About ten periodic tasks
+# of a node run a few times a second each; on common ticks they wake its process at most
+# ten times a second together.
 TICK_SECONDS = 0.1
 
 
@@ -24,13 +25,14 @@
 class BootClock(MonotonicClock):
     """Clock that also counts the time while the host was suspended.
 
-    Ages of leases and confirmations are measured on it: on the plain monotonic clock, a
-    host that resumes after ten seconds would use a lease that expired long ago.
+    Leases, and the confirmations of the configuration version, expire by it: on the
+    plain monotonic clock, a host that resumes after ten seconds would use a lease that
+    expired long ago.
     """
 
     def __init__(self) -> None:
-        # Random, as with one phase for all, 195 hosts would send their work to the
-        # readers in the same millisecond.
+        # Random: with one phase for all, a fleet of 195 hosts would send all its load
+        # reports to the readers in the same millisecond.
         self._phase = random.random() * TICK_SECONDS
 
     def now(self) -> float:
@@ -38,7 +40,10 @@
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep; for a tick or longer, until the nearest tick of this process."""
+        """Sleep; a time of at least one tick is rounded to end on a tick.
+
+        The nearest tick may be up to half a period earlier or later.
+        """
         if seconds >= TICK_SECONDS:
             now = self.now()
             seconds = nearest_tick(now + seconds, self._phase) - now
@@ -46,5 +51,5 @@
 
 
 def nearest_tick(due: float, phase: float) -> float:
-    """Return the tick nearest to `due`; ticks are at `phase` plus whole periods."""
+    """Return the time of the tick nearest to `due`; `phase` is that of one tick."""
     return round((due - phase) / TICK_SECONDS) * TICK_SECONDS + phase
--- a/mallowpond/coordination/configuration.py
+++ b/mallowpond/coordination/configuration.py
@@ -1,7 +1,8 @@
 """Change the configuration on all controllers or on none, and never go back.
 
 A change is proposed, prepared by a majority of every cell's members, and accepted in
-one transaction that advances the head. See ``docs/design/configuration.md``.
+one transaction that advances the head, the row that names the version in force. See
+``docs/design/configuration.md``.
 """
 
 from collections.abc import Callable
@@ -44,7 +45,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AppliedConfiguration:
-    """The configuration in force on this controller; version 0 is empty."""
+    """The configuration version that this controller uses; version 0 is empty.
+
+    It may be behind the version in force, which the stored `HeadRow` names.
+    """
 
     version: int
     text: str
@@ -107,17 +111,17 @@
 
     @property
     def applied(self) -> AppliedConfiguration:
-        """Return the configuration in force on this controller."""
+        """Return the configuration that this controller uses."""
         return self._applied
 
     @property
     def prepared(self) -> str:
-        """Return the identifier of the proposal prepared here, empty for none."""
+        """Return the identifier of the proposal that is prepared, empty if none."""
         return self._prepared_proposal.proposal if self._prepared_proposal else ""
 
     @property
     def head_read(self) -> HeadRead | None:
-        """Return the last read of the head."""
+        """Return the last read of the row that names the version in force."""
         return self._head_read
 
     @property
@@ -134,7 +138,7 @@
         return sorted(rows, key=lambda r: -r.version)
 
     def assurance(self) -> Assured | NotAssured:
-        """Return whether the version in force is known for certain and applied here."""
+        """Return whether the version in force is known for certain and is used."""
         cell = self._membership.latest_cell
         members = cell.members if cell else ()
         verdict = assess_assurance(
--- a/mallowpond/coordination/health.py
+++ b/mallowpond/coordination/health.py
@@ -33,7 +33,7 @@
         self._reports: dict[str, EngineReport] = {}
 
     async def poll(self, hosts: tuple[Host, ...]) -> None:
-        """Query the engines of all target hosts concurrently."""
+        """Query the engines of all hosts that run one, concurrently."""
         hosts = tuple(host for host in hosts if host.is_target)
         await asyncio.gather(*(self._query(host) for host in hosts))
         listed = {host.name for host in hosts}
@@ -49,7 +49,8 @@
     def confirmed_age(self, group: GroupRow) -> float | None:
         """Return the age in seconds of the oldest status that confirms a member.
 
-        Return None if a member is silent or its status does not match the group's row.
+        Return None if a member is silent, or its status does not show it loaded in this
+        generation of the group.
         """
         ages = []
         for member in group.members:
@@ -68,7 +69,10 @@
 
 
 def confirms_member(status: EngineStatus, member: GroupMember, group: GroupRow) -> bool:
-    """Return whether a status shows the member loaded, as the group's row has it."""
+    """Return whether a status shows the member loaded in this generation of the group.
+
+    The engine must still be the incarnation that the group's row names.
+    """
     reported = (status.incarnation, status.group, status.generation)
     expected = (member.incarnation, group.group, group.generation)
     return reported == expected and status.loaded
--- a/mallowpond/coordination/keys.py
+++ b/mallowpond/coordination/keys.py
@@ -34,5 +34,5 @@
 
 
 def quota_key(workspace: str) -> str:
-    """Return the key of the budget leased to controllers for a workspace."""
+    """Return the key of the units of a workspace's budget that gateways have leased."""
     return f"quota/{workspace}"
--- a/mallowpond/coordination/leases.py
+++ b/mallowpond/coordination/leases.py
@@ -1,4 +1,7 @@
-"""Named leases, held while this process owns the name and renews its heartbeat."""
+"""Named leases, held while this process owns the name and renews its heartbeat.
+
+Rendezvous hashing over the members that may acquire leases decides who owns a name.
+"""
 
 from collections.abc import Callable
 from dataclasses import replace
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -43,7 +43,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MemberIdentity:
-    """Name, cell, addresses and incarnation of this controller."""
+    """Name, cell, addresses and incarnation of this controller.
+
+    `address` is for peers and gateways, `operator_address` for operators. The
+    incarnation differs after each start.
+    """
 
     name: str
     cell: str
@@ -53,7 +57,11 @@
 
 
 class Membership:
-    """Renews this member's row, tracks the others' and advances the cell's epoch."""
+    """Renews this member's row, tracks the others' and advances the cell's epoch.
+
+    The members are the controllers of one cell, see `CellRow`. `draw_id` returns a new
+    random identifier.
+    """
 
     def __init__(
         self,
@@ -94,7 +102,7 @@
 
     @property
     def latest_cell(self) -> CellRow | None:
-        """Return the cell in its latest epoch, read from the table or by a peer."""
+        """Return the cell in its latest epoch that this member or a peer has read."""
         row = self.cell
         read = row.value if row else None
         if read is None or (self._peer_cell and self._peer_cell.epoch > read.epoch):
@@ -103,7 +111,7 @@
 
     @property
     def cell(self) -> Versioned[CellRow] | None:
-        """Return the row of this controller's cell as last read."""
+        """Return the row of this controller's cell as it last read it, with version."""
         return self._shared.get(CELLS + self._identity.cell, CellRow)
 
     @property
@@ -131,8 +139,9 @@
     def is_lease_expired(self, member: str, incarnation: str) -> bool:
         """Return whether a lease held by this incarnation has expired.
 
-        An incarnation that was never seen is watched from now on, so that a holder
-        whose row was overwritten still has its full lease time to stop by itself.
+        An incarnation without a known heartbeat is watched from now on with a constant
+        counter, so that a holder whose row was overwritten still has its full lease
+        time to stop by itself.
         """
         now = self._clock.now()
         key = (member, incarnation)
@@ -141,7 +150,7 @@
         return self._watch.is_expired(key, now)
 
     def eligible_owners(self) -> list[str]:
-        """Return the names of the members that can own leases and duties."""
+        """Return the names of the live members that may acquire leases."""
         return [
             n for n, m in self.live_members().items() if m.state is MemberState.LIVE
         ]
@@ -188,7 +197,8 @@
     ) -> RenewalResult:
         """Write a heartbeat, and the member row if it changed.
 
-        `applied` is the version in force here, `prepared` the proposal prepared here.
+        `applied` is the configuration version that this controller uses, `prepared` the
+        identifier of the proposal that it has prepared.
         """
         asked_at = self._clock.now()
         self._advance_state(asked_at)
@@ -216,7 +226,11 @@
         await self.renew(applied=applied, prepared=prepared, gateways=())
 
     async def advance_epoch(self) -> None:
-        """Create the cell's row, or advance its epoch by one member more or less."""
+        """Create the cell's row, or write its next epoch.
+
+        An epoch adds or removes one member. None is written while the members need no
+        change, or a majority has not acknowledged the current epoch.
+        """
         cell = self.cell
         key = SHARED + CELLS + self._identity.cell
         if cell is None:
@@ -261,8 +275,8 @@
         return transaction(self._draw_id(), *puts)
 
     def _advance_state(self, now: float) -> None:
-        # A new member waits one lease time: the former owner of its share has then
-        # either seen it or let its own leases expire.
+        # A new member waits for one lease time before it takes over leases: their
+        # former owner has then either seen it or let its leases expire.
         if self._state is not MemberState.JOINING or self._joined_at is None:
             return
         if now - self._joined_at >= self._lease_seconds:
--- a/mallowpond/coordination/ports.py
+++ b/mallowpond/coordination/ports.py
@@ -100,7 +100,7 @@
 
 
 class TableService(Protocol):
-    """Reads and changes rows of the platform's transactional table service.
+    """Reads and changes rows of the platform's transactional table service, the store.
 
     A row can be unreadable only in tables that other programs can write to.
     """
@@ -116,7 +116,7 @@
 
 
 class HostState(str, Enum):
-    """State of a host in the platform's list; a leaving host is about to go."""
+    """State of a host in the platform's list; a leaving host is about to shut down."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/mallowpond/platform/call_counts.py
+++ b/mallowpond/platform/call_counts.py
@@ -1,4 +1,4 @@
-"""Count the calls to the store by table and purpose."""
+"""Count the calls to the table service (the store) by table and kind of call."""
 
 from collections import Counter
 
--- a/mallowpond/platform/early_listener.py
+++ b/mallowpond/platform/early_listener.py
@@ -1,10 +1,10 @@
 """Listen for callers before the rest of the program is loaded.
 
-Loading takes some tenths of a second. While a killed host starts again, the kernel
-would refuse its callers' connections, and most callers try only twice. On a listening
-socket connections wait in the backlog until the host can answer. With a shorter start,
-0.9% of requests failed instead of 2.4% in a scenario that ends with the loss of all
-hosts (one run each).
+Loading takes some tenths of a second. While an entry host that was killed starts again,
+the kernel would refuse its callers' connections, and most callers try only twice. On a
+listening socket connections wait in the backlog until the host can answer. A shorter
+start reduced the failed requests from 2.4% to 0.9% in a test whose last failure is that
+of all hosts (one run each).
 """
 
 import os
--- a/mallowpond/platform/program.py
+++ b/mallowpond/platform/program.py
@@ -26,9 +26,9 @@
 from mallowpond.transport.http_client import HttpClient
 
 log = structlog.get_logger()
-# Time to open a connection to an engine or the store, in seconds: some tens of round
-# trips. A host that is down does not answer at all.
-CONNECT_SECONDS = 0.25
+# Timeout for opening a connection to an engine or the store, in seconds: some tens of
+# round trips. A host that is down does not answer at all.
+CONNECT_TIMEOUT_SECONDS = 0.25
 EXIT_USAGE = 2
 # Thresholds of the three garbage collector generations. The program and the list of
 # targets stay in memory for good, and traversing them with lower thresholds took 5% of
@@ -46,8 +46,8 @@
         return
     set_up_node_logs(settings.log, BootClock())
     changed = [n for n, v in vars(settings).items() if v != getattr(running, n)]
-    # Only the log settings take effect: addresses and bounds must not change while
-    # requests are in progress.
+    # Only the log settings take effect: addresses and the limits in `bounds` must not
+    # change while requests are in progress.
     log.info("node: reloaded", changed=changed, in_force=["log"])
 
 
@@ -58,13 +58,15 @@
 
     `listener` is the callers' socket if it is already open.
     """
-    http = HttpClient(connect_seconds=CONNECT_SECONDS)
+    http = HttpClient(connect_seconds=CONNECT_TIMEOUT_SECONDS)
     metrics = NodeMetrics()
     unreadable_log = UnreadableLog(counter=metrics.unreadable)
     counts = CallCounts(clock=BootClock(), metric=metrics.store_calls)
     store = PlatformStore(
         http=http, address=settings.store, unreadable_log=unreadable_log, counts=counts
     )
+    # The store is both the source of what others write, the configuration and the list
+    # of targets, and the table of the rows that nodes write.
     ports = NodePorts(
         callers=PlatformCallerProtocol(),
         source=store,
--- a/mallowpond/platform/rows.py
+++ b/mallowpond/platform/rows.py
@@ -1,4 +1,4 @@
-"""Decode answers of the platform's table service.
+"""Decode answers of the platform's table service, the store.
 
 Each row is decoded on its own, so that an unreadable one does not affect the others.
 """
@@ -46,8 +46,9 @@
     def latest_rows(self) -> list[StoredRow]:
         """Return the last state of each row; an answer may contain several of one row.
 
-        When the first state was used, a node kept an older configuration although it
-        had read past the newer one, and refused keys that were in force.
+        When the first state was used, a node kept an older configuration although the
+        same answer contained the newer one. As its next read began after that answer,
+        it went on to refuse valid API keys.
         """
         return list({row.key: row for row in self.rows}.values())
 
@@ -82,7 +83,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Place:
+class _RowAddress:
     table: str
     key: str
 
@@ -113,8 +114,8 @@
     decoded = _decode_json(data, _Conflicts)
     if isinstance(decoded, Unreadable):
         return ()
-    places = [decode(row, _Place) for row in decoded.rows]
-    return tuple(f"{p.table}/{p.key}" for p in places if isinstance(p, _Place))
+    rows = [decode(row, _RowAddress) for row in decoded.rows]
+    return tuple(f"{r.table}/{r.key}" for r in rows if isinstance(r, _RowAddress))
 
 
 def _decode_row(row: Any) -> StoredRow | Unreadable:
--- a/mallowpond/platform/store.py
+++ b/mallowpond/platform/store.py
@@ -1,4 +1,4 @@
-"""Client for the platform's table service."""
+"""Client for the platform's table service, called the store."""
 
 import base64
 import json
@@ -47,10 +47,10 @@
 
 
 class PlatformStore:
-    """Reads and changes rows of the table service; keys have the form TABLE/KEY.
+    """Reads and changes rows of the store; keys have the form TABLE/KEY.
 
-    It is the node's source of the configuration and the list of targets, and its table
-    for rows of this system.
+    The node reads the configuration and the list of targets from it, which others
+    write, and stores the rows of this system in it.
     """
 
     def __init__(
--- a/mallowpond/state/admission.py
+++ b/mallowpond/state/admission.py
@@ -8,11 +8,12 @@
 SERVICE_SMOOTHING = 0.1
 # Mean absolute deviations that the upper bound adds to the mean service time.
 UPPER_BOUND_DEVIATIONS = 2.0
-# Bounds of the retry delay in seconds.
+# Bounds of the retry delay of `refuse_if_late`, in seconds.
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 60.0
-# Bounds of the retry delay in seconds for callers that wait only a few seconds, and the
-# factors of its jitter, which keeps callers refused together from retrying together.
+# Bounds in seconds, before jitter, of the retry delay for callers whose deadlines are a
+# few seconds away; and the range of the jitter factor, which keeps callers that were
+# refused together from retrying together.
 SHORT_RETRY_AFTER_SECONDS = (0.1, 3.0)
 RETRY_JITTER = (0.6, 1.4)
 
@@ -36,7 +37,7 @@
 
 @dataclass(kw_only=True)
 class FairQueue:
-    """Weighted fair queue of waiting requests, with a weight for each workspace.
+    """Weighted fair queue of waiting requests; a workspace's weight is its `share`.
 
     Requests are ordered by their virtual finish times.
     """
@@ -45,14 +46,14 @@
     _last_finish: dict[str, float] = field(default_factory=dict)
     _cancelled: set[int] = field(default_factory=set)
     _numbers: count = field(default_factory=count)
-    _virtual: float = 0.0
+    _virtual_time: float = 0.0
 
     def __len__(self) -> int:
         return len(self._heap) - len(self._cancelled)
 
     def push(self, *, workspace: str, share: float, deadline: float) -> Ticket:
         """Add a request of a workspace with weight `share` and return its ticket."""
-        start = max(self._virtual, self._last_finish.get(workspace, 0.0))
+        start = max(self._virtual_time, self._last_finish.get(workspace, 0.0))
         finish = start + 1.0 / share
         self._last_finish[workspace] = finish
         number = next(self._numbers)
@@ -72,18 +73,22 @@
             if number in self._cancelled:
                 self._cancelled.discard(number)
                 continue
-            self._virtual = max(self._virtual, finish)
+            self._virtual_time = max(self._virtual_time, finish)
             return ticket
         self._last_finish.clear()
         return None
 
     def requeue(self, ticket: Ticket) -> None:
         """Put a popped request back at the head, as no slot was free for it."""
-        heapq.heappush(self._heap, (self._virtual, ticket.number, ticket))
+        heapq.heappush(self._heap, (self._virtual_time, ticket.number, ticket))
 
     def ahead_of(self, workspace: str, share: float) -> int:
-        """Return how many waiting requests go before a new one of a workspace."""
-        start = max(self._virtual, self._last_finish.get(workspace, 0.0))
+        """Estimate how many waiting requests go before a new one of a workspace.
+
+        All cancelled requests that are still in the heap are subtracted, also those
+        behind the new one, so the result may be too low.
+        """
+        start = max(self._virtual_time, self._last_finish.get(workspace, 0.0))
         finish = start + 1.0 / share
         before = sum(entry[0] <= finish for entry in self._heap)
         return max(0, before - len(self._cancelled))
@@ -93,7 +98,8 @@
 class ServiceTime:
     """Moving average and deviation of the time for which requests hold a slot.
 
-    The declared time that `seconds` starts with counts as the first sample.
+    The initial value of `seconds`, which the deployment declares, counts as the first
+    sample.
     """
 
     seconds: float
@@ -104,9 +110,9 @@
     def upper_bound(self) -> float:
         """Return a time in seconds within which most requests end.
 
-        With the mean alone, half of the requests that are admitted at the last moment
-        would miss their deadline after they have run. Under overload they would end as
-        unknown instead of being refused as not run.
+        With the mean alone, half of the requests that are admitted with just enough
+        time left would miss their deadline after they have run. Under overload their
+        outcome would be unknown, while a refusal shows that they did not run.
         """
         return self.seconds + UPPER_BOUND_DEVIATIONS * self.deviation
 
@@ -141,12 +147,15 @@
 
 
 def clamp_retry_after(seconds: float) -> float:
-    """Clamp a retry delay to the bounds that a caller can use."""
+    """Clamp a retry delay to its minimum and maximum in seconds."""
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
 
 
 def jittered_retry_after(seconds: float, draw: float) -> float:
-    """Return a retry delay around `seconds`; `draw` is uniform in [0, 1)."""
+    """Clamp a retry delay to the short bounds, and multiply it by a random factor.
+
+    `draw` is a random number, uniform in [0, 1), that selects the factor.
+    """
     least, most = SHORT_RETRY_AFTER_SECONDS
     low, high = RETRY_JITTER
     bounded = min(most, max(least, seconds))
--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -1,7 +1,7 @@
 """Decide whether a request that must run at most once is allowed to run.
 
 A claim is the stored row of one such request: it names the attempt that may be sent and
-how that attempt ended.
+how that attempt ended. Withdrawing an attempt that was not sent makes its claim void.
 """
 
 from dataclasses import dataclass, replace
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Withdrawn:
-    """The same attempt was withdrawn before its claim arrived."""
+    """The same attempt was withdrawn before this request for its claim arrived."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -28,12 +28,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AlreadyRun:
-    """Another attempt has run to completion."""
+    """An attempt, this one or another, has run to completion."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class OutcomeUnknown:
-    """Another attempt was sent, and it is not known whether it ran."""
+    """An attempt, this one or another, may have been sent; it may or may not have run.
+
+    Either its gateway reported so, or that gateway is gone and left the claim open.
+    """
 
 
 ClaimDecision = Granted | Withdrawn | InProgress | AlreadyRun | OutcomeUnknown
@@ -44,7 +47,7 @@
 ) -> ClaimDecision:
     """Decide on the `requested` claim of an attempt against the `stored` one.
 
-    `live_gateways` are the gateways that can still end the attempts they claimed.
+    `live_gateways` are the gateways that can still report how their attempts ended.
     """
     match stored:
         case None:
@@ -68,7 +71,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settled:
-    """Change to store: `row`, and `units` to add to the ledger (negative: a refund)."""
+    """Change to store: the claim's `row`, and `units` to charge to the workspace.
+
+    Units are those of the daily quota; a negative number is a refund.
+    """
 
     row: ClaimRow
     units: int
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -8,7 +8,7 @@
 
 from mallowpond.state.decoding import Address, Identifier, Name, Positive
 
-# A group's name and epoch; unique for each formation of a group.
+# Key of a formation: the group's name and epoch.
 GroupKey = tuple[str, int]
 
 
@@ -18,7 +18,7 @@
 
     `born` is the start time by the host's clock, which may be stepped. So values of
     `born` can only be compared for equality: the larger one need not be the later
-    process. It is None where back ends do not report it.
+    process. It is None where back ends do not report a start time.
     """
 
     id: str
@@ -31,7 +31,7 @@
 
     share: the model's declared share of all work, counted in engines.
     pace: factor on the time of a step, relative to the profile's `step_seconds`.
-    load_seconds: time to join with weights that must be loaded from their store.
+    load_seconds: time to join with weights that must be loaded from the weight store.
     warm_seconds: time to join with weights that are staged on the host.
     """
 
@@ -96,7 +96,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Membership:
-    """Place of an engine in one formation of a group; rank 0 is the head."""
+    """Place of an engine in a formation, as the engine reports it.
+
+    A formation is one epoch of a group: one set of processes that were ordered to serve
+    a model together. Any change of members needs a new formation. The member of rank 0
+    is the head, which gets the requests of the whole group.
+    """
 
     group: Name
     epoch: int
@@ -106,15 +111,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Target:
-    """One process of a back end as the platform lists it.
+    """One process of a back end as the platform's list of targets describes it.
+
+    "The list" means this list as last read, and "listed" targets those in it. Each
+    target writes its own entry and renews it; an entry that is not renewed expires.
 
     id, born: identity of the process, see `Process`.
     slots: requests that it runs at the same time.
-    draining: it has announced that it will stop.
-    lapsed: its entry expired because it fell silent, without an announced stop.
+    draining: it is leaving, that is it has announced that it will stop.
+    lapsed: its entry expired without such an announcement; it may still run, for
+        example behind a network partition.
     domain: its fabric domain.
     model: the model that the process has loaded or is loading, empty if none.
-    staged: models whose weights are on its host.
+    staged: models whose weights are on its host, so that joining needs no load.
     """
 
     id: Identifier
@@ -145,7 +154,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Group:
-    """The members of one formation that are listed now, by rank.
+    """The listed members of one formation, by rank; some may be missing.
 
     Derived properties are cached, because each placement of a stream reads them for
     all groups, which may have 32 members each.
@@ -163,7 +172,7 @@
 
     @cached_property
     def head(self) -> Target | None:
-        """Return the member that gets the requests, None when it is not listed."""
+        """Return the member of rank 0, None when it is not listed."""
         first = self.members[0]
         return first if _membership(first).rank == 0 else None
 
--- a/mallowpond/state/formation.py
+++ b/mallowpond/state/formation.py
@@ -1,7 +1,7 @@
 """Plan the orders that form groups of engines for the declared models.
 
-This planner runs on the entry hosts and forms groups from listed targets; the one in
-`planner` forms groups of hosts for the controllers.
+This planner runs on the entry host that holds the planner's lease, and forms groups
+from listed targets; the one in `planner` forms groups of hosts for the controllers.
 
 The load pattern: in small fabric domains, two engines fail every few seconds, sometimes
 a whole domain, and empty engines are added. Loading weights takes many times longer
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Close:
-    """Order a head to accept no more requests; `evict` hands back the running ones."""
+    """Order a head to accept no more requests; with `evict`, end the running ones."""
 
     target: Target
     group: str
@@ -38,7 +38,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leave:
-    """Order a member to leave its group, which breaks the group."""
+    """Order a member to leave its group, which breaks the group.
+
+    This frees a target that goes on running; one that is leaving is about to stop.
+    """
 
     target: Target
     group: str
@@ -47,18 +50,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Stage:
-    """Order a target to load a model's weights onto its host."""
+    """Order a target to load a model's weights onto its host, without joining a group.
+
+    They are then staged there, so that a later join needs no load.
+    """
 
     target: Target
     model: str
 
 
+# An order to one target.
 Step = Join | Open | Close | Leave | Stage
 
 
 @dataclass(frozen=True, kw_only=True)
 class Formation:
-    """A formation that was ordered: its members by rank, and when it was ordered."""
+    """One epoch of a group, as this planner ordered it.
+
+    `members` are the ids of the targets that were ordered to join, by rank, and
+    `ordered_at` is the time of the order. What has joined so far is a `Group`.
+    """
 
     group: str
     epoch: int
@@ -76,19 +87,22 @@
 class FormationView:
     """Input of one planning round.
 
-    demand: share of the work per model; the declared share holds where it is absent.
+    demand: estimated share of all work per model, in the unit of `ModelSpec.share`,
+        which applies where a model is absent.
     utilization: requests per slot of each model's open groups; above 1 they queue.
     lost: targets that do not answer.
     busy: targets with an order under way.
-    formations: formations whose member lists this planner knows.
-    first_seen: time at which each listed group was first seen here.
-    seen: processes that were ordered into each group or listed as its members.
-    disclaimed: groups of which a listed member answers that it is not in them.
-    repeatedly_suspected: groups that fell silent again and again, although all of
-        their members answer probes.
+    formations: formations that this planner ordered, whose full member lists it knows.
+    first_seen: time at which this planner first saw each listed group.
+    seen: processes that were ordered into each formation or listed as its members. If
+        another process runs under the id of one of them, that member has restarted.
+    disclaimed: formations of which a listed member, asked directly, reports that it is
+        in another one or in none.
+    repeatedly_suspected: groups that were suspected several times because they sent
+        no events, although all of their members answered probes.
     closed: groups whose head was ordered to close, or whose members to leave; they
         are dissolved once they are idle, and not opened again.
-    leaving_since: time at which each stopping target was first seen to be stopping.
+    leaving_since: time at which each leaving target was first seen to be leaving.
     loads_begun: times of recent orders that load weights.
     loading: models that targets were ordered to load and do not list as loaded yet.
     is_before_traffic: no request has arrived yet in this installation.
@@ -119,7 +133,10 @@
 
 
 def needs_load(target: Target, model: ModelSpec) -> bool:
-    """Return whether a target must load a model's weights before it can serve it."""
+    """Return whether a target must load a model's weights before it can serve it.
+
+    A load copies them from the weight store to the host.
+    """
     return target.model != model.name and model.name not in target.staged
 
 
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -3,8 +3,9 @@
 A target may restart under its `id`. The new process has no state and counts its orders
 from zero, so every record here belongs to one process and is dropped with it.
 
-Each process counts the orders that it has begun. An order carries the count that the
-planner expects; the process rejects it if its count differs.
+A process may accept an order without beginning it, if it is fulfilled already. It
+counts the orders that it has begun. An order carries the count that the planner
+expects; the process rejects it if its count differs.
 """
 
 from collections.abc import Mapping
@@ -67,7 +68,7 @@
     count: number of orders that it has begun, None if unknown.
     min_count: lower bound on the count.
     pending: the order under way.
-    left, joined: the groups that it last left and joined by an order from here.
+    left, joined: the groups that it last left and joined by an order of this planner.
     ordered_at: time at which it last accepted an order.
     load: the weight load that the list does not show yet.
     """
@@ -182,7 +183,7 @@
         return True
 
     def raise_min_count(self, target: Target, orders: int) -> None:
-        """Record a count seen in a report to a probe; later ones must not be lower."""
+        """Record the count in a probe's report; later ones must not be lower."""
         record = self._record(target)
         record.min_count = max(record.min_count, orders)
         if record.count is not None and record.count < orders:
@@ -191,9 +192,9 @@
     def record_begun(self, step: Step, *, expected: int, is_certain: bool) -> None:
         """Count an order that was accepted with the count `expected`.
 
-        Reports lag behind, so the count is kept here: with an old one the next join
-        would be rejected, and its whole group would wait. If `is_certain` is false, the
-        process may not have counted the order.
+        Reports lag behind, so the planner counts by itself: with an old count the next
+        join would be rejected, and its whole group would wait. If `is_certain` is
+        false, the process may not have begun and counted the order.
         """
         record = self._record(step.target)
         if expected + 1 < record.min_count:
@@ -213,8 +214,8 @@
     ) -> None:
         """Drop orders that the list shows to have taken effect, and ended processes.
 
-        `is_settled` is false while the list is unavailable: it then shows no effects
-        of orders given since.
+        `is_settled` is false during and just after an outage of the store: the list
+        then need not show the effects of orders given since.
         """
         listed = {target.process: target for target in targets.values()}
         self._records = {p: r for p, r in self._records.items() if p in listed}
--- a/mallowpond/state/processes.py
+++ b/mallowpond/state/processes.py
@@ -10,9 +10,9 @@
 was asked, even while the list still shows it. When the list shows a process that no
 answer has ended, that one is current.
 
-A restart without a new `born`, and a removal from a group by an order unknown here,
-show in the group instead: a target has lost its group when it answers that it is not
-in the group under which the list has shown it for a while.
+A restart without a new `born`, and a removal from a group by an order of another
+planner, show in the group instead: a target has lost its group when it answers that it
+is not in the group under which the list has shown it for a while.
 """
 
 from collections.abc import Iterable, Mapping
@@ -54,11 +54,11 @@
 
     @property
     def disclaimed(self) -> frozenset[GroupKey]:
-        """Return the groups of which a listed member answers that it is not in them."""
+        """Return the formations that a listed member, asked directly, is not in."""
         return frozenset(self._lost_groups.values())
 
     def reconcile(self, targets: Mapping[str, Target], *, now: float) -> None:
-        """Take over a read of the list; drop the state of targets no longer listed."""
+        """Apply a read of the list; drop the state of targets no longer listed."""
         known = self._targets
         changed = {n: t for n, t in targets.items() if known.get(n) is not t}
         gone = known.keys() - targets.keys()
@@ -105,7 +105,8 @@
         asked: the listed process that the question was meant for.
         answered: the process that answered, as it describes itself.
         asked_at: time at which the question was sent.
-        shows_last_order: whether the answer certainly shows the last order given.
+        shows_last_order: whether the answer certainly shows the effect of the last
+            order that was given to the target.
         """
         if shows_last_order:
             self._check_group(asked, answered, asked_at)
@@ -138,7 +139,7 @@
         """Return a listed target as its current process.
 
         If the listed process has ended, or has lost its listed group, the target is
-        returned as lapsed and without a group. Then it gets no orders until the list
+        returned as lapsed and without a group. So it gets no orders until the list
         shows the change: their effects would not be visible, and its group could not
         be opened.
         """
--- a/mallowpond/state/rows.py
+++ b/mallowpond/state/rows.py
@@ -1,4 +1,4 @@
-"""Data classes of the rows that the processes store in the platform's table service.
+"""Data classes of rows that controllers and nodes store in the table service.
 
 The field names and the values of the enums are part of the stored data.
 """
@@ -8,7 +8,7 @@
 
 
 class MemberState(str, Enum):
-    """Stage of a controller in its cell; only a `LIVE` one may take over work."""
+    """Stage of a controller in its cell; only a `LIVE` one may acquire leases."""
 
     JOINING = "joining"
     LIVE = "live"
@@ -34,7 +34,11 @@
 
 
 class ClaimState(str, Enum):
-    """Whether a request that must run at most once has run."""
+    """State of the attempt that holds a claim.
+
+    CLAIMED: it may be sent, and its end is not reported yet. DONE: it has run. UNKNOWN:
+    it may have run. VOID: it was withdrawn unsent, so another attempt may take over.
+    """
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -46,8 +50,10 @@
 class MemberRow:
     """A controller as a member of its cell; written only when a field changes.
 
-    `applied` is the configuration version in use, `prepared` the proposal that the
-    member has prepared, and `epoch` the cell's epoch that it has acknowledged.
+    `applied` is the configuration version in use, `prepared` the identifier of the
+    proposal that the member has prepared (empty if none), and `epoch` the cell's epoch
+    that it has acknowledged. `operator_address` is where it serves operators.
+    `gateways` are the incarnations of the gateways that are attached to it.
     """
 
     name: str
@@ -74,9 +80,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CellRow:
-    """The members whose votes count in a data centre's cell.
+    """The members of a cell whose votes count, in one epoch of the cell.
 
-    Successive epochs differ by one member.
+    A cell is the controllers of one data centre. They read each other's heartbeats, and
+    a configuration change needs a majority of every cell. Successive epochs differ by
+    one member.
     """
 
     cell: str
@@ -108,7 +116,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupRow:
-    """A group of hosts that together run one replica; members are in order of rank."""
+    """A group of hosts that together run one replica; members are in order of rank.
+
+    `generation` grows by one with each repair, which replaces members.
+    """
 
     group: str
     deployment: str
@@ -167,7 +178,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeadRow:
-    """The configuration version that is in force."""
+    """The configuration version that is in force, and the proposal that it came from.
+
+    This head of the configuration has nothing to do with the head of a group.
+    """
 
     version: int
     proposal: str
@@ -196,7 +210,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimRow:
-    """Claim of one attempt of a once-only request: whether it may run, or ran."""
+    """Claim of one attempt of a once-only request: whether it may run, or ran.
+
+    `key` is the caller's idempotency key, and `units` are what the request charges to
+    its workspace.
+    """
 
     workspace: str
     key: str
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# Multiple of the predicted silence below which a group is never suspected, as not all
-# prefill of other hosts' requests is known here.
+# Multiple of the predicted silence below which a group is never suspected, as a host
+# does not know all prefill of other hosts' requests.
 EXPECTED_FACTOR = 1.6
 # Margin added to the predicted silence for timers, links and scheduling, in seconds.
 SILENCE_SLACK_SECONDS = 0.03
@@ -91,7 +91,7 @@
 def classify_silence(
     silence: GroupSilence, query: PeerQuery | None, now: float
 ) -> SilenceVerdict:
-    """Decide what to do by a group's silence here and the answers of the other hosts.
+    """Decide what to do about a group that is silent on this host.
 
     SOUND: do nothing. ASK: ask the other hosts. WAIT: wait for their answers, or
     because the group advances for them. LEAVE: it advances only for them, so move this
--- a/mallowpond/state/store_clock.py
+++ b/mallowpond/state/store_clock.py
@@ -1,4 +1,4 @@
-"""Estimate when an answer left the store, by the store's own monotonic clock.
+"""Estimate when an answer left the table service (the store), by its monotonic clock.
 
 The answer to a long poll shows what was newest as it left the store, not as it was
 asked for. If it counted from the time of the query, a wait of two seconds would be lost
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -136,7 +136,10 @@
         )
 
     def has_restarted(self, key: GroupKey) -> bool:
-        """Return whether a member restarted, so that it has no state of the group."""
+        """Return whether a member restarted or denies its membership.
+
+        It then has no state of the formation.
+        """
         if key in self._view.disclaimed:
             return True
         return has_restarted(self._view.seen.get(key, ()), self._listed)
