--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoReply:
-    """Send without a complete answer; `may_have_run` is False only on proof."""
+    """No complete answer; `may_have_run` is False only if it provably did not run."""
 
     reason: Reason
     may_have_run: bool
@@ -138,6 +138,11 @@
             )
 
     def _choose_target(self, work: CallWork) -> Target | None:
+        """Return the least loaded usable target, None if there is none.
+
+        Targets that failed lately come last. One that rejected the request is chosen
+        again only when no other is left, one that may have run it never.
+        """
         used = set(work.sent_to) | set(work.rejected_by)
         targets = [
             target
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -184,7 +184,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def plan_once(self) -> None:
-        """Run one planning round; it plans if this node leads and a plan is due."""
+        """Run one planning round if this node holds the lease and one is due."""
         if not self._leadership.fence:
             self._directory.poll_seconds = POLL_SECONDS
             return
@@ -397,8 +397,8 @@
         if isinstance(step, Join) and self._has_joined_elsewhere(step):
             self._release_later(step)
             return
-        expected = await self._order_count(target)
-        if expected is None:
+        order_count = await self._order_count(target)
+        if order_count is None:
             self._release_later(step)
             return
         # An order from an earlier term is dropped, also when this node has acquired the
@@ -408,9 +408,9 @@
             if not holds_lease or self._has_paused or self._is_outdated(step):
                 self._release_later(step)
                 return
-            result = await self._targets.order(step, fence=fence, expected=expected)
+            result = await self._targets.order(step, fence=fence, expected=order_count)
         self._gate.record_result(answered=not isinstance(result, OrderLost))
-        self._handle_result(step, result, expected=expected)
+        self._handle_result(step, result, order_count=order_count)
 
     def _is_outdated(self, step: Step) -> bool:
         """Return whether an order was overtaken by events since it was planned.
@@ -450,7 +450,10 @@
         return True
 
     async def _order_count(self, target: Target) -> int | None:
-        """Return how many orders a target has begun, or None to retry the order."""
+        """Return how many orders a target has begun, None if that is not certain.
+
+        The order is then dropped, and planned again if it is still due.
+        """
         known = self._book.count(target)
         if known is not None:
             return known
@@ -476,7 +479,9 @@
             return False
         return self._processes.current(listed).process == target.process
 
-    def _handle_result(self, step: Step, result: OrderResult, *, expected: int) -> None:
+    def _handle_result(
+        self, step: Step, result: OrderResult, *, order_count: int
+    ) -> None:
         target = step.target
         is_process_gone = not self._is_current(target)
         kind = type(step).__name__.lower()
@@ -498,7 +503,9 @@
             case OrderTaken(began=began):
                 # Whether the target counted a leave that it did not begin is unknown.
                 if began or isinstance(step, Leave):
-                    self._book.record_begun(step, expected=expected, is_certain=began)
+                    self._book.record_begun(
+                        step, expected=order_count, is_certain=began
+                    )
                 self._record_accepted(step)
             case OrderFenced():
                 self._book.invalidate_count(target)
--- a/mallowpond/node/rate_limits.py
+++ b/mallowpond/node/rate_limits.py
@@ -58,7 +58,10 @@
     def record_notice(
         self, target: Target, notice: TargetNotice, sent_at: float
     ) -> None:
-        """Apply the limit, or lack of one, in an answer to a request of `sent_at`."""
+        """Apply the limit that an answer names; without one, the old limit is lifted.
+
+        `sent_at` is the time at which the answered request was sent.
+        """
         process, limit = target.process, notice.rate_limit
         if limit is None and not self._shares.is_limited(process):
             return
--- a/mallowpond/node/readers.py
+++ b/mallowpond/node/readers.py
@@ -99,7 +99,7 @@
         self._work_turn = 0
         self._last_sent_work: LoadsByGroup = {}
         self._was_store_reached = True
-        # Returns the number of the last place granted to this host whose stream its
+        # Returns the number of the last slot granted to this host whose stream its
         # load includes.
         self.grant_number: Callable[[], int] = lambda: 0
         self.after_digest: list[Callable[[], None]] = []
