--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -503,9 +503,7 @@
             case OrderTaken(began=began):
                 # Whether the target counted a leave that it did not begin is unknown.
                 if began or isinstance(step, Leave):
-                    self._book.record_begun(
-                        step, expected=order_count, is_certain=began
-                    )
+                    self._book.record_begun(step, expected=order_count, has_begun=began)
                 self._record_accepted(step)
             case OrderFenced():
                 self._book.invalidate_count(target)
@@ -528,7 +526,7 @@
                 self._probes.start_probe(target)
 
     def _record_accepted(self, step: Step) -> None:
-        self._book.record_taken(step, self._clock.now())
+        self._book.record_accepted(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
                 # The formation has ended. If its record stayed, its members would be
