--- a/mallowpond/platform/engines.py
+++ b/mallowpond/platform/engines.py
@@ -159,7 +159,11 @@
         return found
 
     async def is_healthy(self, target: Target, path: str) -> bool | Unavailable:
-        """Query whether a target is healthy and not stopping; False also if full."""
+        """Query whether a target is healthy.
+
+        False if it answers otherwise, as a stopping or full one does; `Unavailable`
+        without an answer of the listed process.
+        """
         answer = await self._http.fetch_response(
             target.address,
             "GET",
--- a/mallowpond/state/assurance.py
+++ b/mallowpond/state/assurance.py
@@ -1,10 +1,10 @@
-"""Decide whether a node knows which configuration version is in force.
+"""Decide whether a controller knows which configuration version is in force.
 
-A node admits new work only while one of three sources confirms its version: its own
-read of the head row, a peer's read of it, or, while the table service is unreachable,
-a majority of the node's cell. A version is accepted only after a majority of every
-cell has prepared it. So every majority that could confirm the old version contains a
-member that has prepared the new one and does not confirm. See
+New work is admitted only while one of three sources confirms a version: the
+controller's own read of the head row, a peer's read of it, or, while the table service
+is unreachable, a majority of the controller's cell. A version is accepted only after a
+majority of every cell has prepared it. So every majority that could confirm the old
+version contains a member that has prepared the new one and does not confirm. See
 ``docs/design/configuration.md``.
 """
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeadRead:
-    """This node's last read of the head row.
+    """This controller's last read of the head row, which names the version in force.
 
     `asked_at` is the time before the read was sent, so it never overstates freshness.
     """
@@ -35,9 +35,9 @@
 class PeerAnswer:
     """A peer's last answer about the configuration that it knows.
 
-    `asked_at` is this node's clock before the query was sent. `read_age` is the age in
-    seconds of the peer's last read of the head, None if it has not read it since its
-    start. With `holds_newer` the peer has prepared a newer version than `head_version`.
+    `asked_at` is the time before the query was sent. `read_age` is the age in seconds
+    of the peer's last read of the head row, None if it has not read it since its start.
+    With `holds_newer` the peer has prepared a newer version than `head_version`.
     """
 
     member: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CellView:
-    """The voting members of the cell, in the epoch that this node last read."""
+    """The voting members of the cell in its latest known epoch."""
 
     epoch: int
     members: tuple[str, ...]
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Assured:
-    """The version in force is known, until `until` on this node's clock."""
+    """The version in force is known, until `until` on this controller's clock."""
 
     version: int
     source: Source
@@ -85,7 +85,7 @@
     """Return the assurance by reads if it still holds, else by the cell's majority.
 
     An assurance lasts `limit_seconds` from the time at which its source was read.
-    `holds_newer` says that this node has prepared a version newer than its own read.
+    `holds_newer`: this controller has prepared a version newer than its own read.
     """
     if own_read is None:
         # A restarted member may have lost a version that it had prepared.
--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InProgress:
-    """Another attempt holds the claim and its gateway is alive."""
+    """Another attempt holds the claim, and its gateway may still report its end."""
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/mallowpond/state/confirmation.py
+++ b/mallowpond/state/confirmation.py
@@ -1,6 +1,6 @@
 """Track how recently a node's configuration version was confirmed as the newest.
 
-A revoked key must stop working everywhere within a bound, also at a node that has lost
+A revoked API key must stop working everywhere within a bound, also at a node that lost
 the table service. So a node takes the age of the last answer that confirmed its
 version, counted from before the query was sent, and admits requests with a key only
 while that age is below the bound.
@@ -28,7 +28,10 @@
 def may_admit(
     confirmation: Confirmation | None, *, now: float, bound_seconds: float
 ) -> bool:
-    """Return whether a request with a key may be admitted within the bound."""
+    """Return whether requests with an API key may be admitted now.
+
+    `bound_seconds` is the time within which a revoked key must stop working.
+    """
     if confirmation is None:
         return False
     return confirmation.age(now) < bound_seconds - ADMISSION_MARGIN_SECONDS
--- a/mallowpond/state/crash_ledger.py
+++ b/mallowpond/state/crash_ledger.py
@@ -111,7 +111,7 @@
         self._ended.pop(process, None)
 
     def has_ended(self, process: Process, now: float) -> bool:
-        """Return whether a target ended recently, without a sign of life since."""
+        """Return whether a target ended recently and was not recorded alive since."""
         ended_at = self._ended.get(process)
         return ended_at is not None and now - ended_at <= ENDED_SECONDS
 
@@ -138,7 +138,7 @@
     def _record_observed_end(
         self, process: Process, sent_at: float, now: float
     ) -> None:
-        """Record when a target ended, anew if it was restarted in between."""
+        """Record when a target ended; a new time if it was restarted in between."""
         if sent_at > self._ended.get(process, now):
             del self._ended[process]
         self._record_end(process, now)
--- a/mallowpond/state/decoding.py
+++ b/mallowpond/state/decoding.py
@@ -25,7 +25,7 @@
 
 T = TypeVar("T")
 
-# Up to here JSON parsers of every language keep integers exact, and times of day in
+# JSON parsers of every language keep integers up to this one exact, and times of day in
 # milliseconds are far smaller.
 LARGEST_NUMBER = 2**53
 # In characters: five times the platform's longest names; longer ones would fill logs
--- a/mallowpond/state/first_event.py
+++ b/mallowpond/state/first_event.py
@@ -20,7 +20,7 @@
 # moved from a dead group does not set the bound.
 TAIL_SHARE = 0.04
 # Upper bound that is assumed while there are too few samples, in seconds: with less, a
-# host that has just started would take slow engines for dead.
+# host that has just started would suspect slow engines to be dead.
 DEFAULT_UPPER_BOUND_SECONDS = 1.0
 
 
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -113,6 +113,8 @@
 class Target:
     """One process of a back end as the platform's list of targets describes it.
 
+    An engine is a target that runs models; others belong to plain services.
+
     "The list" means this list as last read, and "listed" targets those in it. Each
     target writes its own entry and renews it; an entry that is not renewed expires.
 
--- a/mallowpond/state/formation.py
+++ b/mallowpond/state/formation.py
@@ -79,6 +79,8 @@
 
 
 class _Planner:
+    """Collects the orders of one planning round: upkeep, then forming, then loads."""
+
     def __init__(self, view: FormationView) -> None:
         self._view = view
         self._groups = assemble_groups(view.targets)
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -90,8 +90,8 @@
     demand: estimated share of all work per model, in the unit of `ModelSpec.share`,
         which applies where a model is absent.
     utilization: requests per slot of each model's open groups; above 1 they queue.
-    lost: targets that do not answer.
-    busy: targets with an order under way.
+    lost: ids of targets that do not answer probes, or that another process replaced.
+    busy: ids of targets with an order under way.
     formations: formations that this planner ordered, whose full member lists it knows.
     first_seen: time at which this planner first saw each listed group.
     seen: processes that were ordered into each formation or listed as its members. If
--- a/mallowpond/state/lease.py
+++ b/mallowpond/state/lease.py
@@ -1,8 +1,9 @@
 """Leases that do not compare clocks across hosts.
 
-A lease row carries a counter. For an observer the lease has expired once the counter
-has not changed for the lease time on the observer's own monotonic clock. The holder
-counts the time from before it sent its last successful renewal, so it stops first.
+The holder of leases increments a counter, its heartbeat. For an observer they have
+expired once the counter has not changed for the lease time on the observer's own
+monotonic clock. The holder counts the time from before it sent its last successful
+renewal, so it stops first.
 """
 
 from dataclasses import dataclass, field
--- a/mallowpond/state/placement.py
+++ b/mallowpond/state/placement.py
@@ -49,7 +49,7 @@
     key: str
     load: GroupLoad
     is_leaving: bool = False
-    # Its head failed recently and has shown no sign of life since.
+    # Its head failed recently and has not been observed alive since.
     has_ended: bool = False
 
 
--- a/mallowpond/state/rows.py
+++ b/mallowpond/state/rows.py
@@ -8,7 +8,11 @@
 
 
 class MemberState(str, Enum):
-    """Stage of a controller in its cell; only a `LIVE` one may acquire leases."""
+    """Stage of a controller in its cell; only a `LIVE` one may acquire leases.
+
+    JOINING: its first renewal is less than one lease time ago. LEAVING: it is stopping,
+    so that others take over its leases at once.
+    """
 
     JOINING = "joining"
     LIVE = "live"
@@ -16,7 +20,12 @@
 
 
 class GroupState(str, Enum):
-    """Stage of a group on the way from free hosts to a serving replica and back."""
+    """Stage of a group on the way from free hosts to a serving replica and back.
+
+    LOADING: its members were ordered to load the weights. READY: all have confirmed it.
+    BROKEN: a member was lost or must go. DRAINING: it gets no new requests, and is
+    dissolved once it is idle or after a time limit.
+    """
 
     LOADING = "loading"
     READY = "ready"
@@ -26,7 +35,11 @@
 
 
 class OrderOutcome(str, Enum):
-    """What is known of an order, which is stored before it is sent."""
+    """What is known of an order, which is stored before it is sent.
+
+    PENDING: it may still be sent or arrive. DONE: it was carried out. WITHDRAWN: it was
+    never sent and will not be.
+    """
 
     PENDING = "pending"
     DONE = "done"
@@ -96,7 +109,8 @@
 class LeaseRow:
     """A lease; the fencing number `fence` grows with each new holder.
 
-    The holder's heartbeat renews it, so many leases need no more writes than one.
+    The heartbeat of a controller renews all of its leases, so that many leases need no
+    more writes than one. A node renews the planner's lease by writing this row again.
     """
 
     holder: str
--- a/mallowpond/state/silence.py
+++ b/mallowpond/state/silence.py
@@ -6,7 +6,7 @@
 what the declared timing explains, is the only early sign of its death.
 
 Streams of one group come from many hosts. A host with one or two of them has little
-evidence, and its view of the others' load is outdated. So before it takes the group for
+evidence, and its view of the others' load is outdated. So before it treats the group as
 dead, it asks the other hosts whether any of them has seen an event since.
 """
 
@@ -18,11 +18,12 @@
 EXPECTED_FACTOR = 1.6
 # Margin added to the predicted silence for timers, links and scheduling, in seconds.
 SILENCE_SLACK_SECONDS = 0.03
-# Share of the objective or gap target after which a silent group is suspected, unless
-# the predicted silence is longer; the rest is what a resume on another group takes.
+# Share of the objective or gap objective after which a silent group is suspected,
+# unless the predicted silence is longer; the rest is what a resume on another group
+# takes.
 TRIGGER_SHARE = 0.55
 # Time that the other hosts have to report an event, in seconds: some tens of round
-# trips within a region, and a small part of any gap target.
+# trips within a region, and a small part of any gap objective.
 PEER_ANSWER_SECONDS = 0.025
 # Share of the limit after which the other hosts are asked, so that their answers are
 # there at the limit. If they were asked at the limit, streams would move later by the
@@ -46,8 +47,8 @@
 
     `silent_seconds` is the time since the last event of any of them; `predicted_gap` is
     the longest silence that the known load explains, and `allowed_gap` the strictest
-    objective or gap target. With `has_running`, one of them has had an event there and
-    would have another with each pass. If none is running, a stream may wait for its
+    objective or gap objective. With `has_running`, one of them has had an event there
+    and would have another with each pass. If none is running, a stream may wait for its
     first event for up to `first_event_seconds`.
     """
 
@@ -95,7 +96,7 @@
 
     SOUND: do nothing. ASK: ask the other hosts. WAIT: wait for their answers, or
     because the group advances for them. LEAVE: it advances only for them, so move this
-    host's streams off it. SUSPECT: take it for dead.
+    host's streams off it. SUSPECT: treat it as dead.
     """
     limit = silence_limit(silence)
     if silence.silent_seconds <= ASK_SHARE * limit:
@@ -104,7 +105,7 @@
         return SilenceVerdict.ASK
     if query.advanced_at is not None:
         # A running stream has an event with each pass, so it must be this host that
-        # cannot reach the group: waiting would cost the stream its gap target.
+        # cannot reach the group: waiting would cost the stream its gap objective.
         factor = 1.0 if silence.has_running else OWN_SILENCE_FACTOR
         if silence.silent_seconds > factor * limit:
             return SilenceVerdict.LEAVE
--- a/mallowpond/state/tests/test_placement.py
+++ b/mallowpond/state/tests/test_placement.py
@@ -169,7 +169,7 @@
 
 
 def test_the_other_hosts_have_answered_by_the_limit():
-    """Guard against streams of a dead group that move too late for their gap target.
+    """Guard against streams of a dead group that move too late for their gap objective.
 
     If the other hosts were asked only when the silence of a dead group reaches the
     limit, the time for their answers would be added to it.
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -145,7 +145,7 @@
         return has_restarted(self._view.seen.get(key, ()), self._listed)
 
     def _has_lost(self, group: Group) -> bool:
-        """Return whether a member is dead, or restarted since it joined."""
+        """Return whether a member is lost, or restarted since it joined."""
         if self.has_restarted(group.key):
             return True
         formation = self._view.formations.get(group.key)
