--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -521,7 +521,7 @@
                 self._probes.start_probe(target)
 
     def _record_accepted(self, step: Step) -> None:
-        self._book.record_taken(step, self._clock.now())
+        self._book.record_accepted(step, self._clock.now())
         match step:
             case Leave(group=group, epoch=epoch):
                 # The formation has ended. If its record stayed, its members would be
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -256,7 +256,7 @@
     await rig.directory.refresh()
     rig.targets.reports = {"a": EngineReport(orders=1, target=free("a"))}
     target = rig.directory.targets["a"]
-    rig.planner._book.record_taken(join, rig.clock.now())
+    rig.planner._book.record_accepted(join, rig.clock.now())
     assert await rig.planner._probes.probe(target)
     assert rig.directory.targets["a"].membership == joined
     rig.clock.time += REPORT_LAG_SECONDS + 0.1
@@ -353,8 +353,8 @@
     await rig.steps(2)
     join = rig.orders_of(Join)[0]
     leave = Leave(target=join.target, group=join.group, epoch=join.epoch)
-    rig.planner._book.record_taken(leave, rig.clock.now())
-    rig.planner._book.record_taken(join, rig.clock.now())
+    rig.planner._book.record_accepted(leave, rig.clock.now())
+    rig.planner._book.record_accepted(join, rig.clock.now())
     shown = joined_target(join.target.id, join, 0)
     assert rig.planner._with_latest_state(shown).membership == shown.membership
 
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -126,7 +126,7 @@
         """End the order under way, so that another one may follow at once."""
         self._record(target).pending = None
 
-    def record_taken(self, step: Step, now: float) -> None:
+    def record_accepted(self, step: Step, now: float) -> None:
         """Record that a process has accepted an order."""
         record = self._record(step.target)
         record.ordered_at = now
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -40,7 +40,7 @@
     book.record_report(FIRST, 4, now=NOW)
     book.begin(join, NOW)
     book.record_begun(join, expected=4, is_certain=True)
-    book.record_taken(join, NOW)
+    book.record_accepted(join, NOW)
     return book
 
 
@@ -107,7 +107,7 @@
     place = Membership(group="g", epoch=1, rank=0, phase=GroupPhase.READY)
     shown = replace(FIRST, membership=place)
     assert book.without_left_group(shown) == shown
-    book.record_taken(Leave(target=FIRST, group="g", epoch=1), NOW)
+    book.record_accepted(Leave(target=FIRST, group="g", epoch=1), NOW)
     assert book.without_left_group(shown).membership is None
     assert book.joined(FIRST) is None
     assert not book.is_busy(FIRST)
@@ -149,7 +149,7 @@
     join = make_join(target)
     book.record_report(target, 4, now=NOW)
     book.record_begun(join, expected=4, is_certain=True)
-    book.record_taken(join, NOW)
+    book.record_accepted(join, NOW)
     book.invalidate_count(target)
     assert not book.record_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
     assert book.record_report(target, 0, now=NOW + 1.1 * REPORT_LAG_SECONDS)
