--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -498,7 +498,7 @@
             case OrderTaken(began=began):
                 # Whether the target counted a leave that it did not begin is unknown.
                 if began or isinstance(step, Leave):
-                    self._book.record_begun(step, expected=expected, is_certain=began)
+                    self._book.record_begun(step, expected=expected, has_begun=began)
                 self._record_accepted(step)
             case OrderFenced():
                 self._book.invalidate_count(target)
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -189,18 +189,18 @@
         if record.count is not None and record.count < orders:
             record.count = None
 
-    def record_begun(self, step: Step, *, expected: int, is_certain: bool) -> None:
+    def record_begun(self, step: Step, *, expected: int, has_begun: bool) -> None:
         """Count an order that was accepted with the count `expected`.
 
         Reports lag behind, so the planner counts by itself: with an old count the next
-        join would be rejected, and its whole group would wait. If `is_certain` is
+        join would be rejected, and its whole group would wait. If `has_begun` is
         false, the process may not have begun and counted the order.
         """
         record = self._record(step.target)
         if expected + 1 < record.min_count:
             return
         record.count = expected + 1
-        if is_certain:
+        if has_begun:
             record.min_count = max(record.min_count, expected + 1)
 
     def invalidate_count(self, target: Target) -> None:
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -39,7 +39,7 @@
     join = make_join(FIRST)
     book.record_report(FIRST, 4, now=NOW)
     book.begin(join, NOW)
-    book.record_begun(join, expected=4, is_certain=True)
+    book.record_begun(join, expected=4, has_begun=True)
     book.record_accepted(join, NOW)
     return book
 
@@ -83,7 +83,7 @@
     assert book.count(FIRST) == 4
     book.raise_min_count(FIRST, 6)
     assert book.count(FIRST) is None
-    book.record_begun(make_join(FIRST), expected=4, is_certain=True)
+    book.record_begun(make_join(FIRST), expected=4, has_begun=True)
     assert book.count(FIRST) is None
     assert not book.record_report(FIRST, 5, now=NOW)
     assert book.record_report(FIRST, 6, now=NOW)
@@ -97,7 +97,7 @@
     """
     book = book_of_first()
     leave = Leave(target=FIRST, group="g", epoch=1)
-    book.record_begun(leave, expected=5, is_certain=False)
+    book.record_begun(leave, expected=5, has_begun=False)
     assert book.count(FIRST) == 6
     assert book.record_report(FIRST, 5, now=NOW)
 
@@ -148,7 +148,7 @@
     book, target = OrderBook(), replace(FIRST, born=None)
     join = make_join(target)
     book.record_report(target, 4, now=NOW)
-    book.record_begun(join, expected=4, is_certain=True)
+    book.record_begun(join, expected=4, has_begun=True)
     book.record_accepted(join, NOW)
     book.invalidate_count(target)
     assert not book.record_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
