--- a/mallowpond/coordination/groups.py
+++ b/mallowpond/coordination/groups.py
@@ -49,7 +49,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupTimings:
-    """Limits of group management: times in seconds, and hosts that load at once."""
+    """Limits of group management; times are in seconds.
+
+    drain_settle: minimum time of draining, until gateways know of it.
+    drain_limit: time of draining after which running requests are cut off.
+    forming_limit: time in which the members of a group must load.
+    max_loading_hosts: no group is formed if more hosts would then load at the same
+        time; repairs are not limited.
+    """
 
     drain_settle: float = 2.0
     drain_limit: float = 120.0
--- a/mallowpond/coordination/orders.py
+++ b/mallowpond/coordination/orders.py
@@ -6,9 +6,10 @@
 group.
 
 An order is closed when the engine reports this very order as its last, when its holder
-withdraws it unsent, when the holder's host is gone from the platform's list, or when
-the engine that it was sent to is gone. Time closes no order: a holder that is paused
-between its last check and the send can resume at any time.
+withdraws it because it was not sent or was answered, when the holder's incarnation of
+its host is gone from the platform's list, or when the engine that it was sent to is
+gone. Time closes no order: a holder that is paused between its last check and the send
+can resume at any time.
 """
 
 import asyncio
--- a/mallowpond/state/declarations.py
+++ b/mallowpond/state/declarations.py
@@ -45,7 +45,8 @@
 class Workspace:
     """One tenant; only the SHA-256 of its API key is declared, in hexadecimal.
 
-    `share` is its weight in fair queueing; `units_per_day` is its quota.
+    `share` is its weight in fair queueing; `units_per_day` is its quota. A completion
+    is charged its maximum number of tokens, any other request one unit.
     """
 
     name: str
--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -194,7 +194,7 @@
 
         Reports lag behind, so the planner counts by itself: with an old count the next
         join would be rejected, and its whole group would wait. If `has_begun` is
-        false, the process may not have begun and counted the order.
+        false, the order was fulfilled already, and the process may not have counted it.
         """
         record = self._record(step.target)
         if expected + 1 < record.min_count:
--- a/mallowpond/state/rows.py
+++ b/mallowpond/state/rows.py
@@ -37,8 +37,8 @@
 class OrderOutcome(str, Enum):
     """What is known of an order, which is stored before it is sent.
 
-    PENDING: it may still be sent or arrive. DONE: it was carried out. WITHDRAWN: it was
-    never sent and will not be.
+    PENDING: it may still be sent or arrive. DONE: it was carried out. WITHDRAWN: its
+    holder lost the lease, and it can no longer arrive.
     """
 
     PENDING = "pending"
@@ -194,7 +194,7 @@
 class HeadRow:
     """The configuration version that is in force, and the proposal that it came from.
 
-    This head of the configuration has nothing to do with the head of a group.
+    It is the head of the configuration's history, unrelated to the head of a group.
     """
 
     version: int
--- a/mallowpond/state/tests/test_formation.py
+++ b/mallowpond/state/tests/test_formation.py
@@ -282,8 +282,8 @@
 def test_a_join_is_not_repeated_for_a_target_that_turns_out_to_stand_elsewhere():
     """A formation ends when the list shows a member in an earlier group that works.
 
-    After a store outage, a new planner's list shows a target as free. Its join is
-    withheld because the target's report names a group. The list then shows that group
+    After a store outage, a new planner's list shows a target as free. Its join is not
+    sent because the target's report names a group. The list then shows that group
     complete, and it is opened. When only later groups ended a formation, the join was
     ordered again, and a host joined a second group while its first one was open.
     """
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -93,7 +93,7 @@
     """A count that is not certain yields to the target's own report.
 
     When a leave is answered as already done, the process may not have counted it. When
-    that guess overruled the reports, the target got no more orders at all.
+    the planner's count overruled the reports, the target got no more orders at all.
     """
     book = book_of_first()
     leave = Leave(target=FIRST, group="g", epoch=1)
