--- a/mallowpond/state/order_book.py
+++ b/mallowpond/state/order_book.py
@@ -126,7 +126,7 @@
         """End the order under way, so that another one may follow at once."""
         self._record(target).pending = None
 
-    def record_taken(self, step: Step, now: float) -> None:
+    def record_accepted(self, step: Step, now: float) -> None:
         """Record that a process has accepted an order."""
         record = self._record(step.target)
         record.ordered_at = now
@@ -189,18 +189,18 @@
         if record.count is not None and record.count < orders:
             record.count = None
 
-    def record_begun(self, step: Step, *, expected: int, is_certain: bool) -> None:
+    def record_begun(self, step: Step, *, expected: int, has_begun: bool) -> None:
         """Count an order that was accepted with the count `expected`.
 
         Reports lag behind, so the planner counts by itself: with an old count the next
-        join would be rejected, and its whole group would wait. If `is_certain` is
-        false, the process may not have begun and counted the order.
+        join would be rejected, and its whole group would wait. If `has_begun` is
+        false, the order was fulfilled already, and the process may not have counted it.
         """
         record = self._record(step.target)
         if expected + 1 < record.min_count:
             return
         record.count = expected + 1
-        if is_certain:
+        if has_begun:
             record.min_count = max(record.min_count, expected + 1)
 
     def invalidate_count(self, target: Target) -> None:
