--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -55,7 +55,7 @@
 # Heartbeats per second above which a fleet counts as large: if a node that sends to
 # every peer at the usual interval would send more. In a large fleet a node sends at the
 # rates below, so that its traffic does not grow with the fleet.
-MAX_HEARTBEATS_PER_SECOND = 60.0
+SMALL_FLEET_HEARTBEATS_PER_SECOND = 60.0
 # Heartbeats that one node sends per second in a large fleet, to all peers together.
 # Candidates are the hosts that plan or read the store, or may be next to do so: their
 # failure is detected after four intervals. Of any other host its peers need only know
@@ -214,7 +214,9 @@
     @property
     def is_large_fleet(self) -> bool:
         """Return whether heartbeats are too rare to rely on the loads in them."""
-        return len(self._addresses) / MAX_HEARTBEATS_PER_SECOND > HEARTBEAT_SECONDS
+        return (
+            len(self._addresses) / SMALL_FLEET_HEARTBEATS_PER_SECOND > HEARTBEAT_SECONDS
+        )
 
     @property
     def interval(self) -> float:
--- a/mallowpond/node/tests/test_peers.py
+++ b/mallowpond/node/tests/test_peers.py
@@ -42,7 +42,7 @@
 from mallowpond.node.peers import (
     CANDIDATE_HEARTBEATS_PER_SECOND,
     GONE_SECONDS,
-    MAX_HEARTBEATS_PER_SECOND,
+    SMALL_FLEET_HEARTBEATS_PER_SECOND,
     PeerNetwork,
 )
 from mallowpond.node.tests.fakes import FakeClock
@@ -189,7 +189,7 @@
     assert peers.interval == 380 * seconds_per_peer
     candidate_rate = 4 / peers.interval
     peers.is_candidate = False
-    assert candidate_rate + 376 / peers.interval < MAX_HEARTBEATS_PER_SECOND / 2
+    assert candidate_rate + 376 / peers.interval < SMALL_FLEET_HEARTBEATS_PER_SECOND / 2
 
 
 TARGET = Target(
