--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -155,7 +155,7 @@
         self._probes.reset()
         self._book.reset()
         self._has_fresh_list = False
-        self._last_step_at = self._clock.now()
+        self._last_round_at = self._clock.now()
         self._last_lease_check_at = float("-inf")
         self._next_epoch = self._leadership.fence * EPOCHS_PER_FENCE + 1
         self._closed: set[GroupKey] = set()
@@ -193,7 +193,7 @@
         )
         if not await self._is_lease_confirmed():
             return
-        self._last_step_at = self._clock.now()
+        self._last_round_at = self._clock.now()
         if not self._has_fresh_list:
             # A plan based on an outdated list would dissolve groups that the previous
             # planner has just formed.
@@ -202,7 +202,7 @@
         configuration = self._configuration.configuration
         if configuration is None or not self._is_due():
             return
-        self._last_plan_at, self._has_changes = self._last_step_at, False
+        self._last_plan_at, self._has_changes = self._last_round_at, False
         self._refresh_records()
         for service in configuration.services.values():
             if service.profile is not None and service.profile.models:
@@ -230,13 +230,13 @@
         if now - self._last_lease_check_at < LEASE_CHECK_SECONDS:
             return False
         self._last_lease_check_at = now
-        log.info("planner: paused", seconds=round(now - self._last_step_at, 3))
+        log.info("planner: paused", seconds=round(now - self._last_round_at, 3))
         return await self._leadership.confirm()
 
     @property
     def _has_paused(self) -> bool:
         """Return whether this process paused; another may have taken over since."""
-        return self._clock.now() - self._last_step_at > PAUSE_SECONDS
+        return self._clock.now() - self._last_round_at > PAUSE_SECONDS
 
     # -- planning ------------------------------------------------------------
 
