--- a/mallowpond/coordination/ports.py
+++ b/mallowpond/coordination/ports.py
@@ -126,7 +126,8 @@
 class Host:
     """A host as the platform lists it; the list lags behind.
 
-    An entry host runs no engine and is in no fabric domain (``""``).
+    An entry host, which accepts callers' requests, runs no engine and is in no fabric
+    domain (``""``).
     """
 
     name: str
--- a/mallowpond/platform/documents.py
+++ b/mallowpond/platform/documents.py
@@ -403,8 +403,8 @@
 def _missing_placement_field(entry: _Entry) -> str:
     """Return a placement field that an engine with models lacks, "" if none.
 
-    Without this check the planner would take it for a free engine without a domain, and
-    order it into a group.
+    Without this check the planner would treat such an engine as free and without a
+    domain, and order it into a group.
     """
     places = {"domain": entry.domain, "models": entry.models, "staged": entry.staged}
     missing = [name for name, value in places.items() if value is None]
--- a/mallowpond/state/balancer.py
+++ b/mallowpond/state/balancer.py
@@ -49,8 +49,8 @@
 class Balancer:
     """Balance requests over targets by the power of two random choices.
 
-    Requests with the same prefix prefer one target within a bound on its load, and
-    latency outliers are ejected for a time.
+    Requests with the same prefix, a hash of the start of the prompt, prefer one target
+    within a bound on its load. Latency outliers are ejected for a time.
     """
 
     rng: random.Random
--- a/mallowpond/state/fleet.py
+++ b/mallowpond/state/fleet.py
@@ -48,7 +48,8 @@
     """Declared timing and limits of a service's engines.
 
     slots: requests that a group runs at the same time.
-    stride: decoding steps per event of a stream, hence tokens per event.
+    stride: decoding steps per event of a stream, hence tokens per event; the steps of
+        one event are called a pass.
     step_seconds: base time of a decoding step.
     request_seconds: time that each running request adds to a step.
     context_seconds_per_k: time that a running request adds per 1000 context tokens.
@@ -76,7 +77,13 @@
 
 
 class GroupPhase(str, Enum):
-    """State of an engine in its group; only heads are open or closing."""
+    """State of an engine in its group; only heads are open or closing.
+
+    JOINING: it has accepted the join and prepares, for example loads weights. READY: it
+    can serve once the head is ordered to open. OPEN: the head accepts requests.
+    CLOSING: it accepts no more; once the running ones have ended, it is READY again.
+    BROKEN: the group cannot serve.
+    """
 
     JOINING = "joining"
     READY = "ready"
@@ -123,7 +130,7 @@
     draining: it is leaving, that is it has announced that it will stop.
     lapsed: its entry expired without such an announcement; it may still run, for
         example behind a network partition.
-    domain: its fabric domain.
+    domain: its fabric domain, within which a group runs at full speed.
     model: the model that the process has loaded or is loading, empty if none.
     staged: models whose weights are on its host, so that joining needs no load.
     """
