--- a/mallowpond/coordination/ports.py
+++ b/mallowpond/coordination/ports.py
@@ -100,7 +100,7 @@
 
 
 class TableService(Protocol):
-    """Reads and changes rows of the platform's transactional table service.
+    """Reads and changes rows of the platform's transactional table service, the store.
 
     A row can be unreadable only in tables that other programs can write to.
     """
@@ -116,7 +116,7 @@
 
 
 class HostState(str, Enum):
-    """State of a host in the platform's list; a leaving host is about to go."""
+    """State of a host in the platform's list; a leaving host is about to shut down."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -126,7 +126,8 @@
 class Host:
     """A host as the platform lists it; the list lags behind.
 
-    An entry host runs no engine and is in no fabric domain (``""``).
+    An entry host, which accepts callers' requests, runs no engine and is in no fabric
+    domain (``""``).
     """
 
     name: str
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -140,7 +140,7 @@
         if self.configuration.configuration is None:
             await self.configuration.step()
         for _ in range(count):
-            await self.planner.step()
+            await self.planner.plan_once()
             for _ in range(20):
                 await asyncio.sleep(0)
             self.clock.time += 0.1
@@ -256,7 +256,7 @@
     await rig.directory.refresh()
     rig.targets.reports = {"a": EngineReport(orders=1, target=free("a"))}
     target = rig.directory.targets["a"]
-    rig.planner._book.record_taken(join, rig.clock.now())
+    rig.planner._book.record_accepted(join, rig.clock.now())
     assert await rig.planner._probes.probe(target)
     assert rig.directory.targets["a"].membership == joined
     rig.clock.time += REPORT_LAG_SECONDS + 0.1
@@ -353,8 +353,8 @@
     await rig.steps(2)
     join = rig.orders_of(Join)[0]
     leave = Leave(target=join.target, group=join.group, epoch=join.epoch)
-    rig.planner._book.record_taken(leave, rig.clock.now())
-    rig.planner._book.record_taken(join, rig.clock.now())
+    rig.planner._book.record_accepted(leave, rig.clock.now())
+    rig.planner._book.record_accepted(join, rig.clock.now())
     shown = joined_target(join.target.id, join, 0)
     assert rig.planner._with_latest_state(shown).membership == shown.membership
 
@@ -794,7 +794,7 @@
             await asyncio.sleep(0)
     else:
         await rig.configuration.step()
-        await rig.planner.step()
+        await rig.planner.plan_once()
         rig.clock.time += 1.4
     assert rig.targets.orders == []
     rig.planner._leadership.holds_lease = False
--- a/mallowpond/state/rows.py
+++ b/mallowpond/state/rows.py
@@ -1,4 +1,4 @@
-"""Data classes of the rows that the processes store in the platform's table service.
+"""Data classes of rows that controllers and nodes store in the table service.
 
 The field names and the values of the enums are part of the stored data.
 """
@@ -8,7 +8,11 @@
 
 
 class MemberState(str, Enum):
-    """Stage of a controller in its cell; only a `LIVE` one may take over work."""
+    """Stage of a controller in its cell; only a `LIVE` one may acquire leases.
+
+    JOINING: its first renewal is less than one lease time ago. LEAVING: it is stopping,
+    so that others take over its leases at once.
+    """
 
     JOINING = "joining"
     LIVE = "live"
@@ -16,7 +20,12 @@
 
 
 class GroupState(str, Enum):
-    """Stage of a group on the way from free hosts to a serving replica and back."""
+    """Stage of a group on the way from free hosts to a serving replica and back.
+
+    LOADING: its members were ordered to load the weights. READY: all have confirmed it.
+    BROKEN: a member was lost or must go. DRAINING: it gets no new requests, and is
+    dissolved once it is idle or after a time limit.
+    """
 
     LOADING = "loading"
     READY = "ready"
@@ -26,7 +35,11 @@
 
 
 class OrderOutcome(str, Enum):
-    """What is known of an order, which is stored before it is sent."""
+    """What is known of an order, which is stored before it is sent.
+
+    PENDING: it may still be sent or arrive. DONE: it was carried out. WITHDRAWN: its
+    holder lost the lease, and it can no longer arrive.
+    """
 
     PENDING = "pending"
     DONE = "done"
@@ -34,7 +47,11 @@
 
 
 class ClaimState(str, Enum):
-    """Whether a request that must run at most once has run."""
+    """State of the attempt that holds a claim.
+
+    CLAIMED: it may be sent, and its end is not reported yet. DONE: it has run. UNKNOWN:
+    it may have run. VOID: it was withdrawn unsent, so another attempt may take over.
+    """
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -46,8 +63,10 @@
 class MemberRow:
     """A controller as a member of its cell; written only when a field changes.
 
-    `applied` is the configuration version in use, `prepared` the proposal that the
-    member has prepared, and `epoch` the cell's epoch that it has acknowledged.
+    `applied` is the configuration version in use, `prepared` the identifier of the
+    proposal that the member has prepared (empty if none), and `epoch` the cell's epoch
+    that it has acknowledged. `operator_address` is where it serves operators.
+    `gateways` are the incarnations of the gateways that are attached to it.
     """
 
     name: str
@@ -74,9 +93,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CellRow:
-    """The members whose votes count in a data centre's cell.
+    """The members of a cell whose votes count, in one epoch of the cell.
 
-    Successive epochs differ by one member.
+    A cell is the controllers of one data centre. They read each other's heartbeats, and
+    a configuration change needs a majority of every cell. Successive epochs differ by
+    one member.
     """
 
     cell: str
@@ -88,7 +109,8 @@
 class LeaseRow:
     """A lease; the fencing number `fence` grows with each new holder.
 
-    The holder's heartbeat renews it, so many leases need no more writes than one.
+    The heartbeat of a controller renews all of its leases, so that many leases need no
+    more writes than one. A node renews the planner's lease by writing this row again.
     """
 
     holder: str
@@ -108,7 +130,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupRow:
-    """A group of hosts that together run one replica; members are in order of rank."""
+    """A group of hosts that together run one replica; members are in order of rank.
+
+    `generation` grows by one with each repair, which replaces members.
+    """
 
     group: str
     deployment: str
@@ -167,7 +192,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeadRow:
-    """The configuration version that is in force."""
+    """The configuration version that is in force, and the proposal that it came from.
+
+    It is the head of the configuration's history, unrelated to the head of a group.
+    """
 
     version: int
     proposal: str
@@ -196,7 +224,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ClaimRow:
-    """Claim of one attempt of a once-only request: whether it may run, or ran."""
+    """Claim of one attempt of a once-only request: whether it may run, or ran.
+
+    `key` is the caller's idempotency key, and `units` are what the request charges to
+    its workspace.
+    """
 
     workspace: str
     key: str
--- a/mallowpond/state/tests/test_order_book.py
+++ b/mallowpond/state/tests/test_order_book.py
@@ -39,8 +39,8 @@
     join = make_join(FIRST)
     book.record_report(FIRST, 4, now=NOW)
     book.begin(join, NOW)
-    book.record_begun(join, expected=4, is_certain=True)
-    book.record_taken(join, NOW)
+    book.record_begun(join, expected=4, has_begun=True)
+    book.record_accepted(join, NOW)
     return book
 
 
@@ -83,7 +83,7 @@
     assert book.count(FIRST) == 4
     book.raise_min_count(FIRST, 6)
     assert book.count(FIRST) is None
-    book.record_begun(make_join(FIRST), expected=4, is_certain=True)
+    book.record_begun(make_join(FIRST), expected=4, has_begun=True)
     assert book.count(FIRST) is None
     assert not book.record_report(FIRST, 5, now=NOW)
     assert book.record_report(FIRST, 6, now=NOW)
@@ -93,11 +93,11 @@
     """A count that is not certain yields to the target's own report.
 
     When a leave is answered as already done, the process may not have counted it. When
-    that guess overruled the reports, the target got no more orders at all.
+    the planner's count overruled the reports, the target got no more orders at all.
     """
     book = book_of_first()
     leave = Leave(target=FIRST, group="g", epoch=1)
-    book.record_begun(leave, expected=5, is_certain=False)
+    book.record_begun(leave, expected=5, has_begun=False)
     assert book.count(FIRST) == 6
     assert book.record_report(FIRST, 5, now=NOW)
 
@@ -107,7 +107,7 @@
     place = Membership(group="g", epoch=1, rank=0, phase=GroupPhase.READY)
     shown = replace(FIRST, membership=place)
     assert book.without_left_group(shown) == shown
-    book.record_taken(Leave(target=FIRST, group="g", epoch=1), NOW)
+    book.record_accepted(Leave(target=FIRST, group="g", epoch=1), NOW)
     assert book.without_left_group(shown).membership is None
     assert book.joined(FIRST) is None
     assert not book.is_busy(FIRST)
@@ -148,8 +148,8 @@
     book, target = OrderBook(), replace(FIRST, born=None)
     join = make_join(target)
     book.record_report(target, 4, now=NOW)
-    book.record_begun(join, expected=4, is_certain=True)
-    book.record_taken(join, NOW)
+    book.record_begun(join, expected=4, has_begun=True)
+    book.record_accepted(join, NOW)
     book.invalidate_count(target)
     assert not book.record_report(target, 0, now=NOW + 0.5 * REPORT_LAG_SECONDS)
     assert book.record_report(target, 0, now=NOW + 1.1 * REPORT_LAG_SECONDS)
--- a/mallowpond/state/upkeep.py
+++ b/mallowpond/state/upkeep.py
@@ -136,13 +136,16 @@
         )
 
     def has_restarted(self, key: GroupKey) -> bool:
-        """Return whether a member restarted, so that it has no state of the group."""
+        """Return whether a member restarted or denies its membership.
+
+        It then has no state of the formation.
+        """
         if key in self._view.disclaimed:
             return True
         return has_restarted(self._view.seen.get(key, ()), self._listed)
 
     def _has_lost(self, group: Group) -> bool:
-        """Return whether a member is dead, or restarted since it joined."""
+        """Return whether a member is lost, or restarted since it joined."""
         if self.has_restarted(group.key):
             return True
         formation = self._view.formations.get(group.key)
