--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -34,7 +34,7 @@
 from mallowpond.coordination.store import TableView, new_id
 from mallowpond.coordination.tasks import cancel_task
 from mallowpond.protocol.declaration_file import parse_document
-from mallowpond.protocol.peer import PeerAsk, PeerView, Routes, RoutesAsk, Sight
+from mallowpond.protocol.peer import GroupLastSeen, PeerAsk, PeerView, Routes, RoutesAsk
 from mallowpond.settings import ControllerSettings
 from mallowpond.state.assurance import Assured
 from mallowpond.state.ownership import owner_of
@@ -386,7 +386,7 @@
             # not mistake another controller's routes for its own of the same version.
             self._routes_version = self._rng.getrandbits(48)
 
-    def _group_sightings(self) -> tuple[float, tuple[Sight, ...]]:
+    def _group_sightings(self) -> tuple[float, tuple[GroupLastSeen, ...]]:
         """Return an age that covers all recent confirmations, and the exceptions.
 
         The exceptions are groups that were confirmed earlier or not at all.
@@ -398,7 +398,9 @@
             if age is not None and age <= recent:
                 seen_age = max(seen_age, age)
                 continue
-            sight = Sight(group=group.group, generation=group.generation, age=age)
+            sight = GroupLastSeen(
+                group=group.group, generation=group.generation, age=age
+            )
             exceptions.append(sight)
         return seen_age, tuple(exceptions)
 
--- a/mallowpond/gateway/tests/test_routes.py
+++ b/mallowpond/gateway/tests/test_routes.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from mallowpond.gateway.routes import RouteTable
-from mallowpond.protocol.peer import Routes, Sight
+from mallowpond.protocol.peer import GroupLastSeen, Routes
 from mallowpond.state.rows import GroupMember, GroupRow, GroupState
 
 GROUP = GroupRow(
@@ -42,18 +42,18 @@
 def test_permit_of_another_generation_allows_nothing():
     table = table_at((100.0, ROUTES))
     repaired = replace(GROUP, generation=3)
-    unseen = Sight(group="g", generation=3, age=None)
+    unseen = GroupLastSeen(group="g", generation=3, age=None)
     later = replace(ROUTES, routes_version=8, groups=(repaired,), exceptions=(unseen,))
     table.update(later, 101.0)
     assert table.serving("d", 101.0) == []
 
 
 def test_exceptions_have_their_own_age_or_none():
-    older = Sight(group="g", generation=2, age=3.0)
+    older = GroupLastSeen(group="g", generation=2, age=3.0)
     table = table_at((100.0, replace(ROUTES, exceptions=(older,))))
     assert table.serving("d", 100.9) == [GROUP]
     assert table.serving("d", 101.0) == []
-    unseen = Sight(group="g", generation=2, age=None)
+    unseen = GroupLastSeen(group="g", generation=2, age=None)
     table = table_at((100.0, replace(ROUTES, exceptions=(unseen,))))
     assert table.serving("d", 100.0) == []
 
--- a/mallowpond/protocol/peer.py
+++ b/mallowpond/protocol/peer.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sight:
+class GroupLastSeen:
     """When all members of a group were last observed healthy.
 
     `age` is in seconds, None if they were not.
@@ -88,7 +88,7 @@
     routes_version: int
     groups: tuple[GroupRow, ...] | None
     seen_age: float
-    exceptions: tuple[Sight, ...]
+    exceptions: tuple[GroupLastSeen, ...]
     excluded_hosts: tuple[str, ...]
     leaving: bool = False
     held_version: int = 0
