--- a/mallowpond/controller/links.py
+++ b/mallowpond/controller/links.py
@@ -48,7 +48,10 @@
 
 
 class LinkService:
-    """Serves the links that gateways and other controllers open to this one."""
+    """Serves the links that gateways and other controllers open to this one.
+
+    `view` returns what other controllers are told of the configuration and the cell.
+    """
 
     def __init__(
         self,
@@ -162,7 +165,7 @@
 
 
 def verdict_of(result: ClaimResult) -> ClaimVerdict:
-    """Return the verdict on the wire for the result of a claim operation."""
+    """Return the verdict on the wire for the result of a claim, finish or void."""
     match result:
         case Granted():
             return ClaimVerdict.GRANTED
--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -45,13 +45,14 @@
 log = structlog.get_logger()
 PLANNER_LEASE = "planner"
 DRAIN_LIMIT_SECONDS = 3.0
-# Age up to which a confirmation of a group counts as recent, in intervals of the watch.
+# Age up to which the confirmation that all members of a group have it loaded counts as
+# recent, in intervals of the watch.
 RECENT_POLLS = 2.0
 DRAIN_CHECK_SECONDS = 0.05
 
 
 class Controller:
-    """One controller, built from its settings and ports."""
+    """One controller; `ports` are its interfaces to table, hosts, engines and clock."""
 
     def __init__(self, *, settings: ControllerSettings, ports: Ports) -> None:
         self._settings = settings
@@ -109,7 +110,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the configuration is assured and no leave has begun."""
+        """Return whether the version in force is known and no leave has begun."""
         assured = isinstance(self.configuration.assurance(), Assured)
         return assured and not self._leaving
 
@@ -138,8 +139,8 @@
         """
         limit = self._clock.now() + DRAIN_LIMIT_SECONDS
         while self._clock.now() < limit:
-            # If its request were cut off, an operator could not know whether the
-            # change is in force.
+            # Claim operations are awaited too. An operator whose request was cut off
+            # could not know whether the change is in force.
             is_busy = self._claims.unanswered or self._api_server.is_busy
             if not self._links.gateways and not is_busy:
                 return
@@ -289,6 +290,7 @@
         await self.configuration.advance_proposal()
 
     def _owns_epoch(self) -> bool:
+        # One controller of the cell advances the epoch of its membership.
         if self.membership.cell is None:
             return True
         owner = owner_of("epoch", self.membership.eligible_owners())
@@ -354,18 +356,18 @@
         self._refresh_routes()
         applied = self.configuration.applied
         assurance = self.configuration.assurance()
-        left = None
+        config_left = None
         if isinstance(assurance, Assured):
-            left = assurance.until - self._clock.now()
+            config_left = assurance.until - self._clock.now()
         excluded = excluded_hosts(applied.declaration, self._hosts)
-        seen_age, exceptions = self._group_sightings()
+        seen_age, exceptions = self._confirmed_ages()
         knows_text = ask.known_config == applied.version
         knows_quarantine = ask.known_held == self.quarantine.version
         knows_groups = ask.known_routes == self._routes_version
         return Routes(
             sequence=ask.sequence,
             config_version=applied.version,
-            config_left=left,
+            config_left=config_left,
             config_text=None if knows_text else applied.text,
             routes_version=self._routes_version,
             groups=None if knows_groups else self._ready_groups,
@@ -382,14 +384,15 @@
         ready = tuple(g for g in groups if g.state is GroupState.READY)
         if ready != self._ready_groups:
             self._ready_groups = ready
-            # Random instead of counted: after a change of controllers, a gateway must
-            # not mistake another controller's routes for its own of the same version.
+            # Random instead of counted: a gateway that changes controllers must not
+            # take the new one's routes for those it has from the old one.
             self._routes_version = self._rng.getrandbits(48)
 
-    def _group_sightings(self) -> tuple[float, tuple[GroupLastSeen, ...]]:
-        """Return an age that covers all recent confirmations, and the exceptions.
+    def _confirmed_ages(self) -> tuple[float, tuple[GroupLastSeen, ...]]:
+        """Return the largest age of a recent confirmation, and the exceptions.
 
-        The exceptions are groups that were confirmed earlier or not at all.
+        The exceptions are the ready groups that were not confirmed recently, each with
+        an age of its own.
         """
         recent = self._settings.timings.watch * RECENT_POLLS
         seen_age, exceptions = 0.0, []
--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -12,7 +12,13 @@
 from mallowpond.protocol.query import Cell, Table
 from mallowpond.state.rows import GroupState, HostRow
 
-Cells = tuple[Cell, ...]
+TableRow = tuple[Cell, ...]
+# The columns of each table, most of them fields of the rows in `state.rows` and of the
+# declared items in `state.declarations`. `seen_whole` is the age in seconds of the
+# oldest report that confirms a member of the group. A `tainted` host is kept out of
+# groups, as an order of an earlier planner may still arrive. Of the last order for a
+# host, `fence` and `holder` are those of the planner lease; `earlier` counts the
+# replaced orders that may still arrive. `cell` is the cell of controllers.
 COLUMNS: dict[str, tuple[str, ...]] = {
     "deployments": ("deployment", "model", "replicas", "ready", "hosts_per_group"),
     "groups": ("group", "deployment", "state", "generation", "hosts", "seen_whole"),
@@ -37,7 +43,10 @@
 
 
 class Tables:
-    """Builds each table from the latest state that this controller has read."""
+    """Builds each table from the latest state that this controller has read.
+
+    `shared` is its copy of the rows that all controllers share.
+    """
 
     def __init__(
         self,
@@ -79,7 +88,7 @@
         rows = tuple(builders[name]())
         return Table(name=name, columns=COLUMNS[name], rows=rows)
 
-    def _deployment_rows(self) -> list[Cells]:
+    def _deployment_rows(self) -> list[TableRow]:
         groups = list(self._groups.groups().values())
         rows = []
         for declared in self._configuration.applied.declaration.deployments:
@@ -96,7 +105,7 @@
             )
         return rows
 
-    def _group_rows(self) -> list[Cells]:
+    def _group_rows(self) -> list[TableRow]:
         rows = []
         for group in self._groups.groups().values():
             age = self._watch.confirmed_age(group)
@@ -111,7 +120,7 @@
             rows.append(row)
         return rows
 
-    def _host_rows(self) -> list[Cells]:
+    def _host_rows(self) -> list[TableRow]:
         host_rows = self._shared.with_prefix(HOSTS, HostRow)
         tainted = self._groups.tainted
         drained = self._configuration.applied.declaration.drained_hosts
@@ -133,11 +142,11 @@
             rows.append(cells)
         return rows
 
-    def _kind_rows(self) -> list[Cells]:
+    def _kind_rows(self) -> list[TableRow]:
         kinds = self._configuration.applied.declaration.kinds
         return [(k.name, k.repeatable) for k in kinds]
 
-    def _member_rows(self) -> list[Cells]:
+    def _member_rows(self) -> list[TableRow]:
         live = self._membership.live_members()
         rows = []
         for name, member in self._membership.members().items():
@@ -153,7 +162,7 @@
             rows.append(cells)
         return rows
 
-    def _order_rows(self) -> list[Cells]:
+    def _order_rows(self) -> list[TableRow]:
         rows = []
         for name, row in self._shared.with_prefix(HOSTS, HostRow).items():
             host_row = row.value
@@ -169,17 +178,17 @@
             rows.append(cells)
         return rows
 
-    def _service_rows(self) -> list[Cells]:
+    def _service_rows(self) -> list[TableRow]:
         rows = [
             (s.name, s.path, " ".join(s.methods), len(s.targets), s.repeatable)
             for s in self._configuration.applied.declaration.services
         ]
         return rows
 
-    def _version_rows(self) -> list[Cells]:
+    def _version_rows(self) -> list[TableRow]:
         history = self._configuration.history()
         return [(row.version, row.author, row.proposal) for row in history]
 
-    def _workspace_rows(self) -> list[Cells]:
+    def _workspace_rows(self) -> list[TableRow]:
         declared = self._configuration.applied.declaration.workspaces
         return [(w.name, w.share, w.units_per_day) for w in declared]
--- a/mallowpond/gateway/admission.py
+++ b/mallowpond/gateway/admission.py
@@ -30,8 +30,8 @@
 class AdmissionQueue:
     """Grants slots on the groups of a deployment, fairly between workspaces.
 
-    A request gets a free slot at once, waits in a weighted fair queue, or is refused if
-    it cannot be served before its deadline.
+    A request gets a free slot immediately, waits in a weighted fair queue, or is
+    refused if it cannot be served before its deadline.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         return len(self._queue)
 
     def set_group_limit(self, limit: int) -> None:
-        """Set how many requests a group runs at once."""
+        """Set how many requests a group runs concurrently."""
         self._group_limit = limit
 
     async def acquire(
@@ -71,8 +71,9 @@
     ) -> GroupRow | Refused:
         """Acquire a slot on a group, waiting for one if none is free.
 
-        `share` is the weight of the workspace. The groups in `avoid` are not chosen at
-        once, but a request that has to wait may get one of them.
+        `share` is the weight of the workspace. Requests with the same `prefix`, a hash
+        of the start of the prompt, prefer one group, which may have it cached. A group
+        in `avoid` is not chosen, unless the request has to wait.
         """
         now = self._clock.now()
         if not self._serving():
--- a/mallowpond/gateway/pools.py
+++ b/mallowpond/gateway/pools.py
@@ -176,7 +176,7 @@
             admission.admit_waiting()
 
     def models_document(self) -> bytes:
-        """Return the declared models as JSON in the format of model clients."""
+        """Return the declared models as JSON in the format of completion APIs."""
         models = [
             {"id": d.model, "object": "model", "created": 0, "owned_by": d.name}
             for d in self.routes.declaration.deployments
--- a/mallowpond/gateway/relay.py
+++ b/mallowpond/gateway/relay.py
@@ -20,7 +20,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Incomplete:
-    """The answer ended early."""
+    """The answer ended early.
+
+    `reason` is "cut_event" if it ended within an event of the stream, else "cut_" and
+    the phase in which the call failed.
+    """
 
     reason: str
 
@@ -30,7 +34,10 @@
 
 @dataclass(kw_only=True)
 class StreamProgress:
-    """Splits a stream into events and counts those sent to the caller."""
+    """Splits a stream into events.
+
+    `events` counts the complete ones, `chunks` the received chunks that completed any.
+    """
 
     events: int = 0
     chunks: int = 0
@@ -43,11 +50,11 @@
         and a partial event of the interrupted stream would corrupt it.
         """
         self._partial += data
-        cut = self._partial.rfind(EVENT_END)
-        if cut < 0:
+        last_end = self._partial.rfind(EVENT_END)
+        if last_end < 0:
             return b""
-        complete = bytes(self._partial[: cut + len(EVENT_END)])
-        del self._partial[: cut + len(EVENT_END)]
+        complete = bytes(self._partial[: last_end + len(EVENT_END)])
+        del self._partial[: last_end + len(EVENT_END)]
         self.events += complete.count(EVENT_END)
         self.chunks += 1
         return complete
@@ -76,8 +83,8 @@
     `silence_seconds` without data.
     """
     try:
-        async for event in response.events(silence_seconds):
-            match event:
+        async for part in response.events(silence_seconds):
+            match part:
                 case Chunk(data=data):
                     complete = progress.complete_events(data)
                     if not complete:
@@ -104,8 +111,8 @@
     """Read an answer to its end before any of it is sent to the caller."""
     body = bytearray()
     try:
-        async for event in response.events(silence_seconds):
-            match event:
+        async for part in response.events(silence_seconds):
+            match part:
                 case Chunk(data=data):
                     body += data
                 case End():
--- a/mallowpond/gateway/routes.py
+++ b/mallowpond/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Routes of a gateway: usable groups and the assured configuration."""
+"""Routes of a gateway: usable groups, and the configuration version in use."""
 
 from dataclasses import dataclass, field
 
@@ -15,7 +15,7 @@
     A group may be used while its permit is valid. All times are on this gateway's clock
     and count from the send of the poll, so that a slow answer or a frozen gateway only
     ever shortens a validity. `permit_seconds` counts from when the controller last
-    confirmed the group.
+    confirmed that all members of the group had it loaded.
     """
 
     permit_seconds: float
@@ -39,6 +39,7 @@
             self.groups = {group.group: group for group in routes.groups}
             self.routes_version = routes.routes_version
         self._excluded = frozenset(routes.excluded_hosts)
+        # Groups with an age of their own; `seen_age` covers all others.
         exceptions = {(s.group, s.generation): s.age for s in routes.exceptions}
         for group in self.groups.values():
             key = (group.group, group.generation)
@@ -54,7 +55,10 @@
         self._revoked_at[key] = now
 
     def is_config_assured(self, now: float) -> bool:
-        """Return whether the current version is assured to be the one in force."""
+        """Return whether a controller's assurance of the version in force still holds.
+
+        The time granted to a version also counts for a newer one that replaces it.
+        """
         return now < self._config_assured_until
 
     def serving(self, deployment: str, now: float) -> list[GroupRow]:
--- a/mallowpond/programs/explain.py
+++ b/mallowpond/programs/explain.py
@@ -1,4 +1,7 @@
-"""Explain what happened to a request, group or configuration, from nodes' log lines."""
+"""Explain what happened to a request, group or version, from the log lines of nodes.
+
+A node is the process that serves callers on an entry host.
+"""
 
 import json
 from collections import defaultdict
@@ -9,10 +12,11 @@
 from typing import Any
 
 # Time before a subject's first line and after its last one in which lines about its
-# groups, targets and hosts are included, in seconds: slightly more than the stall time
-# of a group, since a loss shows up to that much later.
+# groups, targets and hosts are included, in seconds: slightly more than `stall`, the
+# time without progress after which a group's failure is reported.
 CONTEXT_SECONDS = 5.0
-# Prefixes of events that concern a whole host and so all requests on it.
+# Prefixes of events that concern a whole host and so all requests on it. Readers are
+# the hosts that read the store for the others.
 HOST_EVENTS = (
     "configuration:",
     "node:",
@@ -20,7 +24,8 @@
     "targets: list",
     "logs:",
 )
-# Fields that name the request, group or target that a line is about.
+# Fields that name the request, group or target that a line is about; `head` is the head
+# target of a group.
 SUBJECTS = ("request", "group", "target", "head")
 HIDDEN = {"event", "timestamp", "level"}
 # What to look at, by the reason for which a request was refused or cut off.
@@ -88,7 +93,7 @@
 
     @classmethod
     def from_paths(cls, paths: Iterable[Path]) -> "LogFiles":
-        """Read and sort files; the stem of each file's name is its host."""
+        """Read files and sort their lines; the stem of each file's name is its host."""
         files = cls()
         for path in paths:
             with path.open(errors="replace") as rows:
@@ -129,7 +134,10 @@
 
 
 def explain_group(lines: Iterable[LogLine], group: str) -> Explanation | None:
-    """Return the lines of a group and its members, None if none names the group."""
+    """Return the lines of a group and its members, without those of single requests.
+
+    None if no line names the group.
+    """
     lines = tuple(lines)
     own = [line for line in lines if line.fields.get("group") == group]
     if not own:
@@ -153,9 +161,10 @@
 def explain_fingerprint(
     lines: Iterable[LogLine], fingerprint: str
 ) -> Explanation | None:
-    """Return the lines of a fingerprint: sends, ended targets, and its quarantine.
+    """Return the lines of a request's fingerprint, which all its retries share.
 
-    None if no line has the fingerprint.
+    They show its sends, the targets that ended under it, and its quarantine. None if no
+    line has the fingerprint.
     """
     selected = tuple(x for x in lines if x.fields.get("fingerprint") == fingerprint)
     if not selected:
--- a/mallowpond/programs/losses.py
+++ b/mallowpond/programs/losses.py
@@ -1,8 +1,10 @@
-"""Count, from nodes' log lines, which requests were late or unserved, and why.
+"""Count, from the log lines of nodes, which requests were late or unserved, and why.
 
-Callers value most a response within its objective. Each stream that missed it, and each
-attempt without a response, is attributed to one cause, the earliest that its own lines
-show. The prediction errors of first events and the suspicions are reported as well.
+Callers value most a response within its objective. Each stream that missed it is
+attributed to one cause that its own lines show: first a move to another group, then a
+wait for a slot, then a prediction that was already late. A request without a response,
+or with one that the target failed, counts as unserved. Errors of the predicted times of
+first events, and suspicions of groups, are reported as well.
 """
 
 from collections import Counter, defaultdict
@@ -12,7 +14,7 @@
 
 from mallowpond.programs.explain import LogLine
 
-# Longest wait for a place that scheduling and timers alone explain, in seconds.
+# Longest wait for a slot that scheduling and timers alone explain, in seconds.
 MAX_SCHEDULING_SECONDS = 0.02
 # Lowest status of a target's response that doesn't count as served.
 MIN_FAILED_STATUS = 500
@@ -22,8 +24,9 @@
 class Losses:
     """Counts of one set of log files.
 
-    `late`, `unserved` and `suspicions` count by cause. `prediction_errors` are the
-    observed less the predicted times of first events in seconds, by model.
+    `late` and `unserved` count requests by cause, `suspicions` those of groups by
+    cause, and how many were cleared. `prediction_errors` are the observed minus the
+    predicted times of first events in seconds, by model.
     """
 
     streams: int = 0
@@ -72,6 +75,7 @@
 
 
 def _predicted_first_event(sent: LogLine) -> float:
+    # `delay` is the usual excess over the declared timing, scaled for slow groups.
     return float(sent.fields["predicted"]) + float(sent.fields.get("delay", 0.0))
 
 
--- a/mallowpond/programs/processes.py
+++ b/mallowpond/programs/processes.py
@@ -1,4 +1,8 @@
-"""Run each program until its `stop` event is set."""
+"""Run each program until its `stop` event is set.
+
+Controllers use a platform with a table service and a host list. Nodes run on the
+observatory platform, which has a store and engines of its own kind.
+"""
 
 import asyncio
 import signal
@@ -66,7 +70,7 @@
 
 
 async def run_platform(settings: PlatformStandinSettings, stop: asyncio.Event) -> None:
-    """Run the stand-in for the platform."""
+    """Run the stand-in for the platform's table service and host list."""
     platform = PlatformStandin(hosts=settings.hosts)
     await platform.server.start(settings.address, settings.port)
     log.info("platform: started", port=platform.server.port)
@@ -75,7 +79,7 @@
 
 
 async def run_engine(settings: EngineStandinSettings, stop: asyncio.Event) -> None:
-    """Run the stand-in for an engine."""
+    """Run the stand-in for an engine that takes orders from controllers."""
     engine = EngineStandin(
         host=settings.host,
         incarnation=settings.incarnation,
@@ -89,7 +93,7 @@
 
 
 async def run_observatory_store(options: StoreOptions, stop: asyncio.Event) -> None:
-    """Run the stand-in for the observatory platform's store."""
+    """Run the stand-in for the store that nodes use."""
     store = ObservatoryStore()
     await store.server.start(options.host, options.port)
     expiry = asyncio.create_task(store.run_expiry())
@@ -99,7 +103,7 @@
 
 
 async def run_observatory_engine(options: EngineOptions, stop: asyncio.Event) -> None:
-    """Run the stand-in for an engine of the observatory platform."""
+    """Run the stand-in for an engine that takes requests from nodes."""
     engine = ObservatoryEngine(options=options)
     await engine.start()
     loop = asyncio.get_running_loop()
--- a/mallowpond/protocol/caller.py
+++ b/mallowpond/protocol/caller.py
@@ -10,7 +10,7 @@
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS_LIMIT = 131072
 PREFIX_CHARACTERS = 256
-MAX_KEY_CHARACTERS = 200
+MAX_IDEMPOTENCY_KEY_CHARACTERS = 200
 MAX_TIMEOUT_SECONDS = 3600.0
 KIND_HEADER = "mallowpond-kind"
 TIMEOUT_HEADER = "mallowpond-timeout"
@@ -35,7 +35,8 @@
 class CallerHeaders:
     """The headers of a request that the gateway uses; `timeout` is in seconds.
 
-    `kind` is the name of a request kind in the declaration.
+    `key_sha256` is the hash of the API key. `kind` is the name of a request kind in the
+    operators' declaration.
     """
 
     key_sha256: str | None
@@ -48,8 +49,8 @@
     headers: dict[str, str], default_timeout: float
 ) -> CallerHeaders | Problem:
     """Parse the headers of a caller's request; return a problem if one is invalid."""
-    key = headers.get(IDEMPOTENCY_HEADER)
-    if key is not None and not _is_plain_key(key):
+    idempotency_key = headers.get(IDEMPOTENCY_HEADER)
+    if idempotency_key is not None and not _is_valid_idempotency_key(idempotency_key):
         return _bad_request(
             "bad_idempotency_key", "An Idempotency-Key has 1 to 200 characters."
         )
@@ -59,8 +60,8 @@
             "bad_timeout", f"{TIMEOUT_HEADER} is a number of seconds above 0."
         )
     return CallerHeaders(
-        key_sha256=_key_hash(headers.get("authorization", "")),
-        idempotency_key=key,
+        key_sha256=_api_key_hash(headers.get("authorization", "")),
+        idempotency_key=idempotency_key,
         kind=headers.get(KIND_HEADER),
         timeout=timeout,
     )
@@ -101,8 +102,8 @@
     return Problem(status=400, reason=reason, detail=detail)
 
 
-def _is_plain_key(key: str) -> bool:
-    return 0 < len(key) <= MAX_KEY_CHARACTERS and key.isprintable()
+def _is_valid_idempotency_key(key: str) -> bool:
+    return 0 < len(key) <= MAX_IDEMPOTENCY_KEY_CHARACTERS and key.isprintable()
 
 
 def _timeout(text: str | None, default: float) -> float | None:
@@ -116,7 +117,7 @@
     return min(seconds, MAX_TIMEOUT_SECONDS) if seconds > 0 else None
 
 
-def _key_hash(authorization: str) -> str | None:
+def _api_key_hash(authorization: str) -> str | None:
     scheme, _, token = authorization.partition(" ")
     if scheme.lower() != "bearer" or not token:
         return None
--- a/mallowpond/protocol/peer.py
+++ b/mallowpond/protocol/peer.py
@@ -58,9 +58,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupLastSeen:
-    """When all members of a group were last observed healthy.
+    """Age at which all members of a group were last confirmed, in seconds.
 
-    `age` is in seconds, None if they were not.
+    `age` is None if a member is silent or does not have the group loaded.
     """
 
     group: str
--- a/mallowpond/protocol/problems.py
+++ b/mallowpond/protocol/problems.py
@@ -28,7 +28,7 @@
     retry_after: float | None = None
 
     def body(self, request: str) -> bytes:
-        """Return the JSON document, with the `error` object that model clients read."""
+        """Return the JSON document; client libraries read its `error` object."""
         document = {
             "type": f"urn:mallowpond:{self.reason}",
             "title": self.reason.replace("_", " "),
@@ -50,8 +50,8 @@
         headers = (
             ("mallowpond-request", request),
             ("mallowpond-outcome", self.outcome.value),
-            # Model clients retry by default. A request that ran, or whose outcome is
-            # unknown, must not be sent again.
+            # Client libraries of completion APIs retry by default. A request that ran,
+            # or whose outcome is unknown, must not be sent again.
             ("x-should-retry", "true" if self._may_retry else "false"),
         )
         if self.retry_after is None:
--- a/mallowpond/protocol/query.py
+++ b/mallowpond/protocol/query.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Condition:
-    """Keeps the rows whose cell in `column` compares as true with `value`."""
+    """Keeps the rows for which comparing the cell in `column` with `value` is true."""
 
     column: str
     operator: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RestoreGroup:
-    """Command: revoke the stop of a group."""
+    """Command: remove a group from the stopped ones; a drain that began goes on."""
 
     group: str
 
@@ -91,7 +91,8 @@
 class QueryFault:
     """A syntax error or an unknown column, and what was expected instead.
 
-    `column` is the position in the statement, from 1, or 0 for an unknown column.
+    `column` is the position of the character in the statement, from 1; it is 0 if a
+    column of the table is unknown.
     """
 
     column: int
--- a/mallowpond/transport/engine_client.py
+++ b/mallowpond/transport/engine_client.py
@@ -1,4 +1,4 @@
-"""Send orders to engines and read their status over HTTP."""
+"""Send orders to engines, to load or unload a group, and read their status."""
 
 from mallowpond.coordination.ports import (
     EngineStatus,
@@ -21,7 +21,11 @@
         self._timeout = timeout
 
     async def order(self, address: str, order: Order) -> OrderResult:
-        """Send one order; `OrderUnknown` means that it may have arrived."""
+        """Send one order.
+
+        `OrderRefused` means that the engine refused it or that it was not sent,
+        `OrderUnknown` that it may have arrived.
+        """
         response = await self._http.fetch(
             address, "POST", "/engine/order", body=to_json(order), timeout=self._timeout
         )
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -18,7 +18,7 @@
 # Fraction of a server's announced keep-alive timeout during which an idle connection
 # is reused.
 KEEP_ALIVE_FRACTION = 0.75
-# Largest number of responses to earlier requests that are skipped for one request.
+# Number of responses to earlier requests at which a request fails.
 MAX_STALE_RESPONSES = 4
 METHODS_WITHOUT_BODY = frozenset({"GET", "HEAD", "DELETE"})
 # Longer numbers may overflow a float, so the header then counts as absent.
@@ -27,7 +27,11 @@
 
 
 class FailurePhase(str, Enum):
-    """Phase in which a call failed; `BEFORE_HEAD` is the wait for the response head."""
+    """Phase in which a call failed.
+
+    `BEFORE_HEAD` is the wait for the response head; the timeouts of `fetch` and
+    `fetch_response` are reported as this phase, too. `SEND` is not used by this client.
+    """
 
     CONNECT = "connect"
     CLOSED_BEFORE_SEND = "closed_before_send"
@@ -94,9 +98,10 @@
 
 
 class _SilenceWatch:
-    """Aborts a connection that receives no bytes for `seconds`.
+    """Aborts a connection from which nothing is read for `seconds`.
 
-    One timer that is rearmed when it fires; received bytes only record the time.
+    Bytes that arrive while the consumer of the body is busy count only once they are
+    read. One timer is rearmed when it fires; a read only records the time.
     """
 
     def __init__(self, *, connection: _Connection, seconds: float | None) -> None:
@@ -109,7 +114,7 @@
             self._timer = self._loop.call_later(seconds, self._check)
 
     def on_data(self) -> None:
-        """Record that bytes were received."""
+        """Record that bytes were read."""
         self._last_data_at = self._loop.time()
 
     def close(self) -> None:
@@ -120,7 +125,7 @@
     def _check(self) -> None:
         left = self._last_data_at + (self._seconds or 0.0) - self._loop.time()
         if left <= 0:
-            # The pending read returns the end of the stream, before the response's end.
+            # The next read returns the end of the stream, so the response fails.
             self._connection.abort()
             return
         self._timer = self._loop.call_later(left, self._check)
@@ -147,7 +152,8 @@
     ) -> AsyncIterator[BodyEvent]:
         """Yield chunks, then one `End` or `CallFailed`.
 
-        Without a byte for `silence_seconds` the response fails.
+        The response fails if nothing is read for `silence_seconds`, which include the
+        time that the caller takes between two chunks.
         """
         watch = _SilenceWatch(connection=self._connection, seconds=silence_seconds)
         try:
@@ -313,8 +319,8 @@
                     return response
                 data = await response.read()
         except TimeoutError:
-            # Connecting has a shorter timeout of its own, so bytes of the request may
-            # have left when this one expires.
+            # The phase is not known here. Bytes of the request may have left, unless
+            # `timeout` is too short for connecting.
             return CallFailed(phase=FailurePhase.BEFORE_HEAD, reason="timeout")
         finally:
             if isinstance(response, HttpResponse):
@@ -410,7 +416,8 @@
 ) -> h11.Response | CallFailed:
     """Skip responses to earlier requests that arrive late on a reused connection.
 
-    After each of them the request is replayed to a new h11 state, not to the server.
+    After each of them a new h11 state is given the request, so that it can parse the
+    next response; nothing is sent to the server again.
     """
     name, value = echo
     for _ in range(MAX_STALE_RESPONSES):
--- a/mallowpond/transport/table_client.py
+++ b/mallowpond/transport/table_client.py
@@ -19,7 +19,7 @@
 
 
 class TableClient:
-    """Client of the platform's table service and host list."""
+    """Client of the table service and host list that the platform provides."""
 
     def __init__(self, *, http: HttpClient, address: str, timeout: float = 2.0) -> None:
         self._http = http
