--- a/mallowpond/controller/operator_api.py
+++ b/mallowpond/controller/operator_api.py
@@ -242,7 +242,7 @@
 
 
 def apply_command(document: Document, command: Command) -> Document:
-    """Return the document after a command."""
+    """Return the document with the change that a command makes."""
     drained, stopped = set(document.drained_hosts), set(document.stopped_groups)
     match command:
         case DrainHost(host=host):
--- a/mallowpond/controller/quarantine.py
+++ b/mallowpond/controller/quarantine.py
@@ -3,6 +3,8 @@
 A gateway sees only the retries of a request that arrive at it. Each report becomes a
 row that every controller reads with the shared rows and sends to its gateways with the
 routes, so that a request which crashes its targets is quarantined at every gateway.
+Requests are identified by their fingerprints, which all retries of a request share. An
+ending is the end of a target's process while it ran the request.
 """
 
 import time
@@ -63,8 +65,8 @@
         self._reported: set[str] = set()
         self._versions: dict[str, int] = {}
         self._quarantined: frozenset[str] = frozenset()
-        # Every request quarantined here so far: later changes of its record, such as a
-        # refutation, are published too.
+        # Every request quarantined here so far: later changes of its record are
+        # published too, such as a complete answer, which refutes earlier endings.
         self._published: set[str] = set()
         self._version = 1
 
@@ -132,7 +134,8 @@
             put = TypedPut(
                 key=SHARED + QUARANTINE + request,
                 value=row,
-                # Fails if another controller has changed the row: it is merged first.
+                # Fails if another controller has changed the row. The change is merged
+                # in the next step and the row written again.
                 expect=known.version if known else 0,
             )
             puts.append(put)
--- a/mallowpond/gateway/admission.py
+++ b/mallowpond/gateway/admission.py
@@ -95,7 +95,10 @@
     def release(
         self, group: str, *, held_seconds: float, latency: float | None
     ) -> None:
-        """Release a slot; `latency` is in seconds per token, None if not measured."""
+        """Release a slot.
+
+        `latency` is in seconds per chunk, None without a complete answer.
+        """
         self._balancer.finish(group, now=self._clock.now(), latency=latency)
         if latency is not None:
             self._service.record(held_seconds)
--- a/mallowpond/gateway/dispatch.py
+++ b/mallowpond/gateway/dispatch.py
@@ -22,9 +22,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """One attempt of a request.
+    """One attempt of a request; a `repeatable` one may run more than once.
 
-    `resume_after` is the number of stream events that the caller has received already.
+    `path` includes the query string. `resume_after` is the number of stream events that
+    the caller has received already.
     """
 
     request_id: str
--- a/mallowpond/gateway/link.py
+++ b/mallowpond/gateway/link.py
@@ -91,7 +91,8 @@
     ) -> ClaimVerdict:
         """Send a claim, finish or void and return the verdict.
 
-        `CLAIM_UNKNOWN` if no answer arrived within `timeout` seconds.
+        `CLAIM_UNKNOWN` if no answer arrived within `timeout` seconds,
+        `STORE_UNAVAILABLE` if no controller is attached.
         """
         answer = await self._call(ask, timeout)
         if isinstance(answer, ClaimAnswer):
@@ -99,7 +100,7 @@
         return answer
 
     async def ask_quota(self, ask: QuotaAsk, timeout: float) -> QuotaAnswer | None:
-        """Lease quota units; None if no answer arrived within `timeout` seconds."""
+        """Lease quota units; None without an answer within `timeout` seconds."""
         answer = await self._call(ask, timeout)
         return answer if isinstance(answer, QuotaAnswer) else None
 
--- a/mallowpond/gateway/quotas.py
+++ b/mallowpond/gateway/quotas.py
@@ -1,4 +1,8 @@
-"""Budgets of workspaces, spent from chunks leased through the controller."""
+"""Daily budgets of workspaces, spent from chunks leased through the controller.
+
+A chunk is a number of units. A completion costs its maximum number of tokens, any other
+request one unit.
+"""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -38,7 +42,7 @@
     async def spend(self, workspace: Workspace, units: int) -> Problem | None:
         """Spend units, leasing more if the chunk has too few.
 
-        Returns the refusal if the budget is spent or could not be read.
+        Returns the refusal if the budget is spent or no units could be leased.
         """
         account = self._accounts.setdefault(workspace.name, _Account())
         if self._try_spend(account, units):
--- a/mallowpond/gateway/request_parser.py
+++ b/mallowpond/gateway/request_parser.py
@@ -24,8 +24,8 @@
 class ParsedRequest:
     """A valid request of a known workspace.
 
-    `units` is the charge against the budget. `deadline` is in seconds on the gateway's
-    clock.
+    `units` are charged to the workspace's budget. `deadline` is in seconds on the
+    gateway's clock.
     """
 
     request_id: str
@@ -67,7 +67,7 @@
     def parse(
         self, request: HttpRequest, request_id: str
     ) -> ParsedRequest | bytes | Problem:
-        """Return the parsed request, the body to answer with, or the refusal."""
+        """Return the parsed request, or the body of an answer, or the refusal."""
         caller = parse_headers(request.headers, self._default_timeout)
         if isinstance(caller, Problem):
             return caller
--- a/mallowpond/gateway/serving.py
+++ b/mallowpond/gateway/serving.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Slot:
-    """A slot acquired on a target."""
+    """A slot for one request, acquired on a target."""
 
     target: str
 
@@ -77,7 +77,10 @@
         """Acquire a slot, preferably on a target not in `avoid`."""
 
     def release(self, slot: Slot, held_seconds: float, latency: float | None) -> None:
-        """Release a slot; `latency` is in seconds per token, None if not measured."""
+        """Release a slot.
+
+        `latency` is in seconds per chunk, None without a complete answer.
+        """
 
     async def dispatch(self, slot: Slot, attempt: Attempt) -> AttemptOutcome:
         """Send an attempt to the target of the slot."""
@@ -89,12 +92,16 @@
         """Record that an attempt on the target failed."""
 
     def instance_id(self, slot: Slot) -> str:
-        """Return an identifier of the target that changes after the target ended."""
+        """Return an identifier of the target that is a new one after it has ended."""
 
 
 @dataclass(kw_only=True)
 class RequestExecution:
-    """Executes one request on the targets of a pool."""
+    """Executes one request on the targets of a pool.
+
+    A `resumable` stream that breaks off is continued by another target, after the
+    events that the caller has received.
+    """
 
     pool: TargetPool
     attempt: Attempt
@@ -111,6 +118,7 @@
     _progress: StreamProgress = field(default_factory=StreamProgress)
     _avoid: frozenset[str] = frozenset()
     _may_have_run: bool = False
+    # Of the attempts whose outcome is known; `_may_have_run` includes the current one.
     _earlier_may_have_run: bool = False
 
     @property
--- a/mallowpond/programs/cli.py
+++ b/mallowpond/programs/cli.py
@@ -99,7 +99,7 @@
 
 @app.command()
 def gateway(config: ConfigFile) -> None:
-    """Run a gateway, which meets callers."""
+    """Run a gateway, which serves callers."""
     from mallowpond.programs.processes import run_gateway
 
     settings = _load(config, GatewaySettings)
--- a/mallowpond/programs/site.py
+++ b/mallowpond/programs/site.py
@@ -49,7 +49,8 @@
 class SiteShape:
     """Number of servers of each kind in a site, and options of its engines.
 
-    The engines are divided evenly among the domains.
+    The engines are divided evenly among the fabric `domains`. `step_seconds` is the
+    time that an engine takes for each word of an answer.
     """
 
     engines: int = 8
@@ -189,5 +190,5 @@
 
 
 def key_hash(key: str) -> str:
-    """Return the hash of an API key as it stands in declarations."""
+    """Return the hash of an API key in the form that declarations contain."""
     return sha256(key.encode()).hexdigest()
--- a/mallowpond/protocol/engine.py
+++ b/mallowpond/protocol/engine.py
@@ -3,9 +3,13 @@
 REQUEST_HEADER = "mallowpond-request"
 GROUP_HEADER = "mallowpond-group"
 GENERATION_HEADER = "mallowpond-generation"
+# Number of requests that the group is running, in a response.
 LOAD_HEADER = "mallowpond-load"
+# The caller's idempotency key.
 KEY_HEADER = "mallowpond-key"
+# Number of events of a stream that the caller has received already.
 RESUME_HEADER = "mallowpond-resume-after"
+# A response with `NOT_STARTED` in this header means that the engine ran nothing.
 OUTCOME_HEADER = "mallowpond-outcome"
 NOT_STARTED = "not_started"
 
--- a/mallowpond/settings.py
+++ b/mallowpond/settings.py
@@ -50,7 +50,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControllerSettings:
-    """Settings of one controller; port 0 takes a free port."""
+    """Settings of one controller; port 0 takes a free port.
+
+    `cell` names the controllers of its data centre. `platform` is the IP:PORT of the
+    platform's table service and host list, `host` its own host's name in that list.
+    """
 
     name: str
     cell: str
@@ -102,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformStandinSettings:
-    """Settings of the stand-in for the platform."""
+    """Settings of the stand-in for the platform's table service and host list."""
 
     hosts: tuple[Host, ...]
     address: str = "127.0.0.1"
@@ -111,7 +115,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineStandinSettings:
-    """Settings of the stand-in for an engine."""
+    """Settings of the stand-in for an engine.
+
+    `step_seconds` is the time that it takes for each word of an answer.
+    """
 
     host: str
     incarnation: str = "1"
