--- a/mallowpond/node/calls.py
+++ b/mallowpond/node/calls.py
@@ -131,7 +131,7 @@
                 return await self._finish(work, failed, reason)
             self._metrics.retries.labels(reason.value).inc()
             log.info(
-                "call: sent once more",
+                "call: resent",
                 request=work.request.id,
                 reason=reason.value,
                 target=target.id,
--- a/mallowpond/node/configuration.py
+++ b/mallowpond/node/configuration.py
@@ -116,7 +116,9 @@
             async with asyncio.timeout(seconds):
                 await self._is_first_settled.wait()
         except TimeoutError:
-            log.info("configuration: first version awaited in vain", seconds=seconds)
+            log.info(
+                "configuration: timed out waiting for first version", seconds=seconds
+            )
 
     async def run(self) -> None:
         """Follow until cancelled."""
--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -414,7 +414,7 @@
         if target.process in self._ended:
             return
         self._ended.add(target.process, self._clock.now())
-        log.warning("targets: started again", target=target.id, born=target.born)
+        log.warning("targets: restarted", target=target.id, born=target.born)
         membership = target.membership
         group = membership and self._groups.get((membership.group, membership.epoch))
         if group:
@@ -439,7 +439,7 @@
             self._awaiting_return.add(identifier)
         if not self._awaiting_return or not self.is_settled:
             return
-        log.info("targets: did not return", targets=sorted(self._awaiting_return))
+        log.info("targets: dropped after outage", targets=sorted(self._awaiting_return))
         gone, self._awaiting_return = self._awaiting_return, set()
         self._replace_targets({k: t for k, t in self._targets.items() if k not in gone})
 
@@ -450,7 +450,7 @@
             listed, found | listed if read.whole else found
         )
         for identifier in incomplete:
-            log.warning("targets: start not told", target=identifier)
+            log.warning("targets: start time missing", target=identifier)
             del listed[identifier]
         unreadable = incomplete.union(read.unreadable)
         gone = set(read.removed)
@@ -504,7 +504,7 @@
                 group, is_change=is_change, asked_at=self._read_at
             )
             if is_readmitted:
-                log.info("groups: open anew", group=group.name, epoch=group.epoch)
+                log.info("groups: reopened", group=group.name, epoch=group.epoch)
 
     def _remove(self, found: dict[str, Target], identifier: str) -> None:
         target = found.get(identifier)
@@ -596,7 +596,7 @@
                 self.newest_target_at = self._clock.now()
             elif known.process != target.process:
                 log.info(
-                    "targets: another process",
+                    "targets: process replaced",
                     target=identifier,
                     before=known.born,
                     born=target.born,
--- a/mallowpond/node/dispatcher_client.py
+++ b/mallowpond/node/dispatcher_client.py
@@ -166,7 +166,7 @@
         answer = await self._next_answer(request_id, ANSWER_TIMEOUT_SECONDS)
         if answer is None:
             self._unresponsive_until = now + UNRESPONSIVE_SECONDS
-            log.info("places: dispatcher silent", dispatcher=host)
+            log.info("placement: dispatcher unresponsive", dispatcher=host)
         return answer
 
     def _with_avoided(self, request: SlotRequest) -> SlotRequest:
--- a/mallowpond/node/ingress.py
+++ b/mallowpond/node/ingress.py
@@ -92,7 +92,7 @@
         if self.is_stopping:
             exchange.announce_close()
             log.info(
-                "ingress: reached while stopping",
+                "ingress: request while stopping",
                 target=request.path,
                 earlier=exchange.previous_requests,
                 left=round(self.shutdown_at - self._clock.now(), 3),
@@ -126,7 +126,7 @@
             outcome = await self._admit_and_serve(caller_request, exchange, started_at)
         except (ClientDisconnected, asyncio.CancelledError):
             log.info(
-                "ingress: caller left",
+                "ingress: client disconnected",
                 request=caller_request.id,
                 seconds=round(self._clock.now() - started_at, 3),
             )
--- a/mallowpond/node/leadership.py
+++ b/mallowpond/node/leadership.py
@@ -151,7 +151,7 @@
     async def _acquire(self) -> None:
         row = await self._table.read(LEASE_KEY)
         if isinstance(row, Unavailable):
-            log.warning("planner: lease not read", reason=row.reason)
+            log.warning("planner: lease read failed", reason=row.reason)
             return
         fence, version = 1, 0
         if row is not None:
@@ -233,7 +233,7 @@
             case Conflict():
                 self.step_down("another node holds the lease")
             case _:
-                log.warning("planner: lease not written", reason=outcome.reason)
+                log.warning("planner: lease write failed", reason=outcome.reason)
         return False
 
 
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -467,7 +467,7 @@
         if now - self._met_logged_at < MET_LOG_SECONDS:
             return
         log.info(
-            "peers: met",
+            "peers: discovered",
             peer=heartbeat.node,
             address=heartbeat.address,
             met=self._met,
@@ -482,14 +482,14 @@
         outcome = await self._table.commit(change)
         match outcome:
             case Unavailable(reason=reason) | Unknown(reason=reason):
-                log.warning("peers: row not written", reason=reason)
+                log.warning("peers: row write failed", reason=reason)
                 return False
         return True
 
     async def _read_rows(self) -> bool:
         found = await self._table.scan(NODES_PREFIX)
         if isinstance(found, Unavailable):
-            log.warning("peers: rows not read", reason=found.reason)
+            log.warning("peers: rows read failed", reason=found.reason)
             return False
         for row in found.rows:
             name = row.key.removeprefix(NODES_PREFIX)
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -374,7 +374,7 @@
             if has_restarted(seen, current)
         }
         for name, epoch in sorted(ended & groups.keys() - self._restarted_groups):
-            log.info("planner: member started again", group=name, epoch=epoch)
+            log.info("planner: member restarted", group=name, epoch=epoch)
         self._restarted_groups = ended & groups.keys()
 
     # -- orders --------------------------------------------------------------
@@ -444,9 +444,7 @@
         group = self._directory.groups.get(key)
         if group is not None and group.phase is GroupPhase.BROKEN:
             return False
-        log.warning(
-            "planner: join withheld", target=step.target.id, joined_group=key[0]
-        )
+        log.warning("planner: join skipped", target=step.target.id, joined_group=key[0])
         return True
 
     async def _order_count(self, target: Target) -> int | None:
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -220,7 +220,7 @@
             return True
         if not await self._indirect_probe.is_alive(target.id):
             return True
-        log.warning("planner: target seen by another host", target=target.id)
+        log.warning("planner: target alive by indirect probe", target=target.id)
         return False
 
     async def _probe_for_peer(self, identifier: str) -> bool | None:
--- a/mallowpond/node/quarantine_sharing.py
+++ b/mallowpond/node/quarantine_sharing.py
@@ -225,7 +225,7 @@
         outcome = await self._table.commit(change)
         match outcome:
             case Unavailable(reason=reason) | Unknown(reason=reason):
-                log.warning("quarantine: row not written", reason=reason)
+                log.warning("quarantine: row write failed", reason=reason)
                 return False
         self._unwritten.discard(fingerprint)
         return True
@@ -244,7 +244,7 @@
         """Merge the stored records; return False if the store did not answer."""
         read = await self._table.scan(PREFIX)
         if isinstance(read, Unavailable):
-            log.warning("quarantine: rows not read", reason=read.reason)
+            log.warning("quarantine: rows read failed", reason=read.reason)
             return False
         await self._merge_rows(read)
         return True
--- a/mallowpond/node/service.py
+++ b/mallowpond/node/service.py
@@ -356,7 +356,7 @@
             )
         except OSError as error:
             # Serving callers has priority over monitoring.
-            log.warning("node: no metrics address", error=str(error))
+            log.warning("node: metrics server not started", error=str(error))
 
     def _can_plan(self) -> bool:
         return self.configuration.is_store_reachable and not self.ingress.is_stopping
--- a/mallowpond/node/streams.py
+++ b/mallowpond/node/streams.py
@@ -116,7 +116,7 @@
                 return await self._end_unserved(work, refusal, failed)
             self._metrics.retries.labels(reason.value).inc()
             log.info(
-                "stream: sent once more",
+                "stream: resent",
                 request=work.request.id,
                 reason=reason.value,
                 events=work.progress.events,
@@ -395,7 +395,7 @@
 
     def _log_rejected(self, work: StreamWork, group: Group, reason: Reason) -> None:
         log.info(
-            "stream: turned away",
+            "stream: rejected",
             request=work.request.id,
             group=group.name,
             reason=reason.value,
--- a/mallowpond/node/tests/test_planner.py
+++ b/mallowpond/node/tests/test_planner.py
@@ -458,7 +458,7 @@
     await rig.update_list(restarted("a"))
     with structlog.testing.capture_logs() as lines:
         await rig.steps(2)
-    ended = [ln for ln in lines if ln["event"] == "planner: member started again"]
+    ended = [ln for ln in lines if ln["event"] == "planner: member restarted"]
     assert [line["group"] for line in ended] == [join.group]
     assert [leave.target.id for leave in rig.orders_of(Leave)] == ["b"]
     await rig.steps(20)
--- a/mallowpond/node/unreadable.py
+++ b/mallowpond/node/unreadable.py
@@ -22,7 +22,7 @@
         if self._counter is not None:
             self._counter.labels(kind, reason.fault.value).inc()
         log.warning(
-            "unreadable: left out",
+            "unreadable: document skipped",
             kind=kind,
             key=repr(key)[:KEY_LENGTH],
             fault=reason.fault.value,
--- a/mallowpond/node/watch.py
+++ b/mallowpond/node/watch.py
@@ -259,7 +259,7 @@
             return
         streams = self._streams_on(key)
         if self._is_making_progress(key, streams):
-            log.info("groups: suspicion not shared", group=key[0])
+            log.info("groups: peer suspicion ignored", group=key[0])
             return
         self._metrics.suspicions.labels("peer").inc()
         self._exclude_suspected(key)
