--- a/mallowpond/gateway/tests/test_dispatch.py
+++ b/mallowpond/gateway/tests/test_dispatch.py
@@ -73,7 +73,7 @@
 
 
 async def test_engine_that_says_so_did_not_start():
-    outcome = await outcome_of(scripted.say_not_started)
+    outcome = await outcome_of(scripted.respond_not_started)
     assert outcome == NotStarted(reason="engine_refused")
 
 
--- a/mallowpond/programs/processes.py
+++ b/mallowpond/programs/processes.py
@@ -79,7 +79,7 @@
 
 
 async def run_engine(settings: EngineStandinSettings, stop: asyncio.Event) -> None:
-    """Run the stand-in for an engine that takes orders from controllers."""
+    """Run the stand-in for an engine that controllers and gateways use."""
     engine = EngineStandin(
         host=settings.host,
         incarnation=settings.incarnation,
@@ -103,7 +103,7 @@
 
 
 async def run_observatory_engine(options: EngineOptions, stop: asyncio.Event) -> None:
-    """Run the stand-in for an engine that takes requests from nodes."""
+    """Run the stand-in for an engine that nodes use."""
     engine = ObservatoryEngine(options=options)
     await engine.start()
     loop = asyncio.get_running_loop()
--- a/mallowpond/protocol/peer.py
+++ b/mallowpond/protocol/peer.py
@@ -73,8 +73,8 @@
     """Answer to `RoutesAsk`; what the gateway already has is None.
 
     `config_left` is the time in seconds for which the controller is sure of the version
-    in force, counted from its answer; None if it is not sure. All members of each group
-    were observed healthy at most `seen_age` seconds ago, except for the `exceptions`:
+    in force, counted from its answer; None if it is not sure. Each group was confirmed
+    by all its members at most `seen_age` seconds ago, except for the `exceptions`:
     an age for every group in every answer would exceed the budget for control traffic.
     `held` holds the crash records of requests that are or were in quarantine because
     targets end under them, and `held_version` is its version. `leaving` tells the
--- a/mallowpond/settings.py
+++ b/mallowpond/settings.py
@@ -73,8 +73,9 @@
     """Intervals and timeouts of a gateway, in seconds.
 
     `routes` is the interval of route requests. A group may be sent work for `permit`
-    after it was last observed healthy. `request` is the default timeout of a caller's
-    request. A stopping gateway waits up to `drain_limit` for requests in progress.
+    after all its members last confirmed it. `request` is the default timeout of a
+    caller's request. A stopping gateway waits up to `drain_limit` for requests in
+    progress.
     `claim` bounds claim and quota calls, `connect` connecting, `first_byte` the wait
     for a response's head and `between_chunks` gaps in its body.
     """
--- a/mallowpond/transport/tests/scripted.py
+++ b/mallowpond/transport/tests/scripted.py
@@ -84,7 +84,7 @@
     await writer.drain()
 
 
-async def say_not_started(reader, writer):
+async def respond_not_started(reader, writer):
     """Refuse, stating that the request was not started."""
     await read_request(reader)
     writer.write(
