--- a/mallowpond/node/directory.py
+++ b/mallowpond/node/directory.py
@@ -439,7 +439,9 @@
             self._awaiting_return.add(identifier)
         if not self._awaiting_return or not self.is_settled:
             return
-        log.info("targets: dropped after outage", targets=sorted(self._awaiting_return))
+        log.info(
+            "targets: lapsed entries dropped", targets=sorted(self._awaiting_return)
+        )
         gone, self._awaiting_return = self._awaiting_return, set()
         self._replace_targets({k: t for k, t in self._targets.items() if k not in gone})
 
