--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -83,7 +83,7 @@
 LIVE_CACHE_SECONDS = 0.2
 # Interval between log lines about newly discovered peers, in seconds: when a fleet
 # starts, every host discovers every other one.
-MET_LOG_SECONDS = 1.0
+DISCOVERED_LOG_SECONDS = 1.0
 NODES_PREFIX = "nodes/"
 
 
@@ -144,8 +144,8 @@
         self._peers: dict[str, Peer] = {}
         self._live: list[Peer] = []
         self._live_at = float("-inf")
-        self._met = 0
-        self._met_logged_at = float("-inf")
+        self._discovered = 0
+        self._discovered_logged_at = float("-inf")
         self.is_candidate = True
         self.candidates: frozenset[str] = frozenset()
         self.on_heartbeat: list[Callable[[Heartbeat], None]] = []
@@ -449,7 +449,7 @@
         if known is None or not known.is_live(now):
             self._live_at = float("-inf")
         if known is None or known.heartbeat.incarnation != heartbeat.incarnation:
-            self._log_met(heartbeat, now)
+            self._log_discovered(heartbeat, now)
             is_new = True
         self._addresses[heartbeat.node] = heartbeat.address
         if known is None:
@@ -462,18 +462,18 @@
             # the next regular heartbeat, which comes seconds later.
             self.send_to(self._make_heartbeat(), (heartbeat.node,))
 
-    def _log_met(self, heartbeat: Heartbeat, now: float) -> None:
-        self._met += 1
-        if now - self._met_logged_at < MET_LOG_SECONDS:
+    def _log_discovered(self, heartbeat: Heartbeat, now: float) -> None:
+        self._discovered += 1
+        if now - self._discovered_logged_at < DISCOVERED_LOG_SECONDS:
             return
         log.info(
             "peers: discovered",
             peer=heartbeat.node,
             address=heartbeat.address,
-            met=self._met,
+            met=self._discovered,
             known=len(self._peers),
         )
-        self._met, self._met_logged_at = 0, now
+        self._discovered, self._discovered_logged_at = 0, now
 
     async def _write_row(self) -> bool:
         row = NodeRow(address=self._address, incarnation=self._incarnation)
