--- a/mallowpond/coordination/clock.py
+++ b/mallowpond/coordination/clock.py
@@ -25,14 +25,16 @@
 class BootClock(MonotonicClock):
     """Clock that also counts the time while the host was suspended.
 
-    Leases, and the confirmations of the configuration version, expire by it: on the
-    plain monotonic clock, a host that resumes after ten seconds would use a lease that
-    expired long ago.
+    Leases expire by it, and so do confirmations that a configuration version is still
+    the newest: on the plain monotonic clock, a host that resumes after ten seconds
+    would use a lease that expired long ago.
     """
 
     def __init__(self) -> None:
-        # Random: with one phase for all, a fleet of 195 hosts would send all its load
-        # reports to the readers in the same millisecond.
+        # Random: ticks of equal phase coincide between hosts that share a boot clock,
+        # as on one machine. With one phase for all, a fleet of 195 such hosts would
+        # send all its load reports to the readers (the hosts that read the store for
+        # the others) in the same millisecond.
         self._phase = random.random() * TICK_SECONDS
 
     def now(self) -> float:
@@ -51,5 +53,5 @@
 
 
 def nearest_tick(due: float, phase: float) -> float:
-    """Return the time of the tick nearest to `due`; `phase` is that of one tick."""
+    """Return the tick nearest to `due`, of those at `phase` plus whole periods."""
     return round((due - phase) / TICK_SECONDS) * TICK_SECONDS + phase
--- a/mallowpond/coordination/health.py
+++ b/mallowpond/coordination/health.py
@@ -1,4 +1,8 @@
-"""Poll engines, and compute how recently all members of a group were confirmed."""
+"""Poll engines, and compute how recently all members of a group were confirmed.
+
+A generation is the number of one forming of a group: a group that is formed again gets
+a new one.
+"""
 
 import asyncio
 from dataclasses import dataclass
--- a/mallowpond/coordination/membership.py
+++ b/mallowpond/coordination/membership.py
@@ -1,4 +1,7 @@
-"""Renew this controller's member row and track which other members are alive."""
+"""Renew this controller's member row and track which other members are alive.
+
+A cell is the controllers of one data centre; these are its members.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -29,7 +32,8 @@
 from mallowpond.state.proposal import next_epoch
 from mallowpond.state.rows import CellRow, HeartbeatRow, MemberRow, MemberState
 
-# Lease times without a heartbeat after which a member is removed from its cell.
+# Time without a heartbeat after which a member is removed from its cell, as a multiple
+# of the lease duration.
 GONE_AFTER_LEASES = 3.0
 
 
@@ -139,9 +143,9 @@
     def is_lease_expired(self, member: str, incarnation: str) -> bool:
         """Return whether a lease held by this incarnation has expired.
 
-        An incarnation without a known heartbeat is watched from now on with a constant
-        counter, so that a holder whose row was overwritten still has its full lease
-        time to stop by itself.
+        An incarnation without a known heartbeat is watched from now on with a counter
+        that never changes, so that it expires after one lease duration. A lease holder
+        whose row was overwritten thus still has that time to stop by itself.
         """
         now = self._clock.now()
         key = (member, incarnation)
@@ -163,14 +167,15 @@
         """Adopt a later epoch of the cell that a peer has read.
 
         If the table service fails while a member is being added, some members are an
-        epoch behind. They would never agree with the rest, and the whole cell would
-        refuse requests until the table service is back.
+        epoch behind. They and the rest would never agree on the epoch, and so could not
+        confirm the configuration version to one another: the whole cell would refuse
+        requests until the table service is back.
         """
         if cell.cell == self._identity.cell and cell.epoch > self.epoch:
             self._peer_cell = cell
 
     async def refresh(self) -> bool:
-        """Read the cell's rows and record new heartbeats.
+        """Read the member and heartbeat rows of the cell and record new heartbeats.
 
         Return whether the rows could be read.
         """
--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -1,4 +1,7 @@
-"""Exchange datagrams with the other nodes, and detect which of them are live."""
+"""Exchange datagrams with the other nodes, and detect which of them are live.
+
+`messages` defines the messages. A `Work` message is the load report of a node.
+"""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -52,9 +55,9 @@
 
 log = structlog.get_logger()
 
-# Heartbeats per second above which a fleet counts as large: if a node that sends to
-# every peer at the usual interval would send more. In a large fleet a node sends at the
-# rates below, so that its traffic does not grow with the fleet.
+# A fleet counts as large if a node would send more heartbeats per second than this to
+# reach every peer at the usual interval. In a large fleet a node sends at the rates
+# below, so that its traffic does not grow with the fleet.
 SMALL_FLEET_HEARTBEATS_PER_SECOND = 60.0
 # Heartbeats that one node sends per second in a large fleet, to all peers together.
 # Candidates are the hosts that plan or read the store, or may be next to do so: their
@@ -115,10 +118,11 @@
     """Datagram transport and failure detector among the nodes.
 
     A node is the process of one entry host; its peers are the nodes of the others. It
-    discovers them by their rows in the store and by their heartbeats. Others register
-    listeners for each kind of message in the `on_` lists. `is_candidate` and
-    `candidates`, which `Readers` sets, decide how often this node sends heartbeats, and
-    to whom.
+    discovers them by their rows in the store and by their heartbeats. Other parts of
+    this node append listeners for each kind of message to the `on_` lists.
+    `is_candidate` and `candidates` decide how often this node sends heartbeats, and to
+    whom. `Readers`, which chooses the hosts that read the store for the others, sets
+    them.
     """
 
     def __init__(
@@ -148,27 +152,49 @@
         self._discovered_logged_at = float("-inf")
         self.is_candidate = True
         self.candidates: frozenset[str] = frozenset()
+        # A node is live, and in this state.
         self.on_heartbeat: list[Callable[[Heartbeat], None]] = []
+        # A group is suspected, no longer suspected, or being closed by the planner.
         self.on_suspicion: list[Callable[[Suspicion], None]] = []
+        # A formation of a group no longer serves.
         self.on_group_broken: list[Callable[[GroupBroken], None]] = []
+        # A target whose list entry lapsed passed a peer's health check (`Vouch`).
         self.on_target_healthy: list[Callable[[str], None]] = []
+        # A group is silent at a peer. A listener returns whether it saw progress of the
+        # group; if one did, this node answers with an `Advance`.
         self.on_silence_question: list[Callable[[SilenceQuestion], bool]] = []
+        # A peer sees this group make progress: the answer to `ask_group_progress`.
         self.on_advance: list[Callable[[GroupKey], None]] = []
+        # A reader's summary: newest configuration version, last change of the target
+        # list, load of all hosts by group.
         self.on_digest: list[Callable[[Digest], None]] = []
+        # Changes of the target list, sent by a reader.
         self.on_list_change: list[Callable[[ListChange], None]] = []
+        # The load report of a peer: its streams by group.
         self.on_work: list[Callable[[Work], None]] = []
+        # A peer requests a slot for a stream from the dispatcher.
         self.on_place_question: list[Callable[[PlaceQuestion], None]] = []
+        # The dispatcher grants, queues or refuses such a request of this node.
         self.on_place_answer: list[Callable[[PlaceAnswer], None]] = []
+        # A peer asks this node, as a reader, for the newest configuration version.
         self.on_version_question: list[Callable[[VersionQuestion], None]] = []
+        # A reader's answer with that version.
         self.on_version_answer: list[Callable[[VersionAnswer], None]] = []
+        # Part of the configuration, sent by a peer.
         self.on_configuration_part: list[Callable[[ConfigurationPart], None]] = []
+        # A peer that has no configuration and lacks the store asks for it.
         self.on_configuration_question: list[
             Callable[[ConfigurationQuestion], None]
         ] = []
+        # Requests that were running on targets whose processes ended.
         self.on_crash_records: list[Callable[[CrashRecords], None]] = []
+        # A peer that has started asks for this node's records of such requests.
         self.on_crash_question: list[Callable[[CrashQuestion], None]] = []
+        # Rate limits that targets announced or withdrew in answers to a peer.
         self.on_rate_limits: list[Callable[[RateLimitNews], None]] = []
+        # A peer asks this node to probe a target that does not answer the peer.
         self.on_liveness_question: list[Callable[[LivenessQuestion], None]] = []
+        # The result of a probe that this node asked a peer for.
         self.on_liveness_answer: list[Callable[[LivenessAnswer], None]] = []
 
     @property
@@ -198,6 +224,7 @@
     @property
     def last_planner(self) -> Peer | None:
         """Return the peer that last planned, by its fencing number, live or not."""
+        # `planning` is the fencing number, 0 if the peer does not plan.
         planners = [p for p in self._peers.values() if p.heartbeat.planning]
         return max(planners, key=lambda p: p.heartbeat.planning, default=None)
 
@@ -207,7 +234,7 @@
         return 1 + len(self.live)
 
     def has_heard_from(self, node: str, seconds: float) -> bool:
-        """Return whether a node sent a heartbeat or its load in the last `seconds`."""
+        """Return whether a node sent a heartbeat or load report within `seconds`."""
         peer = self._peers.get(node)
         return peer is not None and self._clock.now() - peer.heard_at <= seconds
 
@@ -306,6 +333,7 @@
 
     def broadcast_group_broken(self, group: Group, cause: BreakCause) -> None:
         """Report to every peer that a formation (epoch) of a group no longer serves."""
+        # The head is the member that takes the group's requests.
         if group.head is None:
             return
         self.broadcast(
@@ -319,7 +347,11 @@
         )
 
     def ask_group_progress(self, key: GroupKey, silent: float) -> None:
-        """Ask every peer whether it sees a group progress that is silent here."""
+        """Ask every peer whether a group that is silent here makes progress there.
+
+        `silent` is the time in seconds for which this node has seen no event of the
+        group. Peers that see progress answer, which calls the `on_advance` listeners.
+        """
         self.broadcast(
             SilenceQuestion(node=self._name, group=key[0], epoch=key[1], silent=silent)
         )
--- a/mallowpond/node/planner.py
+++ b/mallowpond/node/planner.py
@@ -77,11 +77,13 @@
 # hundred milliseconds.
 PENDING_PROBE_SECONDS = 0.3
 # Time since the last planning round above which this process counts as having paused,
-# in seconds. Another node takes over after a second of silence, and its fencing number
-# protects only those members of a group to which it has already sent an order.
+# in seconds. Another node takes over after a second of silence. The new planner's
+# fencing number protects only the targets to which it has already sent an order: any
+# other would still accept one from this process.
 PAUSE_SECONDS = 0.5
-# Minimum age of the last renewal before a refused fencing number triggers another one,
-# in seconds: many orders may be refused for the same reason at once.
+# Minimum age of the last lease renewal, in seconds, before an order refused for its
+# fencing number triggers another renewal: many may be refused for the same reason at
+# once.
 LEASE_CHECK_SECONDS = 0.3
 # Number of epochs reserved for the groups of one fencing number.
 EPOCHS_PER_FENCE = 1_000_000
@@ -287,6 +289,7 @@
         """Return a listed target, updated by its own answers and accepted orders."""
         if self._probes.is_leaving(target):
             return replace(target, draining=True)
+        # A group that it accepted an order to leave is removed, though still listed.
         return self._book.without_left_group(self._processes.current(target))
 
     @property
@@ -333,7 +336,7 @@
         self._recorded_groups = dict(groups)
 
     def _refresh_records(self) -> None:
-        """Update the records to the list, and start the probes that are due.
+        """Bring the records in line with the list, and start the probes that are due.
 
         Orders whose effects are listed and records of groups that are gone are dropped.
         """
@@ -415,10 +418,11 @@
     def _is_outdated(self, step: Step) -> bool:
         """Return whether an order was overtaken by events since it was planned.
 
-        That is the case if its target or a member of its group has restarted, or if it
-        would join a formation that has ended. The order may have waited for the
-        target's report meanwhile; a group opened on the old plan would begin work with
-        a member that has no weights loaded.
+        Any order is outdated if its target has restarted or is no longer listed. A join
+        or an open is also outdated if a member of its group has restarted, and a join
+        if its formation has ended. The order may have waited for the target's report
+        meanwhile; a group opened on the old plan would begin work with a member that
+        has no weights loaded.
         """
         if not self._is_current(step.target):
             return True
@@ -434,9 +438,11 @@
         return has_restarted(seen, current)
 
     def _has_joined_elsewhere(self, step: Join) -> bool:
-        """Return whether a target accepted an earlier join of another group.
+        """Return whether a target is in another formation, by the orders it accepted.
 
-        The list may show that join late, so accepted orders take precedence over it.
+        That may be another epoch of the same group; one that the list shows as broken
+        does not count. The list may show an accepted join late, so accepted orders take
+        precedence over it.
         """
         key = self._book.joined(step.target)
         if key is None or key == (step.group, step.epoch):
@@ -460,9 +466,10 @@
             self._probes.start_probe(target)
             return None
         if report.target.group_key != target.group_key:
-            # Another planner's order arrived after the list was read. If this order
-            # carried the count that includes it, the target would accept this order,
-            # planned in ignorance of the other, and become a member of two groups.
+            # Another planner's order changed the target's group after the list was
+            # read. If this order carried the count that includes it, the target would
+            # accept this order, planned in ignorance of the other, and become a member
+            # of two groups.
             log.info("planner: target changed since the list", target=target.id)
             return None
         now = self._clock.now()
@@ -484,6 +491,7 @@
         is_process_gone = not self._is_current(target)
         kind = type(step).__name__.lower()
         self._metrics.orders.labels(kind, type(result).__name__).inc()
+        # `end` is the kind of result; `late` means that the process is gone by now.
         log.info(
             "planner: order",
             kind=kind,
@@ -499,7 +507,8 @@
             return
         match result:
             case OrderTaken(began=began):
-                # Whether the target counted a leave that it did not begin is unknown.
+                # A target may or may not count a leave that it did not begin. It is
+                # recorded as counted, but a report with the lower count is accepted.
                 if began or isinstance(step, Leave):
                     self._book.record_begun(step, expected=order_count, has_begun=began)
                 self._record_accepted(step)
@@ -508,7 +517,8 @@
                 self._release_later(step)
                 self._spawn(self._check_lease())
             case OrderUnfit() if isinstance(step, Stage):
-                # It is already loading weights, on an order of an earlier planner.
+                # The target's state does not allow the order: it is already loading
+                # weights, on an order of an earlier planner.
                 self._book.invalidate_count(target)
                 self._book.end(target)
             case OrderUnfit():
@@ -564,6 +574,7 @@
         answers = await asyncio.gather(*(self._probes.probe(m) for m in members))
         if not all(answers) or len(members) < len(group.members):
             return
+        # A listed member reported that it is not in this formation.
         if group.key in self._processes.disclaimed:
             return
         self._cleared_at.setdefault(group.key, []).append(self._clock.now())
--- a/mallowpond/node/probes.py
+++ b/mallowpond/node/probes.py
@@ -1,6 +1,8 @@
 """Probe targets directly to find out which ones are alive.
 
-A probe asks a target for its report, and so also shows which process answers.
+A probe asks a target for its report, and so also shows which process answers. "The
+list" is the platform's list of targets, in which each target renews its own entry; a
+lapsed target did not renew it in time, but may still run.
 """
 
 import asyncio
@@ -32,8 +34,8 @@
 # Interval between two checks of a group member whose list entry lapsed, in seconds.
 LAPSED_PROBE_INTERVAL_SECONDS = 1.0
 # Consecutive failed health checks after which a lapsed target counts as leaving, that
-# is, as about to shut down. One is not enough: a head whose slots are all in use
-# refuses a health check like a request.
+# is, as about to shut down. One is not enough: a head (the member that takes a group's
+# requests) whose slots are all in use refuses a health check like a request.
 UNHEALTHY_THRESHOLD = 2
 
 
@@ -84,7 +86,7 @@
 
     @property
     def lost(self) -> frozenset[str]:
-        """Return the ids of targets that do not answer or lost their address."""
+        """Return the ids of targets that do not answer or were replaced."""
         return frozenset(process.id for process in (*self._lost, *self._replaced))
 
     def is_leaving(self, target: Target) -> bool:
@@ -130,7 +132,10 @@
                 self._spawn(self.probe(listed[process]))
 
     def start_probe(self, target: Target) -> None:
-        """Start a probe of a target that did not answer, if none is running."""
+        """Start a probe of a target that did not answer, if none is running.
+
+        None is started for a lost target: `probe_due` probes it at intervals.
+        """
         process = target.process
         if process not in self._running_probes and process not in self._lost:
             self._spawn(self.probe(target))
@@ -178,6 +183,7 @@
         )
         self._book.raise_min_count(report.target, report.orders)
         if report.target.process != target.process:
+            # Both values are start times, which identify the processes.
             log.info(
                 "planner: another process answered",
                 target=target.id,
@@ -244,7 +250,7 @@
             self._spawn(self._probe_lapsed(target))
 
     async def _probe_lapsed(self, target: Target) -> None:
-        """Check a lapsed target: it may be cut off from the list, or shutting down."""
+        """Check a lapsed target: it may run, its entry not renewed, or shut down."""
         configuration = self._configuration.configuration
         service = configuration and configuration.services.get(target.service)
         if not service or not self._availability.can_send(target):
--- a/mallowpond/platform/early_listener.py
+++ b/mallowpond/platform/early_listener.py
@@ -1,16 +1,17 @@
 """Listen for callers before the rest of the program is loaded.
 
-Loading takes some tenths of a second. While an entry host that was killed starts again,
-the kernel would refuse its callers' connections, and most callers try only twice. On a
-listening socket connections wait in the backlog until the host can answer. A shorter
-start reduced the failed requests from 2.4% to 0.9% in a test whose last failure is that
-of all hosts (one run each).
+Loading takes some tenths of a second. While an entry host (one that takes callers'
+requests) starts again after it was killed, the kernel would refuse its callers'
+connections, and most callers try only twice. On a listening socket connections wait in
+the backlog until the host can answer. A shorter start reduced the failed requests from
+2.4% to 0.9% in a test that ends with a failure of all hosts (one run each).
 """
 
 import os
 import socket
 import tomllib
 
+# Environment variable with the path of the settings file that the node starts with.
 SETTINGS_VARIABLE = "MALLOWPOND_BOOT"
 DEFAULT_SETTINGS_PATH = "/etc/mallowpond/local.conf"
 # Connections that may wait for the program: some seconds of a host's usual load.
--- a/mallowpond/platform/program.py
+++ b/mallowpond/platform/program.py
@@ -32,8 +32,8 @@
 EXIT_USAGE = 2
 # Thresholds of the three garbage collector generations. The program and the list of
 # targets stay in memory for good, and traversing them with lower thresholds took 5% of
-# a host's processor time (0.231 -> 0.220 of a core at 25 streams per second on
-# loopback, one run each).
+# the processor time that a node used (0.231 -> 0.220 of a core at 25 streams per second
+# on loopback, one run each).
 GC_THRESHOLDS = (20_000, 50, 100)
 
 
--- a/mallowpond/platform/rows.py
+++ b/mallowpond/platform/rows.py
@@ -15,7 +15,7 @@
     """One row of a table, or the removal of one.
 
     document: the decoded value, or an `Unreadable` with the reason.
-    value: the raw value, empty if it cannot be decoded.
+    value: the raw value, empty if its base64 text cannot be decoded.
     version: table version of the row's last change, 0 if unreadable.
     """
 
@@ -47,8 +47,8 @@
         """Return the last state of each row; an answer may contain several of one row.
 
         When the first state was used, a node kept an older configuration although the
-        same answer contained the newer one. As its next read began after that answer,
-        it went on to refuse valid API keys.
+        same answer contained the newer one. Its next read asked only for changes after
+        that answer, so it went on to refuse valid API keys.
         """
         return list({row.key: row for row in self.rows}.values())
 
--- a/mallowpond/state/admission.py
+++ b/mallowpond/state/admission.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """The entry of one waiting request."""
+    """The entry of one waiting request; its deadline is a time on its user's clock."""
 
     number: int
     workspace: str
@@ -111,8 +111,9 @@
         """Return a time in seconds within which most requests end.
 
         With the mean alone, half of the requests that are admitted with just enough
-        time left would miss their deadline after they have run. Under overload their
-        outcome would be unknown, while a refusal shows that they did not run.
+        time left would miss their deadline after they have run. Under overload the
+        callers could not tell whether such requests ran; a refusal shows that they did
+        not.
         """
         return self.seconds + UPPER_BOUND_DEVIATIONS * self.deviation
 
@@ -126,7 +127,10 @@
 
 
 def expected_wait(*, ahead: int, slots: int, service_seconds: float) -> float:
-    """Return the seconds until a slot is free for a request behind `ahead` others."""
+    """Return the seconds until a request behind `ahead` others gets a slot.
+
+    All slots are taken to be in use.
+    """
     if slots <= 0:
         return float("inf")
     return (ahead + 1) * service_seconds / slots
--- a/mallowpond/state/claims.py
+++ b/mallowpond/state/claims.py
@@ -1,7 +1,8 @@
 """Decide whether a request that must run at most once is allowed to run.
 
 A claim is the stored row of one such request: it names the attempt that may be sent and
-how that attempt ended. Withdrawing an attempt that was not sent makes its claim void.
+how that attempt ended. Withdrawing an attempt that was not sent makes its claim void. A
+gateway is a process that sends attempts to engines, named here by its incarnation.
 """
 
 from dataclasses import dataclass, replace
@@ -11,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Granted:
-    """The attempt may be sent once `row` is stored."""
+    """The attempt may be sent after `row` has been stored."""
 
     row: ClaimRow
 
--- a/mallowpond/state/formation_view.py
+++ b/mallowpond/state/formation_view.py
@@ -1,4 +1,9 @@
-"""Input of the group formation planner, and the orders that it can give."""
+"""Input of the group formation planner, and the orders that it can give.
+
+An epoch is the number of one forming of a group: a group that is formed again gets a
+new one. The head of a group is its member of rank 0, which takes its requests. "The
+list" is the platform's list of targets, see `Target`.
+"""
 
 from dataclasses import dataclass, field
 
@@ -40,7 +45,8 @@
 class Leave:
     """Order a member to leave its group, which breaks the group.
 
-    This frees a target that goes on running; one that is leaving is about to stop.
+    This frees the target, which goes on running. It is not thereby a "leaving" target:
+    that is one about to shut down.
     """
 
     target: Target
@@ -65,10 +71,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Formation:
-    """One epoch of a group, as this planner ordered it.
+    """One epoch of a group, that is one set of members, as this planner ordered it.
 
     `members` are the ids of the targets that were ordered to join, by rank, and
-    `ordered_at` is the time of the order. What has joined so far is a `Group`.
+    `ordered_at` is the time of the order. Which of them the list shows as members
+    so far is in the `Group` with the same name and epoch.
     """
 
     group: str
@@ -98,11 +105,12 @@
         another process runs under the id of one of them, that member has restarted.
     disclaimed: formations of which a listed member, asked directly, reports that it is
         in another one or in none.
-    repeatedly_suspected: groups that were suspected several times because they sent
-        no events, although all of their members answered probes.
+    repeatedly_suspected: groups that were suspected several times for sending no
+        events (pieces of output) on their streams, although all of their members
+        answered probes.
     closed: groups whose head was ordered to close, or whose members to leave; they
         are dissolved once they are idle, and not opened again.
-    leaving_since: time at which each leaving target was first seen to be leaving.
+    leaving_since: time at which each target was first seen to be about to shut down.
     loads_begun: times of recent orders that load weights.
     loading: models that targets were ordered to load and do not list as loaded yet.
     is_before_traffic: no request has arrived yet in this installation.
