--- a/mallowpond/node/peers.py
+++ b/mallowpond/node/peers.py
@@ -148,7 +148,7 @@
         self._peers: dict[str, Peer] = {}
         self._live: list[Peer] = []
         self._live_at = float("-inf")
-        self._discovered = 0
+        self._discovered_count = 0
         self._discovered_logged_at = float("-inf")
         self.is_candidate = True
         self.candidates: frozenset[str] = frozenset()
@@ -495,17 +495,17 @@
             self.send_to(self._make_heartbeat(), (heartbeat.node,))
 
     def _log_discovered(self, heartbeat: Heartbeat, now: float) -> None:
-        self._discovered += 1
+        self._discovered_count += 1
         if now - self._discovered_logged_at < DISCOVERED_LOG_SECONDS:
             return
         log.info(
             "peers: discovered",
             peer=heartbeat.node,
             address=heartbeat.address,
-            met=self._discovered,
+            met=self._discovered_count,
             known=len(self._peers),
         )
-        self._discovered, self._discovered_logged_at = 0, now
+        self._discovered_count, self._discovered_logged_at = 0, now
 
     async def _write_row(self) -> bool:
         row = NodeRow(address=self._address, incarnation=self._incarnation)
