--- a/mallowpond/state/admission.py
+++ b/mallowpond/state/admission.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """The entry of one waiting request; its deadline is a time on its user's clock."""
+    """The entry of one waiting request; `deadline` is a time by `Clock.now`."""
 
     number: int
     workspace: str
