--- a/bench/request_path.py
+++ b/bench/request_path.py
@@ -43,13 +43,13 @@
     )
     assert not isinstance(answer, CallFailed), answer
     assert answer.status == 200, answer.status
-    first, chunks = 0.0, 0
+    first, event_count = 0.0, 0
     async for event in answer.events():
         if isinstance(event, Chunk):
             first = first or perf_counter() - start
-            chunks += event.data.count(b"\n\n")
+            event_count += event.data.count(b"\n\n")
     answer.close()
-    return first, chunks
+    return first, event_count
 
 
 async def complete_many(
@@ -108,7 +108,7 @@
     before = cpu_seconds(pid)
     done = await complete_many(http, gateway, AUTH, count, stream=True, max_tokens=200)
     used = cpu_seconds(pid) - before - request * count
-    return used / sum(chunks for _, chunks in done)
+    return used / sum(event_count for _, event_count in done)
 
 
 async def _idle_streams(http, gateway, cluster, pid, count) -> tuple[float, float]:
@@ -119,9 +119,9 @@
     for name in cluster.names("engine"):
         cluster.set_faults(name, slow_factor=2000.0)
     await asyncio.sleep(0.5)
-    rest = cpu_seconds(pid)
+    used_before = cpu_seconds(pid)
     await asyncio.sleep(2.0)
-    at_rest = (cpu_seconds(pid) - rest) / 2.0
+    at_rest = (cpu_seconds(pid) - used_before) / 2.0
     memory = resident_kb(pid)
     tasks = [
         asyncio.create_task(complete(http, gateway, AUTH, stream=True, prompt=f"i{n}"))
@@ -143,17 +143,17 @@
 
 async def _added_latency(http, gateway, cluster, count: int) -> tuple[float, float]:
     """Alternate calls to an engine and through the gateway; return median seconds."""
-    head = None
+    engine = None
     for name in cluster.names("engine"):
         address = f"127.0.0.1:{cluster.ports[name]}"
         status = json.loads((await http.fetch(address, "GET", "/engine/status"))[1])
-        if status["whole"] and head is None:
-            head = (address, status)
-    address, status = head
-    echo = dispatch_headers("direct", status["group"], status["generation"])
+        if status["whole"] and engine is None:
+            engine = (address, status)
+    address, status = engine
+    direct_headers = dispatch_headers("direct", status["group"], status["generation"])
     direct, through = [], []
     for _ in range(count):
-        direct.append((await complete(http, address, echo))[0])
+        direct.append((await complete(http, address, direct_headers))[0])
         through.append((await complete(http, gateway, AUTH))[0])
     return statistics.median(direct), statistics.median(through)
 
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -269,9 +269,9 @@
     def _count_answer(self, work: StreamWork, arrived_at: float) -> None:
         first_event_seconds = (work.first_event_at or 0.0) - arrived_at
         is_late = first_event_seconds > ROUTE.objective_seconds
-        is_gap = work.longest_gap > ROUTE.gap_objective_seconds
+        has_long_gap = work.longest_gap > ROUTE.gap_objective_seconds
         self._count_outcome(
-            arrived_at, "late" if is_late else "gaps" if is_gap else "in_time"
+            arrived_at, "late" if is_late else "gaps" if has_long_gap else "in_time"
         )
 
     def _count_outcome(self, arrived_at: float, outcome_field: str) -> None:
--- a/mallowpond/standins/engine.py
+++ b/mallowpond/standins/engine.py
@@ -80,7 +80,7 @@
         self._step_seconds = step_seconds
         self._assignment: Assignment | None = None
         self._highest_fence = 0
-        self._is_group_whole = False
+        self._is_group_complete = False
         self._in_flight = 0
         self._faults = EngineFaults()
         self._runs: list[str] = []
@@ -125,7 +125,7 @@
             generation=order.generation,
             order=order.order,
             loaded=assignment.loaded,
-            whole=self._is_group_whole,
+            whole=self._is_group_complete,
             in_flight=self._in_flight,
         )
 
@@ -137,7 +137,7 @@
         self._highest_fence = max(self._highest_fence, order.fence)
         if self._load_task is not None:
             self._load_task.cancel()
-        self._is_group_whole = False
+        self._is_group_complete = False
         if order.action is OrderAction.UNLOAD:
             self._assignment = Assignment(order=replace(order, group="", generation=0))
             return None
@@ -157,7 +157,7 @@
             assignment = self._assignment
             if assignment is not None and assignment.order.members:
                 whole = await self._check_members(assignment)
-                self._is_group_whole = whole and assignment is self._assignment
+                self._is_group_complete = whole and assignment is self._assignment
             await asyncio.sleep(PEER_CHECK_SECONDS)
 
     async def _check_members(self, assignment: Assignment) -> bool:
@@ -221,7 +221,7 @@
     ) -> bool:
         assigned = (assignment.order.group, str(assignment.order.generation))
         return (
-            self._is_group_whole
+            self._is_group_complete
             and assigned == requested
             and not self._faults.refuse_start
         )
@@ -273,7 +273,7 @@
         """Lose the group and all running requests, as in a crash of the process."""
         await asyncio.sleep(self._step_seconds)
         self._assignment = None
-        self._is_group_whole = False
+        self._is_group_complete = False
         raise ConnectionAbortedError("the engine process crashed")
 
     async def _generate(self, words: Iterator[str], order: Order):
@@ -287,7 +287,7 @@
             if (
                 assignment is None
                 or assignment.order is not order
-                or not self._is_group_whole
+                or not self._is_group_complete
             ):
                 raise ConnectionAbortedError("the group is broken")
             yield word
--- a/mallowpond/standins/observatory_operator.py
+++ b/mallowpond/standins/observatory_operator.py
@@ -79,7 +79,7 @@
         if isinstance(answer, CallFailed) or answer[0] != 200:
             return {}
         decoded = {r["key"]: unpack(r["value"]) for r in json.loads(answer[1])["rows"]}
-        return {key: e for key, e in decoded.items() if _is_own(e)}
+        return {key: e for key, e in decoded.items() if _has_valid_group(e)}
 
     async def _post(self, target: str, document: dict[str, Any]) -> bool:
         answer = await self._http.fetch(
@@ -93,7 +93,7 @@
         return not isinstance(answer, CallFailed) and answer[0] == 200
 
 
-def _is_own(entry: Any) -> bool:
+def _has_valid_group(entry: Any) -> bool:
     """Return whether an engine wrote an entry: its group is an object or null."""
     return isinstance(entry, dict) and isinstance(entry.get("group", 0), dict | None)
 
--- a/mallowpond/standins/platform.py
+++ b/mallowpond/standins/platform.py
@@ -102,13 +102,13 @@
         row = self._rows.get(key)
         return row.version if row else 0
 
-    def _put(self, put: Put, transaction: str) -> None:
+    def _put(self, put: Put, transaction_id: str) -> None:
         self._deleted.pop(put.key, None)
         self._rows[put.key] = Row(
             key=put.key,
             value=put.value,
             version=self.version,
-            transaction=transaction,
+            transaction=transaction_id,
         )
 
 
