--- a/bench/placing.py
+++ b/bench/placing.py
@@ -12,6 +12,7 @@
 
 PROCESSES = 4
 SEEDS = 4
+# `tight`: the load is close to the capacity of the groups.
 SCENARIOS = (
     Scenario(name="tight, 7 hosts", hosts=7, groups=6, rate=44.0),
     Scenario(name="tight, 18 hosts", hosts=18, groups=6, rate=44.0),
@@ -39,7 +40,10 @@
 
 
 def run(smallest: bool = False) -> list[Report]:
-    """Compare slot assignment by load reports and by a dispatcher on the same seeds."""
+    """Compare slot assignment by load reports and by a dispatcher on the same seeds.
+
+    smallest: simulate a few seconds of one scenario with one seed.
+    """
     scenarios = SCENARIOS[:1] if smallest else SCENARIOS
     if smallest:
         scenarios = tuple(replace(scenario, seconds=4.0) for scenario in scenarios)
@@ -65,6 +69,9 @@
             for scenario in scenarios
             for uses_dispatcher in (False, True)
         ]
+    # load: name of the scenario. places: how streams get slots, by a dispatcher
+    # ("counted") or by load reports ("by news"). beyond: stream-seconds in excess of
+    # the slots, per simulation. beside: the part for which other groups had free slots.
     columns = ("load", "places", "streams", "late", "unserved", "beyond", "beside")
     notes = (
         f"{len(seeds)} seeds; late and unserved in percent of the streams",
--- a/bench/request_path.py
+++ b/bench/request_path.py
@@ -31,7 +31,10 @@
 
 
 async def complete(http, address, headers, **fields) -> tuple[float, int]:
-    """Request one completion; return seconds to the first chunk and the events."""
+    """Request one completion.
+
+    Return the seconds to the first chunk of the body and the number of events.
+    """
     fields_sent = {"model": "meteor-7b", "prompt": "p", "max_tokens": 1} | fields
     start = perf_counter()
     answer = await http.send(
@@ -66,7 +69,7 @@
 
 
 async def measure(cluster: Cluster, smallest: bool) -> list[Report]:
-    """Measure whole requests, chunks, idle streams and the added latency."""
+    """Measure unstreamed requests, streamed events, idle streams, and latency."""
     scale = 1 if smallest else 10
     gateway = f"127.0.0.1:{cluster.ports['gateway0']}"
     pid = cluster.processes["gateway0"].pid
@@ -142,7 +145,10 @@
 
 
 async def _added_latency(http, gateway, cluster, count: int) -> tuple[float, float]:
-    """Alternate calls to an engine and through the gateway; return median seconds."""
+    """Alternate calls to an engine and through the gateway; return median seconds.
+
+    The engine is the first one that reports a complete group.
+    """
     engine = None
     for name in cluster.names("engine"):
         address = f"127.0.0.1:{cluster.ports[name]}"
@@ -159,7 +165,10 @@
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Start the reference layout with one gateway and measure it."""
+    """Start the declared test cluster with one gateway and measure it.
+
+    smallest: send few requests.
+    """
     declaration = DECLARATION.replace(
         "requests_per_group = 8", "requests_per_group = 400"
     )
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,4 +1,8 @@
-"""Simulate policies that choose a group from delayed load reports."""
+"""Simulate policies that choose a group for each request.
+
+Two of them use delayed load reports of the groups. "ours" is the `Balancer` of this
+project, which knows the requests that it started and finished itself.
+"""
 
 import heapq
 import random
@@ -12,6 +16,7 @@
 SLOTS = 8
 PREFIXES = 200
 UTILIZATION = 0.75
+# Share of the service time that a hit in the prefix cache saves.
 HIT_SAVED_SHARE = 0.3
 CACHED_PREFIXES = 30
 STRAGGLER_FACTOR = 5.0
@@ -24,6 +29,7 @@
 
     policy: str
     groups: int
+    # Interval of the load reports, in seconds.
     lag: float
     straggler: bool
     requests: int
@@ -96,7 +102,10 @@
 
 
 def run(*, smallest: bool) -> list[Report]:
-    """Compare the policies by report lag, with a straggler, and by number of groups."""
+    """Compare the policies by report interval, number of groups, and with a straggler.
+
+    smallest: run few cases with few requests.
+    """
     requests = 2_000 if smallest else 20_000
     lags = (0.5,) if smallest else (0.1, 0.5, 2.0)
     reports = [
--- a/mallowpond/emulator/engines.py
+++ b/mallowpond/emulator/engines.py
@@ -1,4 +1,4 @@
-"""Emulated groups of engines that follow their declared timing."""
+"""Emulated groups of engines with the timing declared in an `EngineProfile`."""
 
 import asyncio
 from collections import deque
@@ -88,6 +88,7 @@
             prefilled += tokens
         step = profile.step_seconds + profile.request_seconds * len(self._running)
         seconds = step * profile.stride + prefilled / profile.prefill_tokens_per_second
+        # The pace of a model multiplies the duration: a larger one is slower.
         return seconds * self._model.pace
 
     def _finish_pass(self) -> None:
@@ -129,7 +130,10 @@
 
 
 class EmulatedTargets:
-    """Client that sends requests to emulated groups by the target id of their head."""
+    """Client that sends requests to emulated groups.
+
+    A group is addressed by the target id of its head, the member that accepts requests.
+    """
 
     def __init__(
         self, *, groups: dict[str, EmulatedGroup], one_way_seconds: float
@@ -157,9 +161,9 @@
         return EmulatedResponse(group=group, stream=stream)
 
     def is_not_run(self, response: EmulatedResponse) -> bool:
-        """Return False: an emulated target runs every request."""
+        """Return whether the target declined to run the request, here always False."""
         return False
 
     def notice(self, response: EmulatedResponse) -> TargetNotice:
-        """Return an empty notice: emulated targets announce nothing."""
+        """Return what a response announces about its target: here nothing."""
         return TargetNotice()
--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -2,8 +2,8 @@
 
 Many hosts receive a few streams per second each and send them to the same groups. Each
 host knows the streams of the others with a delay of some tenths of a second. Groups may
-be replaced by empty ones, or all hosts may restart at once, after which their callers
-return together.
+be replaced by empty ones. All hosts may restart at once: their streams are cancelled,
+and the requests that arrive during the outage are sent shortly after it.
 """
 
 import asyncio
@@ -36,8 +36,9 @@
 from mallowpond.node.stream_work import StreamWork
 from mallowpond.state.fleet import GroupPhase, Membership, Target
 
-# Number of hosts above which a reader publishes the total loads in digests. Up to it
-# each host reports its own loads in heartbeats.
+# Number of hosts above which the others report their loads to one host, the reader,
+# which publishes the totals in digests. Up to it each host reports its own loads to all
+# others in heartbeats.
 LARGE_FLEET = 12
 HEARTBEAT_SECONDS = 0.1
 DIGEST_SECONDS = 0.2
@@ -46,14 +47,15 @@
 # Warm-up at the start, which is not counted: the groups fill up, in seconds.
 WARM_UP_SECONDS = 2.0
 SAMPLE_SECONDS = 0.02
-# Callers give up if they should retry after more than this share of the time left.
+# Callers give up if a refusal asks them to wait longer than this share of the time left
+# until their deadline.
 MAX_RETRY_SHARE = 1 / 3
 # Time over which the restarts of the hosts are spread, in seconds.
 RESTART_SECONDS = 0.3
 # Time from the first restart until callers reconnect, in seconds.
 RECONNECT_SECONDS = 0.05
-# Pause after a caller reconnects, in seconds, if no other waits; n waiting callers
-# shorten it to 1 / (n + 1).
+# Pause between the callers that reconnect one after the other, in seconds. It is
+# divided by 1 plus the number of callers that have yet to reconnect.
 RECONNECT_PAUSE_SECONDS = 0.03
 
 
@@ -78,7 +80,7 @@
     # -- groups and hosts ----------------------------------------------------
 
     def open_group(self) -> None:
-        """Open an empty group and list its head as a target."""
+        """Open an empty group; list its head, which takes requests, as a target."""
         self._opened_groups += 1
         name = f"g{self._opened_groups}"
         self.groups[name] = EmulatedGroup(
@@ -239,7 +241,11 @@
         task.add_done_callback(self.serving.discard)
 
     async def _serve_caller(self, request: CallerRequest, arrived_at: float) -> None:
-        """Send a request, and retry once if a refusal names a retry time."""
+        """Send a request at most twice, and count its outcome.
+
+        A refusal with a retry time delays the second send. Any other failure is
+        followed by the second send at once.
+        """
         loop = asyncio.get_running_loop()
         deadline = arrived_at + ROUTE.timeout_seconds
         for _ in range(2):
@@ -283,7 +289,10 @@
     # -- result --------------------------------------------------------------
 
     async def sample_excess(self) -> None:
-        """Sample the streams in excess of the slots, and how many were avoidable."""
+        """Sample how many streams exceed the slots of their group.
+
+        Those for which other groups had free slots are counted as avoidable.
+        """
         while True:
             await asyncio.sleep(SAMPLE_SECONDS)
             if asyncio.get_running_loop().time() < WARM_UP_SECONDS:
--- a/mallowpond/standins/engine.py
+++ b/mallowpond/standins/engine.py
@@ -1,4 +1,7 @@
-"""Stand-in for a model engine or a plain service, with fault injection."""
+"""Stand-in for a model engine, or for a plain service that has no model or group.
+
+It can inject faults into its answers. A plain service echoes each request.
+"""
 
 import asyncio
 import json
@@ -41,7 +44,8 @@
     swap_answers: answers carry the id of another request.
     ignore_fencing: orders are accepted regardless of their fencing number.
     refuse_start: completions are refused.
-    fatal_prompt: prompt that crashes the engine that runs it, empty for none.
+    fatal_prompt: value of the field `prompt` that crashes the engine that runs the
+        request, empty for none. The prompt of a chat message is not compared.
     """
 
     paused: bool = False
@@ -80,6 +84,7 @@
         self._step_seconds = step_seconds
         self._assignment: Assignment | None = None
         self._highest_fence = 0
+        # Whether this engine is loaded, and all other members are reachable and loaded.
         self._is_group_complete = False
         self._in_flight = 0
         self._faults = EngineFaults()
--- a/mallowpond/standins/observatory_operator.py
+++ b/mallowpond/standins/observatory_operator.py
@@ -1,4 +1,8 @@
-"""Stand-in for the platform's operator: writes configurations, reads entries."""
+"""Stand-in for the operator, who writes configurations into the platform's store.
+
+It also reads the entries of the engines: the rows in which each engine publishes its
+address and state. A foreign value is one that another writer put in such a row.
+"""
 
 import base64
 import json
@@ -13,7 +17,7 @@
 from mallowpond.transport.http_client import CallFailed, HttpClient
 
 CALL_SECONDS = 1.0
-# Fields without which an entry does not describe an engine.
+# Fields without which an entry does not describe an engine; `born` is its start time.
 REQUIRED_FIELDS = ("service", "address", "zone", "slots", "state", "born")
 INVALID_FIELDS: tuple[dict[str, Any], ...] = (
     {"service": 7},
@@ -42,7 +46,7 @@
 
 
 class ObservatoryOperator:
-    """Client of the store's stand-in with the operator's write permissions."""
+    """Client of the Observatory store's stand-in with the operator's permissions."""
 
     def __init__(self, *, http: HttpClient, address: str) -> None:
         self._http = http
@@ -64,12 +68,18 @@
         return await self._post("/standin/foreign", document)
 
     async def count_open_groups(self) -> int:
-        """Return how many engines report an open group, 0 if the read fails."""
+        """Return the number of open groups, 0 if the read fails.
+
+        Only the head of a group, which accepts its requests, reports it as open.
+        """
         entries = (await self.entries()).values()
         return sum((e.get("group") or {}).get("state") == "open" for e in entries)
 
     async def entries(self) -> dict[str, dict[str, Any]]:
-        """Return the engines' own entries by id, none if the read fails."""
+        """Return the entries with a valid group by engine id, none if the read fails.
+
+        Foreign values that have such a group are included.
+        """
         answer = await self._http.fetch(
             self._address,
             "GET",
@@ -94,12 +104,19 @@
 
 
 def _has_valid_group(entry: Any) -> bool:
-    """Return whether an engine wrote an entry: its group is an object or null."""
+    """Return whether an entry has a group that is an object or null.
+
+    Engines write only such entries, but some foreign values have such a group as well.
+    """
     return isinstance(entry, dict) and isinstance(entry.get("group", 0), dict | None)
 
 
 def foreign_values(entry: dict[str, Any]) -> tuple[bytes, ...]:
-    """Return values that resemble this entry and do not describe an engine."""
+    """Return values that do not describe an engine.
+
+    Most differ from this entry in one field; the others are other JSON types and
+    unreadable bytes.
+    """
     invalid = [
         {k: v for k, v in entry.items() if k != name} for name in REQUIRED_FIELDS
     ]
@@ -120,8 +137,12 @@
 ) -> dict[str, Any]:
     """Return a configuration with a route of each kind.
 
-    workspaces: API key of each workspace by its name, None for no key.
+    workspaces: API key of each workspace by its name, None for no key. The document
+        calls workspaces tenants.
     """
+    # stride: decoding steps per event. read_per_s: prompt tokens prefilled per second.
+    # loads_per_s, loads_at_once: limits on weight loads of all engines together.
+    # usual: typical lengths in tokens. far_x: slowdown of a group across domains.
     engine = {
         "slots": 8,
         "stride": 7,
@@ -133,6 +154,7 @@
         "usual": {"prompt": 100, "answer": 100},
         "far_x": 2.0,
     }
+    # gap_target_ms: objective for the longest time between two events.
     return {
         "version": version,
         "routes": [
--- a/mallowpond/standins/platform.py
+++ b/mallowpond/standins/platform.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform: table service and host list with fault injection."""
+"""Stand-in for the platform, which provides the table service and the host list.
+
+It can inject faults into both.
+"""
 
 import asyncio
 import json
@@ -28,8 +31,9 @@
 
     down: every call fails.
     delay_seconds: delay of every call over HTTP.
-    lost_answers: number of next commits that take effect without an answer.
-    stale_hosts: the host list no longer changes.
+    lost_answers: number of next commits whose outcome is not answered. A commit without
+        conflict still takes effect; one with a conflict counts as well.
+    stale_hosts: the returned host list no longer changes.
     """
 
     down: bool = False
@@ -44,6 +48,7 @@
 
     faults: PlatformFaults = PlatformFaults()
     version: int = 0
+    # Number of applied transactions, including those that ended in a conflict.
     commits: int = 0
     reads: int = 0
     _rows: dict[str, Row] = field(default_factory=dict)
@@ -122,7 +127,7 @@
         self.server = HttpServer(handler=self._handle)
 
     async def hosts(self) -> tuple[Host, ...] | Unavailable:
-        """Return the hosts; under `stale_hosts`, as they were before that fault."""
+        """Return the hosts; under `stale_hosts`, those of the last call before it."""
         if self.table.faults.down:
             return Unavailable(reason="down")
         if not self.table.faults.stale_hosts:
@@ -200,5 +205,5 @@
         case Unavailable(reason=reason):
             await exchange.respond(503, reason.encode())
         case Unknown():
-            # No answer: the connection closes although the change took effect.
+            # No answer: the connection closes, whether the change took effect or not.
             return
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -19,6 +19,8 @@
 
 log = structlog.get_logger()
 
+# A kind that starts with `node`, `engine` or `store` disturbs such a process or its
+# link. `history`: the store discards its history of changes.
 DRAW_1_KINDS = (
     "node_kill",
     "node_stop",
@@ -36,7 +38,10 @@
     "revoke",
     "reconfigure",
 )
-# Later draw versions add kinds, so that seeds of older ones keep their faults.
+# Later versions of the draw add kinds, so that seeds of older ones keep their faults.
+# `node_stop_series`: all nodes stop, while the configuration changes and stopping nodes
+# get further signals. `engine_restart_unheard`: a restart while a store link is
+# impaired. `foreign_entry`: an entry of an engine that another process wrote.
 DRAW_2_KINDS = (
     "node_stop_series",
     "engine_restart",
@@ -50,15 +55,17 @@
 DRAW_3_KINDS = ("fatal_request",)
 # An engine that announces a rate limit in its answers; one that asks for backoff.
 DRAW_4_KINDS = (RATE_LIMIT_KIND, BACKOFF_KIND)
-# Shares of all kinds that a seed may choose, from draw version 2 on. With few kinds
-# there are undisturbed periods, in which the time limits are checked.
+# From draw version 2 on, a seed chooses one of these probabilities, with which each
+# kind may occur in its run. With few kinds there are undisturbed periods, in which the
+# time limits are checked.
 KIND_SHARES = (0.15, 0.3, 0.6, 1.0)
 NEWEST_DRAW = 4
 LINK_FAULTS = (LinkMode.SLOW, LinkMode.RESET, LinkMode.SILENT, LinkMode.ONE_WAY)
 SERIES_KINDS = ("node_stop_all", "node_stop_series")
 MAX_FAULT_SECONDS = 4.0
 MEAN_PAUSE_SECONDS = 1.2
-# Pause between the stops of a series, in seconds; shorter than the duration of a stop.
+# Pause between the stops of `node_stop_all`, in seconds; shorter than the duration of a
+# stop. `node_stop_series` spreads its stops over the duration of the fault.
 SERIES_PAUSE_SECONDS = 1.0
 # Time after a kill or stop until a node serves and knows its peers, in seconds.
 SETTLE_SECONDS = 2.0
@@ -69,7 +76,7 @@
 # after which nothing may be sent to its engine.
 MIN_FOREIGN_SECONDS = 3.5
 # Minimum time for which a request that crashes its engines is sent repeatedly, in
-# seconds: longer than the limit after which it may hardly reach one.
+# seconds: longer than the time after which it may reach only a few more engines.
 MIN_FATAL_SECONDS = 6.0
 # Minimum time for which an engine asks for fewer requests, in seconds: longer than the
 # delay until a rate limit is checked plus its window, and longer than two backoffs.
@@ -78,10 +85,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """A fault to inject, `at` seconds after the start of the run, for `seconds`.
+    """A fault to inject, `at` seconds after the start of the run.
 
-    `draw` is a random number; its remainder chooses the target of the fault. `link` is
-    the mode of the link, for kinds that change one.
+    `seconds` is its duration; some kinds add a minimum to it, and others, such as a
+    kill, do not use it. `draw` is a random number; its remainder chooses the target of
+    the fault. `link` is the mode of the link, for kinds that change one.
     """
 
     at: float
@@ -92,7 +100,7 @@
 
 
 def draw_kinds(rng: random.Random, draw: int) -> tuple[str, ...]:
-    """Choose the kinds of faults of one run; `draw` is the version of the draw."""
+    """Choose the kinds of faults of one run by version `draw` of this procedure."""
     if draw == 1:
         return DRAW_1_KINDS
     share = rng.choice(KIND_SHARES)
@@ -214,6 +222,7 @@
                 await self._restart_while_forming(fault.draw)
             case "engine_restart_unheard":
                 await self._restart_while_cut_off(fault)
+            # No run draws this kind; tests inject it.
             case "engine_stop_head_or_plain":
                 engine = await self._choose_head_or_plain(fault.draw)
                 self.fleet.stop(engine)
@@ -250,8 +259,8 @@
         link.set_mode(LinkMode.SOUND)
 
     def _choose_plain_or_grouped(self, draw: int) -> ManagedProcess:
-        # Half of the draws choose plain engines, which are few: only they get the
-        # requests that must not be repeated.
+        # Half of the draws choose plain engines, which join no group and are few: only
+        # they get the requests that must not be repeated.
         engines, plain = self.fleet.engines, self.fleet.grouped_engine_count
         half = engines[plain:] if draw % 2 else engines[:plain]
         return half[draw // 2 % len(half)]
@@ -294,7 +303,10 @@
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def _choose_head_or_plain(self, draw: int) -> ManagedProcess:
-        """Choose the head of an open group or a plain engine, by the draw."""
+        """Choose the head of an open group or a plain engine, by the draw.
+
+        The head is the member that accepts the requests of its group.
+        """
         entries = await self.fleet.engine_entries()
         plain = self.fleet.engines[self.fleet.grouped_engine_count :]
         heads = [
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,8 @@
-"""Start the real programs as processes on loopback, and stop and restart them."""
+"""Start nodes, and stand-ins of the store and the engines, as processes on loopback.
+
+Stop and restart them. The nodes run the real program. The store is a stand-in of the
+Observatory store.
+"""
 
 import asyncio
 import json
@@ -29,7 +33,7 @@
 GRACE_SECONDS = 8.0
 RESTART_SECONDS = 0.3
 LOAD_SECONDS = 0.3
-# Time of one event according to the configured engine model, in seconds.
+# Time of one event of a stream by the timing in the configuration, in seconds.
 EVENT_SECONDS = 0.02
 # Interval of the polls for the end of a killed process, in seconds.
 KILL_POLL_SECONDS = 0.005
@@ -39,6 +43,7 @@
 class FleetShape:
     """Number of processes, and the speed of engines.
 
+    Groups form within a failure domain. Plain engines join no group and run no model.
     `slowness` is the actual time of an event, as a multiple of the configured one.
     """
 
@@ -47,7 +52,8 @@
     engines_per_domain: int = 4
     plain_engines: int = 2
     slowness: float = 1.0
-    # Time for which a stopping engine announces it only in its answers, in seconds.
+    # Time for which a stopping engine announces its stop only in its answers and not
+    # yet in the store, in seconds.
     unannounced_seconds: float | None = None
 
 
@@ -205,7 +211,10 @@
         return await self._operator.configure(document)
 
     async def drop_history(self) -> bool:
-        """Make the store drop its history of changes."""
+        """Make the store discard its history of changes; return whether it did.
+
+        Afterwards readers cannot continue from an earlier version.
+        """
         return await self._operator.drop_history()
 
     async def engine_entries(self) -> dict[str, dict[str, Any]]:
@@ -213,7 +222,11 @@
         return await self._operator.entries()
 
     async def write_foreign(self, key: str, value: bytes, seconds: float) -> bool:
-        """Make the store hold a foreign engine entry under a key for some seconds."""
+        """Make the store replace an engine's entry by a foreign value for some seconds.
+
+        Such a value was written by another process than the engine. Return whether the
+        store accepted it.
+        """
         return await self._operator.write_foreign(key, value, seconds)
 
     def signal_store(self, number: signal.Signals) -> None:
@@ -237,6 +250,7 @@
         link = await self._add_link(port)
         store_link = await self._add_link(self._store_port)
         is_plain = number >= self.grouped_engine_count
+        # staged_file: keeps the model staged on local disk across restarts.
         name = f"engine{number}"
         options = {
             "host": "127.0.0.1",
@@ -264,6 +278,8 @@
     async def _add_node(self, number: int) -> None:
         callers, readiness, peers = islice(self.unused_ports, 3)
         link = await self._add_link(self._store_port)
+        # revoke: limit until a revoked API key stops working. stall: time after which a
+        # group without progress is reported as failed. Both in seconds.
         path = self.folder / f"node{number}.toml"
         path.write_text(
             f'name = "node-{number}"\ndata_centre = "a"\naddress = "127.0.0.1"\n'
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -1,7 +1,8 @@
 """Check the records of a run against the guarantees of the system.
 
-Each check yields one line for each violation. Checks of time limits skip what happened
-close to a fault that may explain it.
+Each check yields a line for each violation; that of rate limits stops at the first of
+each engine. Checks of time limits skip what happened close to a fault that may explain
+it, except that of revoked keys, which applies during any fault.
 """
 
 from collections import Counter, defaultdict
@@ -12,7 +13,8 @@
 from soak.records import CallerRecord, Ending, JournalEntry, RequestKind, Run
 
 GROUP_SIZE = 3
-# Limits until a revoked key and a draining engine get no more requests, in seconds.
+# Limits until no request is served with a revoked key or sent to a draining engine, in
+# seconds.
 REVOKE_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
 # Time that links, timers and a busy machine may add to a limit, in seconds.
@@ -22,9 +24,11 @@
 ROUNDING_SECONDS = 0.02
 # Time after a disturbance during which time limits are not checked, in seconds.
 RECOVERY_SECONDS = 3.0
-# Time within which every node knows of an entry of another writer, or of a start of an
-# engine, in seconds: several reads of the engine list and their latency.
+# Time within which every node knows that another process has replaced an engine's
+# entry, or that an engine has started, in seconds: several reads of the engine list and
+# their latency.
 PROPAGATION_SECONDS = 2.5
+# Fault kinds: an engine announces a rate limit; an engine asks its callers for backoff.
 RATE_LIMIT_KIND = "engine_need"
 BACKOFF_KIND = "engine_shedding"
 # Disturbances that must not affect any request.
@@ -72,12 +76,16 @@
 LIMIT_ALLOWANCE = 5
 # Number of requests that a node may send to an engine that asked it for backoff.
 MAX_BACKOFF_REQUESTS = 2
+# Marks requests that were sent, and not served, while a fatal request was being sent.
 BYSTANDER_TEXT = "beside a fatal request"
 WORKSPACES = {"key-a": "a", "key-b": "b"}
 
 
 def find_violations(run: Run, *, timed: bool = True) -> list[str]:
-    """Return a line for each violated guarantee; `timed` includes the time limits."""
+    """Return a line for each violation; `timed` includes the time limits.
+
+    `run.notes` are the entries of the engines' journals, which call workspaces tenants.
+    """
     checks = (
         _check_answers,
         _check_at_most_once,
@@ -162,7 +170,7 @@
 
 
 def _check_deadlines(run: Run) -> Iterator[str]:
-    """Find requests that ended long after their deadline."""
+    """Find requests that ended long after their deadline, or were never answered."""
     for record in run.callers:
         end = record.deadline + OVERDUE_SECONDS
         is_held = record.ending is Ending.HELD or record.ended_at > end
@@ -200,7 +208,7 @@
 
 
 def _check_single_group(run: Run) -> Iterator[str]:
-    """Find engines that left a serving group of a live head for another group."""
+    """Find engines that left a serving group, whose head still ran, for another one."""
     head_states: dict[tuple[str, int], tuple[str, str]] = {}
     for entry in run.notes:
         if entry.event == "state" and entry.engine == entry.values["members"][0]:
@@ -231,7 +239,7 @@
 
 
 def _check_draining_targets(run: Run) -> Iterator[str]:
-    """Find requests to an engine long after its draining was accepted."""
+    """Find requests to an engine long after the store accepted its draining state."""
     by_attempt = {r.attempt: r for r in run.callers}
     accepted: dict[str, float] = {}
     for entry in run.notes:
@@ -287,6 +295,7 @@
 
 def _check_unaffected_requests(run: Run) -> Iterator[str]:
     """Find requests that failed during disturbances that must not affect any."""
+    # Foreign entries of no engine, new configurations, losses of the store's history.
     changes = [d for d in run.disturbances if d.kind in NO_EFFECT_KINDS]
     for record in run.callers:
         if record.status == 200 and record.ending is Ending.WHOLE:
@@ -358,7 +367,8 @@
 ) -> str | None:
     """Return a violation if the window that ends at `at` holds too many requests.
 
-    Only requests of undisturbed nodes count that have sent one since the announcement.
+    Counted are the requests of those nodes that were undisturbed and have sent a
+    request since the announcement.
     """
     if at < limit_entry.at + LIMIT_GRACE_SECONDS:
         return None
@@ -384,7 +394,10 @@
 
 
 def _check_backoffs(run: Run) -> Iterator[str]:
-    """Find nodes that kept sending to an engine that asked them for backoff."""
+    """Find nodes that kept sending to an engine that asked them for backoff.
+
+    `turned away` in the journal: the engine refused a request and asked for backoff.
+    """
     nodes = {record.attempt: record.node for record in run.callers}
     arrived: dict[tuple[str, int | None], list[float]] = defaultdict(list)
     for entry in run.notes:
@@ -438,7 +451,10 @@
 
 
 def _check_bystanders(run: Run) -> Iterator[str]:
-    """Find requests that were never served because another one crashed engines."""
+    """Find requests that were never served because another one crashed engines.
+
+    These requests are the bystanders of the fatal one.
+    """
     fatal = [d for d in run.disturbances if d.kind == FATAL_KIND]
     by_content: dict[str, list[CallerRecord]] = defaultdict(list)
     for record in run.callers:
@@ -478,7 +494,7 @@
     for record in run.callers:
         is_cut = record.ending in (Ending.CUT, Ending.NONE)
         if not is_cut or record.ended_at > record.deadline - ROUNDING_SECONDS:
-            # The deadline ended this request, not the stop.
+            # The answer was not cut off, or its deadline ended it and not the stop.
             continue
         span = record.sent_at - RECOVERY_SECONDS, record.ended_at
         is_after_stop = any(
