--- a/soak/judge.py
+++ b/soak/judge.py
@@ -36,7 +36,7 @@
 # Disturbances that must not cut off an answer in progress.
 NO_CUT_KINDS = ("node_stop", RATE_LIMIT_KIND, BACKOFF_KIND, *NO_EFFECT_KINDS)
 # Time after the last disturbance after which every request must be served, in seconds:
-# groups are formed again, and restarted hosts know the others.
+# groups are formed again, and restarted nodes know the others.
 FULL_RECOVERY_SECONDS = 5.0
 # A period in which the soak process itself was blocked, and with it every link. It may
 # cut off an answer; time limits of seconds are still checked.
@@ -125,12 +125,12 @@
     for record in run.callers:
         if record.status != 200:
             continue
-        whole = _expected_body(record)
+        expected = _expected_body(record)
         if record.headers.get(names.ATTEMPT) != record.attempt:
             yield f"{record.attempt}: the answer belongs to another request"
-        if record.ending is Ending.WHOLE and record.body != whole:
+        if record.ending is Ending.WHOLE and record.body != expected:
             yield f"{record.attempt}: ended as whole, but is not"
-        if not whole.startswith(record.body):
+        if not expected.startswith(record.body):
             yield f"{record.attempt}: events missing, doubled or mixed"
 
 
@@ -443,7 +443,7 @@
 
 
 def _was_disturbed(run: Run, node: int, at: float) -> bool:
-    """Return whether the node itself was disturbed shortly before a time."""
+    """Return whether this node, not a shared part, was disturbed just before a time."""
     return any(
         d.node == node and d.began_at < at and d.ended_at > at - RECOVERY_SECONDS
         for d in run.disturbances
