--- a/mallowpond/standins/observatory_operator.py
+++ b/mallowpond/standins/observatory_operator.py
@@ -62,7 +62,10 @@
         return await self._post("/standin/drop-history", {})
 
     async def write_foreign(self, key: str, value: bytes, seconds: float) -> bool:
-        """Let the store replace an engine's entry by a foreign value for `seconds`."""
+        """Let the store hold a foreign value as the entry of an engine for `seconds`.
+
+        `key` is the id of an engine, or of none. Return whether the store accepted it.
+        """
         packed = base64.b64encode(value).decode()
         document = {"key": key, "value": packed, "seconds": seconds}
         return await self._post("/standin/foreign", document)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -41,7 +41,8 @@
 # Later versions of the draw add kinds, so that seeds of older ones keep their faults.
 # `node_stop_series`: all nodes stop, while the configuration changes and stopping nodes
 # get further signals. `engine_restart_unheard`: a restart while a store link is
-# impaired. `foreign_entry`: an entry of an engine that another process wrote.
+# impaired. `foreign_entry`: another process writes an entry under an id that is no
+# engine's; `foreign_entry_of_engine`: it replaces the entry of an engine.
 DRAW_2_KINDS = (
     "node_stop_series",
     "engine_restart",
@@ -72,8 +73,8 @@
 # Timeout and interval of the polls for an engine that joins a group, in seconds.
 MAX_FORMING_SECONDS = 3.0
 FORMING_POLL_SECONDS = 0.02
-# Minimum lifetime of an entry of another writer, in seconds: longer than the limit
-# after which nothing may be sent to its engine.
+# Minimum lifetime of a foreign entry, in seconds: longer than the limit after which
+# nothing may be sent to the engine whose entry it replaces.
 MIN_FOREIGN_SECONDS = 3.5
 # Minimum time for which a request that crashes its engines is sent repeatedly, in
 # seconds: longer than the time after which it may reach only a few more engines.
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -222,10 +222,10 @@
         return await self._operator.entries()
 
     async def write_foreign(self, key: str, value: bytes, seconds: float) -> bool:
-        """Make the store replace an engine's entry by a foreign value for some seconds.
+        """Make the store hold a foreign engine entry under a key for some seconds.
 
-        Such a value was written by another process than the engine. Return whether the
-        store accepted it.
+        Such an entry was not written by the engine with this id, or there is no such
+        engine. Return whether the store accepted it.
         """
         return await self._operator.write_foreign(key, value, seconds)
 
