--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -149,7 +149,7 @@
         return self.hosts[0].name if self.hosts else None
 
     def deliver(self, node: str, message: PeerMessage) -> None:
-        """Deliver a message to a host if it is running."""
+        """Deliver a message to the host named `node` if it is running."""
         for host in self.hosts:
             if host.name == node:
                 host.datagrams.on_message(message)
@@ -157,7 +157,10 @@
     # -- load reports --------------------------------------------------------
 
     async def exchange_loads(self) -> None:
-        """Exchange the hosts' loads by heartbeats or, in a large fleet, by digests."""
+        """Exchange the hosts' loads by heartbeats or, in a large fleet, by digests.
+
+        With its loads a host reports the number of its latest slot grant.
+        """
         if self.scenario.hosts > LARGE_FLEET:
             await self._publish_totals()
         while True:
--- a/mallowpond/standins/engine.py
+++ b/mallowpond/standins/engine.py
@@ -128,6 +128,7 @@
             incarnation=self._incarnation,
             group=order.group,
             generation=order.generation,
+            # Number of the order among those to this host.
             order=order.order,
             loaded=assignment.loaded,
             whole=self._is_group_complete,
--- a/mallowpond/standins/observatory_operator.py
+++ b/mallowpond/standins/observatory_operator.py
@@ -18,6 +18,7 @@
 
 CALL_SECONDS = 1.0
 # Fields without which an entry does not describe an engine; `born` is its start time.
+# The optional field `staged` lists the models whose weights its host stores.
 REQUIRED_FIELDS = ("service", "address", "zone", "slots", "state", "born")
 INVALID_FIELDS: tuple[dict[str, Any], ...] = (
     {"service": 7},
@@ -54,6 +55,7 @@
 
     async def configure(self, document: dict[str, Any]) -> bool:
         """Write a configuration; return whether the store accepted it."""
+        # The table `op` holds the operator's rows; parts of tables are not used here.
         row = {"table": "op", "part": "", "key": "config", "value": pack(document)}
         return await self._post("/-/rows-tx", {"writes": [row]})
 
