--- a/mallowpond/emulator/placing.py
+++ b/mallowpond/emulator/placing.py
@@ -1,9 +1,11 @@
 """Simulation of how hosts place streams on groups by outdated load reports.
 
 Many hosts receive a few streams per second each and send them to the same groups. Each
-host knows the streams of the others with a delay of some tenths of a second. Groups may
-be replaced by empty ones. All hosts may restart at once: their streams are cancelled,
-and the requests that arrive during the outage are sent shortly after it.
+host knows the streams of the others with a delay of up to one heartbeat, or of some
+tenths of a second in a fleet above `LARGE_FLEET`. Alternatively a dispatcher grants the
+slots. Groups may be replaced by empty ones. All hosts may stop at once: their streams
+are cancelled, the starts are spread over `RESTART_SECONDS`, and the requests that
+arrive during the outage are sent shortly after it.
 """
 
 import asyncio
--- a/mallowpond/protocol/caller.py
+++ b/mallowpond/protocol/caller.py
@@ -68,7 +68,10 @@
 
 
 def parse_completion(body: bytes, *, is_chat: bool) -> CompletionRequest | Problem:
-    """Parse the body of a completion request; return a problem if it is invalid."""
+    """Parse the body of a completion request; return a problem if it is invalid.
+
+    The field `n` must be absent, null or 1.
+    """
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
--- a/mallowpond/transport/http_client.py
+++ b/mallowpond/transport/http_client.py
@@ -100,7 +100,7 @@
 class _SilenceWatch:
     """Aborts a connection from which nothing is read for `seconds`.
 
-    Bytes that arrive while the consumer of the body is busy count only once they are
+    Bytes that arrive while the consumer of the body is busy do not count until they are
     read. One timer is rearmed when it fires; a read only records the time.
     """
 
@@ -125,7 +125,8 @@
     def _check(self) -> None:
         left = self._last_data_at + (self._seconds or 0.0) - self._loop.time()
         if left <= 0:
-            # The next read returns the end of the stream, so the response fails.
+            # The next read returns the end of the stream, so the response fails, unless
+            # its body is delimited by the end of the connection: it then ends there.
             self._connection.abort()
             return
         self._timer = self._loop.call_later(left, self._check)
@@ -152,8 +153,9 @@
     ) -> AsyncIterator[BodyEvent]:
         """Yield chunks, then one `End` or `CallFailed`.
 
-        The response fails if nothing is read for `silence_seconds`, which include the
-        time that the caller takes between two chunks.
+        The connection is aborted if nothing is read for `silence_seconds`, which
+        include the time that the caller takes between two chunks. The response then
+        fails, unless its body is delimited by the end of the connection.
         """
         watch = _SilenceWatch(connection=self._connection, seconds=silence_seconds)
         try:
@@ -252,7 +254,8 @@
         """Send a request and return when the head of the response has arrived.
 
         `echo` is a header name and value that the server copies from the request. A
-        response with another value belongs to an earlier request and is skipped.
+        response with another value belongs to an earlier request and is skipped. The
+        call fails if no byte of the next response has arrived with its end.
 
         With `new_connection` no idle connection is reused: a server may close one
         while the request is being sent; it is then unknown whether the request ran.
@@ -417,7 +420,9 @@
     """Skip responses to earlier requests that arrive late on a reused connection.
 
     After each of them a new h11 state is given the request, so that it can parse the
-    next response; nothing is sent to the server again.
+    next response; nothing is sent to the server again. The call fails if no byte of the
+    next response was read with the end of the skipped one: h11 takes empty data as the
+    end of the connection.
     """
     name, value = echo
     for _ in range(MAX_STALE_RESPONSES):
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -218,7 +218,10 @@
         return await self._operator.drop_history()
 
     async def engine_entries(self) -> dict[str, dict[str, Any]]:
-        """Return the store entry of each engine, by engine id."""
+        """Return the store entries with a valid group, by engine id.
+
+        Foreign entries with such a group are included. Empty if the read fails.
+        """
         return await self._operator.entries()
 
     async def write_foreign(self, key: str, value: bytes, seconds: float) -> bool:
