--- a/bench/placing.py
+++ b/bench/placing.py
@@ -12,7 +12,8 @@
 
 PROCESSES = 4
 SEEDS = 4
-# `tight`: the load is close to the capacity of the groups.
+# `tight`: the load is close to the capacity of the groups. `hosts start anew`: all
+# hosts stop at once and start again.
 SCENARIOS = (
     Scenario(name="tight, 7 hosts", hosts=7, groups=6, rate=44.0),
     Scenario(name="tight, 18 hosts", hosts=18, groups=6, rate=44.0),
@@ -71,7 +72,8 @@
         ]
     # load: name of the scenario. places: how streams get slots, by a dispatcher
     # ("counted") or by load reports ("by news"). beyond: stream-seconds in excess of
-    # the slots, per simulation. beside: the part for which other groups had free slots.
+    # the slots, per simulation ("a play" in the note). beside: the part of them for
+    # which other groups had free slots, and which could so be avoided.
     columns = ("load", "places", "streams", "late", "unserved", "beyond", "beside")
     notes = (
         f"{len(seeds)} seeds; late and unserved in percent of the streams",
--- a/mallowpond/controller/links.py
+++ b/mallowpond/controller/links.py
@@ -50,7 +50,9 @@
 class LinkService:
     """Serves the links that gateways and other controllers open to this one.
 
-    `view` returns what other controllers are told of the configuration and the cell.
+    `view` returns what other controllers are told of the configuration and of the cell,
+    the controllers of one data centre. `claims` records which once-only requests may
+    run or have run; `quotas` leases units of the workspaces' daily quotas.
     """
 
     def __init__(
@@ -165,7 +167,11 @@
 
 
 def verdict_of(result: ClaimResult) -> ClaimVerdict:
-    """Return the verdict on the wire for the result of a claim, finish or void."""
+    """Return the verdict on the wire for the result of a claim, finish or void.
+
+    `CLAIM_UNKNOWN`: the claim may have been stored. `OUTCOME_UNKNOWN`: whether the
+    claimed request ran is unknown. `SETTLED`: a finish or void has been recorded.
+    """
     match result:
         case Granted():
             return ClaimVerdict.GRANTED
--- a/mallowpond/controller/service.py
+++ b/mallowpond/controller/service.py
@@ -45,8 +45,8 @@
 log = structlog.get_logger()
 PLANNER_LEASE = "planner"
 DRAIN_LIMIT_SECONDS = 3.0
-# Age up to which the confirmation that all members of a group have it loaded counts as
-# recent, in intervals of the watch.
+# Age up to which the confirmation that all members of a group have loaded their part of
+# the model counts as recent, in intervals of the engine watch.
 RECENT_POLLS = 2.0
 DRAIN_CHECK_SECONDS = 0.05
 
@@ -110,7 +110,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the version in force is known and no leave has begun."""
+        """Return whether the configuration is assured and no leave has begun."""
         assured = isinstance(self.configuration.assurance(), Assured)
         return assured and not self._leaving
 
@@ -139,8 +139,8 @@
         """
         limit = self._clock.now() + DRAIN_LIMIT_SECONDS
         while self._clock.now() < limit:
-            # Claim operations are awaited too. An operator whose request was cut off
-            # could not know whether the change is in force.
+            # Operations on claims of once-only requests are awaited too. An operator
+            # whose request was cut off could not know whether the change is in force.
             is_busy = self._claims.unanswered or self._api_server.is_busy
             if not self._links.gateways and not is_busy:
                 return
@@ -385,7 +385,7 @@
         if ready != self._ready_groups:
             self._ready_groups = ready
             # Random instead of counted: a gateway that changes controllers must not
-            # take the new one's routes for those it has from the old one.
+            # mistake the new controller's routes for those it has from the old one.
             self._routes_version = self._rng.getrandbits(48)
 
     def _confirmed_ages(self) -> tuple[float, tuple[GroupLastSeen, ...]]:
@@ -401,10 +401,10 @@
             if age is not None and age <= recent:
                 seen_age = max(seen_age, age)
                 continue
-            sight = GroupLastSeen(
+            last_seen = GroupLastSeen(
                 group=group.group, generation=group.generation, age=age
             )
-            exceptions.append(sight)
+            exceptions.append(last_seen)
         return seen_age, tuple(exceptions)
 
     def _answer_view(self, ask: PeerAsk) -> PeerView:
--- a/mallowpond/controller/tables.py
+++ b/mallowpond/controller/tables.py
@@ -18,7 +18,11 @@
 # oldest report that confirms a member of the group. A `tainted` host is kept out of
 # groups, as an order of an earlier planner may still arrive. Of the last order for a
 # host, `fence` and `holder` are those of the planner lease; `earlier` counts the
-# replaced orders that may still arrive. `cell` is the cell of controllers.
+# replaced orders that may still arrive. `cell` is the controllers of one data centre;
+# `epoch` counts changes of its membership, and `applied` is the configuration version
+# that the member uses. `domain` is the fabric domain of a host. `kinds` are the
+# declared kinds of requests; a `repeatable` one may run more than once. `share` is a
+# workspace's weight in fair queueing, and `units_per_day` its quota.
 COLUMNS: dict[str, tuple[str, ...]] = {
     "deployments": ("deployment", "model", "replicas", "ready", "hosts_per_group"),
     "groups": ("group", "deployment", "state", "generation", "hosts", "seen_whole"),
--- a/mallowpond/programs/explain.py
+++ b/mallowpond/programs/explain.py
@@ -1,6 +1,6 @@
 """Explain what happened to a request, group or version, from the log lines of nodes.
 
-A node is the process that serves callers on an entry host.
+A node is the process that serves callers on an entry host, where requests arrive.
 """
 
 import json
@@ -24,11 +24,14 @@
     "targets: list",
     "logs:",
 )
-# Fields that name the request, group or target that a line is about; `head` is the head
-# target of a group.
+# Fields that name the request, group or target that a line is about; `head` is the
+# target that takes a group's requests.
 SUBJECTS = ("request", "group", "target", "head")
 HIDDEN = {"event", "timestamp", "level"}
-# What to look at, by the reason for which a request was refused or cut off.
+# What to look at, by the reason for which a request was refused or cut off. The key of
+# `unknown_key` is the caller's API key. `held_back`: the request is quarantined.
+# `budget_used`: the retry budget of all hosts is spent. `maybe_run`: the request must
+# not run twice.
 HINTS = {
     "overloaded": "no place in time: compare `running` with `open` in planner: model",
     "no_group": "no group served the model: see planner: model and planner: forming",
@@ -182,9 +185,10 @@
 
 
 def explain_version(lines: Iterable[LogLine], version: int) -> Explanation | None:
-    """Return when a configuration version came into force on each host.
+    """Return the lines of events "configuration: ..." that name a version.
 
-    None if no line names the version.
+    The summary takes the first such line of each host as the time at which the version
+    came into force there. None if no line names the version.
     """
     selected = tuple(
         line
--- a/mallowpond/programs/losses.py
+++ b/mallowpond/programs/losses.py
@@ -1,10 +1,11 @@
 """Count, from the log lines of nodes, which requests were late or unserved, and why.
 
-Callers value most a response within its objective. Each stream that missed it is
-attributed to one cause that its own lines show: first a move to another group, then a
-wait for a slot, then a prediction that was already late. A request without a response,
-or with one that the target failed, counts as unserved. Errors of the predicted times of
-first events, and suspicions of groups, are reported as well.
+Callers value most a response whose first event arrives within its objective, the
+latency target. Each stream that missed it is attributed to one cause that its own lines
+show: first a move to another group, then a wait for a slot, then a predicted time above
+the objective when it was sent. A request without a response, or with a status of
+`MIN_FAILED_STATUS` or above, counts as unserved. Errors of the predicted times of first
+events, and suspected group failures, are reported as well.
 """
 
 from collections import Counter, defaultdict
@@ -24,9 +25,11 @@
 class Losses:
     """Counts of one set of log files.
 
-    `late` and `unserved` count requests by cause, `suspicions` those of groups by
-    cause, and how many were cleared. `prediction_errors` are the observed minus the
-    predicted times of first events in seconds, by model.
+    `late` counts served streams by cause. `unserved` counts attempts by cause, one for
+    each log line of an unserved one, so a caller's retry counts again. `suspicions`
+    counts suspected group failures by cause, and how many were cleared.
+    `prediction_errors` are the observed minus the predicted times of first events in
+    seconds, by model.
     """
 
     streams: int = 0
@@ -75,7 +78,8 @@
 
 
 def _predicted_first_event(sent: LogLine) -> float:
-    # `delay` is the usual excess over the declared timing, scaled for slow groups.
+    # `delay` is the usual excess of the first event's time over the declared timing,
+    # scaled for slow groups.
     return float(sent.fields["predicted"]) + float(sent.fields.get("delay", 0.0))
 
 
--- a/mallowpond/standins/engine.py
+++ b/mallowpond/standins/engine.py
@@ -1,6 +1,7 @@
 """Stand-in for a model engine, or for a plain service that has no model or group.
 
-It can inject faults into its answers. A plain service echoes each request.
+It can inject faults into its answers. A plain service answers each request with a JSON
+description of it.
 """
 
 import asyncio
@@ -40,8 +41,9 @@
     slow_factor: factor on the time per token.
     late_seconds: delay before a completion starts.
     cut_after_tokens: number of tokens after which the connection closes.
-    cut_before_head: the request runs, and the connection closes without an answer.
-    swap_answers: answers carry the id of another request.
+    cut_before_head: the request runs, and the connection closes before the head of the
+        HTTP response.
+    swap_answers: answers carry a fixed, wrong request id.
     ignore_fencing: orders are accepted regardless of their fencing number.
     refuse_start: completions are refused.
     fatal_prompt: value of the field `prompt` that crashes the engine that runs the
@@ -310,7 +312,7 @@
 
 
 def _words(parameters: dict, skip: int) -> Iterator[str]:
-    """Return the words of an answer: each names the prompt and its own index."""
+    """Return the words of an answer, one a token: each is the prompt and its index."""
     prompt = parameters.get("prompt")
     if prompt is None:
         prompt = parameters["messages"][-1]["content"]
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -1,8 +1,11 @@
 """Check the records of a run against the guarantees of the system.
 
-Each check yields a line for each violation; that of rate limits stops at the first of
-each engine. Checks of time limits skip what happened close to a fault that may explain
-it, except that of revoked keys, which applies during any fault.
+Each check yields a line for each violation; the check of rate limits yields at most one
+for an engine. Checks of time limits skip what happened close to a fault that may
+explain it, except that of revoked keys, which applies during any fault. A disturbance
+is an injected fault as recorded. An attempt is the id of one request as sent by a
+caller; retries have the same content and other ids. In the journals, `arrival` means
+that an engine received a request, and `run` that it began to run it.
 """
 
 from collections import Counter, defaultdict
@@ -68,7 +71,7 @@
 MAX_FATAL_SENDS = 3
 FATAL_KIND = "fatal_request"
 # Time after an engine announces a rate limit until it is checked, and the window in
-# which its requests are counted, both in seconds. Hosts that know the limit may send up
+# which its requests are counted, both in seconds. Nodes that know the limit may send up
 # to a multiple of it, and a fixed number of requests more.
 LIMIT_GRACE_SECONDS = 3.0
 LIMIT_WINDOW_SECONDS = 4.0
@@ -157,7 +160,7 @@
 
 
 def _check_workspaces(run: Run) -> Iterator[str]:
-    """Find requests that ran for a wrong workspace or with their API key."""
+    """Find requests run for a wrong workspace, or passed on with the caller's key."""
     by_attempt = {r.attempt: r for r in run.callers}
     for entry in _run_entries(run):
         record = by_attempt.get(entry.values["attempt"])
@@ -208,7 +211,10 @@
 
 
 def _check_single_group(run: Run) -> Iterator[str]:
-    """Find engines that left a serving group, whose head still ran, for another one."""
+    """Find engines that left a serving group, whose head still ran, for another one.
+
+    The head is the group's first member, which takes its requests.
+    """
     head_states: dict[tuple[str, int], tuple[str, str]] = {}
     for entry in run.notes:
         if entry.event == "state" and entry.engine == entry.values["members"][0]:
@@ -283,7 +289,7 @@
 
 
 def _check_foreign_entries(run: Run) -> Iterator[str]:
-    """Find requests to an engine whose entry was replaced by another writer."""
+    """Find requests sent because of an engine entry that another writer replaced."""
     for entry in _run_entries(run):
         for foreign in run.foreign:
             since = foreign.written_at + PROPAGATION_SECONDS
@@ -295,7 +301,8 @@
 
 def _check_unaffected_requests(run: Run) -> Iterator[str]:
     """Find requests that failed during disturbances that must not affect any."""
-    # Foreign entries of no engine, new configurations, losses of the store's history.
+    # Foreign entries under the id of no engine, new configurations, losses of the
+    # store's history.
     changes = [d for d in run.disturbances if d.kind in NO_EFFECT_KINDS]
     for record in run.callers:
         if record.status == 200 and record.ending is Ending.WHOLE:
@@ -443,7 +450,10 @@
 
 
 def _was_disturbed(run: Run, node: int, at: float) -> bool:
-    """Return whether this node, not a shared part, was disturbed just before a time."""
+    """Return whether this node had a disturbance of its own just before a time.
+
+    Disturbances without a node are not considered.
+    """
     return any(
         d.node == node and d.began_at < at and d.ended_at > at - RECOVERY_SECONDS
         for d in run.disturbances
@@ -516,7 +526,11 @@
 
 
 def _is_node_undisturbed(run: Run, node: int, start: float, end: float) -> bool:
-    """Return whether neither the node nor anything shared by all was disturbed."""
+    """Return whether the node had no disturbance, nor the fleet one that may affect it.
+
+    Stalls and kinds that cut off no answer count only if they are of this node. All
+    others without a node count, such as engine faults.
+    """
     return not any(
         d.began_at < end and d.ended_at > start
         for d in run.disturbances
