--- a/mallowpond/programs/explain.py
+++ b/mallowpond/programs/explain.py
@@ -30,8 +30,8 @@
 HIDDEN = {"event", "timestamp", "level"}
 # What to look at, by the reason for which a request was refused or cut off. The key of
 # `unknown_key` is the caller's API key. `held_back`: the request is quarantined.
-# `budget_used`: the retry budget of all hosts is spent. `maybe_run`: the request must
-# not run twice.
+# `budget_used`: this host's part of the service's retry budget is spent. `maybe_run`:
+# the request must not run twice.
 HINTS = {
     "overloaded": "no place in time: compare `running` with `open` in planner: model",
     "no_group": "no group served the model: see planner: model and planner: forming",
